--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -27,7 +27,7 @@
 func enter(a *Allotter, now time.Time, number uint64, batch bool) []Allotment {
 	a.Enter(now, &Ask{
 		Told: Told{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
-		Want: placement.Want{Service: "s", Batch: batch},
+		Want: placement.Requirements{Service: "s", Batch: batch},
 	})
 	return a.Allot(now)
 }
--- a/internal/coordination/routed/broker/book.go
+++ b/internal/coordination/routed/broker/book.go
@@ -231,7 +231,7 @@
 
 // Place gives a slot. If a batch item must give its slot back for it, the item's
 // hold is returned too; its slot counts as free from now on.
-func (b *Book) Place(now time.Time, instance string, h Hold, want placement.Want) (grant Grant, yields *held, ok bool) {
+func (b *Book) Place(now time.Time, instance string, h Hold, want placement.Requirements) (grant Grant, yields *held, ok bool) {
 	choice, ok := b.core.Pick(now, want)
 	if !ok {
 		return Grant{}, nil, false
--- a/internal/coordination/routed/broker/book_test.go
+++ b/internal/coordination/routed/broker/book_test.go
@@ -31,9 +31,9 @@
 	return b
 }
 
-func online() placement.Want { return placement.Want{Service: "s"} }
+func online() placement.Requirements { return placement.Requirements{Service: "s"} }
 
-func item() placement.Want { return placement.Want{Service: "s", Batch: true} }
+func item() placement.Requirements { return placement.Requirements{Service: "s", Batch: true} }
 
 func TestEachSlotIsGivenOnce(t *testing.T) {
 	b := newTestBook(3)
--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -25,7 +25,7 @@
 func askOf(number uint64, onTimeIn, wait time.Duration) *Ask {
 	return &Ask{
 		Told: Told{Instance: fmt.Sprint("n", number%3)}, Number: number,
-		Want: placement.Want{Service: "s"}, OnTimeIn: onTimeIn, Wait: wait,
+		Want: placement.Requirements{Service: "s"}, OnTimeIn: onTimeIn, Wait: wait,
 	}
 }
 
@@ -79,7 +79,7 @@
 			require.True(t, reply.Granted)
 		})
 		synctest.Wait()
-		items := &Ask{Told: Told{Instance: "n0"}, Number: 7, Want: placement.Want{Service: "s", Batch: true}, OnTimeIn: time.Hour}
+		items := &Ask{Told: Told{Instance: "n0"}, Number: 7, Want: placement.Requirements{Service: "s", Batch: true}, OnTimeIn: time.Hour}
 		require.False(t, b.Place(t.Context(), items).Granted)
 		b.Tell(&Told{Instance: "n1", Released: []uint64{1}})
 		waiting.Wait()
@@ -116,7 +116,7 @@
 				instance := fmt.Sprint("n", i%2)
 				reply := b.Place(t.Context(), &Ask{
 					Told: Told{Instance: instance}, Number: number, Due: due, OnTimeIn: onTimeIn, Wait: 10 * time.Second,
-					Want: placement.Want{Service: "s", Batch: true},
+					Want: placement.Requirements{Service: "s", Batch: true},
 				})
 				require.True(t, reply.Granted)
 				order = append(order, due)
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -118,7 +118,7 @@
 // Place chooses a target for an online request and counts it there until Done.
 // While all are full it waits; it fails if none is known, or if the patience or
 // ctx ends.
-func (c *Client) Place(ctx context.Context, want placement.Want, patience placement.Patience) (placement.Choice, bool) {
+func (c *Client) Place(ctx context.Context, want placement.Requirements, patience placement.Patience) (placement.Choice, bool) {
 	began := time.Now()
 	waitAt := ""
 	for {
@@ -145,7 +145,7 @@
 // tryAll asks the brokers of all domains, the own one first. It also gives the
 // first domain whose broker answered. Domains that had no slot a moment ago are
 // left out of a second round.
-func (c *Client) tryAll(ctx context.Context, want placement.Want, patience placement.Patience, began time.Time, again bool) (placement.Choice, string) {
+func (c *Client) tryAll(ctx context.Context, want placement.Requirements, patience placement.Patience, began time.Time, again bool) (placement.Choice, string) {
 	answered := ""
 	for _, name := range c.order(want) {
 		if again && name != c.opts.Self.Domain && c.knownFull(name) {
@@ -163,7 +163,7 @@
 }
 
 // ask asks the broker of one domain for one slot. It is not ok if none answers.
-func (c *Client) ask(ctx context.Context, name string, want placement.Want, patience placement.Patience, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
+func (c *Client) ask(ctx context.Context, name string, want placement.Requirements, patience placement.Patience, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
 	now := time.Now()
 	ask := &Ask{
 		Domain: name, Want: want, Wait: wait,
@@ -190,14 +190,14 @@
 // They get twice what they have slots for, and online requests wait in their queues.
 func (c *Client) PlaceItem(ctx context.Context, name string, item Item) (placement.Choice, bool) {
 	ask := &Ask{
-		Domain: name, Want: placement.Want{Service: item.Service, Batch: true}, Wait: itemWait,
+		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: itemWait,
 		OnTimeIn: time.Until(item.BeginBy), Due: item.Due.UnixMilli(), Lasts: item.Lasts,
 	}
 	choice, answered := c.send(ctx, ask)
 	if answered {
 		return choice, choice.ID != ""
 	}
-	choice, ok := c.opts.Local.Pick(placement.Want{Service: item.Service, Domain: name, Batch: true})
+	choice, ok := c.opts.Local.Pick(placement.Requirements{Service: item.Service, Domain: name, Batch: true})
 	if !ok {
 		wait.For(ctx, itemWait)
 		return choice, false
@@ -219,7 +219,7 @@
 
 // order gives the failure domains with targets of a service, the own one first
 // and then those that had the most free slots.
-func (c *Client) order(want placement.Want) []string {
+func (c *Client) order(want placement.Requirements) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	has := map[string]bool{}
@@ -345,7 +345,7 @@
 
 // TryPlace chooses a target for an online request that has one already. It waits
 // for none.
-func (c *Client) TryPlace(ctx context.Context, want placement.Want) (placement.Choice, bool) {
+func (c *Client) TryPlace(ctx context.Context, want placement.Requirements) (placement.Choice, bool) {
 	now := time.Now()
 	choice, answered := c.tryAll(ctx, want, placement.Patience{OnTimeUntil: now, Until: now}, now, false)
 	if choice.ID == "" && answered == "" {
--- a/internal/coordination/routed/broker/messages.go
+++ b/internal/coordination/routed/broker/messages.go
@@ -38,7 +38,7 @@
 	Domain string
 	// Number is given to the hold.
 	Number uint64
-	Want   placement.Want
+	Want   placement.Requirements
 	// OnTimeIn is how long it takes until an online request is late, or until a
 	// batch item must have begun to be done in time. Wait is how long it may be
 	// kept waiting.
--- a/internal/coordination/routed/broker/waitqueue.go
+++ b/internal/coordination/routed/broker/waitqueue.go
@@ -12,7 +12,7 @@
 type Waiter struct {
 	instance string
 	hold     Hold
-	want     placement.Want
+	want     placement.Requirements
 	// onTimeUntil is when it must be sent for its answer to be on time, arrived
 	// when it came to the instance that asks.
 	onTimeUntil, arrived time.Time
--- a/internal/coordination/routed/placement/core.go
+++ b/internal/coordination/routed/placement/core.go
@@ -67,8 +67,8 @@
 	Online, Batch int
 }
 
-// Want is what a target is chosen for.
-type Want struct {
+// Requirements is what a target is chosen for.
+type Requirements struct {
 	Service string
 	// Run is the id under which the target will run it. Empty: not known yet.
 	Run string
@@ -87,7 +87,7 @@
 }
 
 // fits says that a target may be chosen, whatever its state.
-func (w *Want) fits(t *target) bool {
+func (w *Requirements) fits(t *target) bool {
 	return t.listed && t.Service == w.Service && (w.Domain == "" || t.Domain == w.Domain)
 }
 
@@ -227,7 +227,7 @@
 
 // Pick chooses a target and counts the request there until Done. It fails if
 // none is known or all are full.
-func (c *Core) Pick(now time.Time, want Want) (Choice, bool) {
+func (c *Core) Pick(now time.Time, want Requirements) (Choice, bool) {
 	best, any := c.best(now, want, trusted)
 	if best == nil && !any && !want.Batch {
 		// No target is trusted. Refusing would be worse than a try.
@@ -248,15 +248,15 @@
 
 // trusted lets a target be chosen that has not failed lately, or that this
 // request may probe. suspected lets all others be chosen.
-func trusted(now time.Time, t *target, want Want) bool {
+func trusted(now time.Time, t *target, want Requirements) bool {
 	return t.health.trusted() || (want.Batch || want.Repeatable) && t.mayProbe(now)
 }
 
-func suspected(now time.Time, t *target, want Want) bool { return !trusted(now, t, want) }
+func suspected(now time.Time, t *target, want Requirements) bool { return !trusted(now, t, want) }
 
 // best is the target with the least cost among those that are allowed. It also
 // says whether any is allowed, be it full.
-func (c *Core) best(now time.Time, want Want, allowed func(time.Time, *target, Want) bool) (best *target, any bool) {
+func (c *Core) best(now time.Time, want Requirements, allowed func(time.Time, *target, Requirements) bool) (best *target, any bool) {
 	least := 0.0
 	for _, id := range c.ids {
 		t := c.targets[id]
@@ -277,7 +277,7 @@
 
 // cost ranks a target, the least first. It is not ok if the target is full.
 // Batch items give way, so that they keep no online request out.
-func (c *Core) cost(now time.Time, t *target, want Want) (float64, bool) {
+func (c *Core) cost(now time.Time, t *target, want Requirements) (float64, bool) {
 	busy := t.busy(now)
 	cost := c.placeCost(t, want) + float64(busy)/float64(t.slots)
 	if want.Batch {
@@ -290,7 +290,7 @@
 }
 
 // placeCost prefers the own failure domain and kept connections.
-func (c *Core) placeCost(t *target, want Want) float64 {
+func (c *Core) placeCost(t *target, want Requirements) float64 {
 	const tie = 0.01
 	cost := tie * c.opts.Random.Float64()
 	if t.Domain != c.opts.Domain {
@@ -365,7 +365,7 @@
 
 // Distrusted gives the targets that a request should not go to. If it could go
 // to no other, none are given: refusing would be worse than a try.
-func (c *Core) Distrusted(now time.Time, want Want) []string {
+func (c *Core) Distrusted(now time.Time, want Requirements) []string {
 	var out []string
 	others := false
 	for id, t := range c.targets {
--- a/internal/coordination/routed/placement/core_test.go
+++ b/internal/coordination/routed/placement/core_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-func pick(t *testing.T, c *Core, now time.Time, want Want) Choice {
+func pick(t *testing.T, c *Core, now time.Time, want Requirements) Choice {
 	t.Helper()
 	want.Service = "s"
 	choice, ok := c.Pick(now, want)
@@ -44,7 +44,7 @@
 	c := fleet(2, 1)
 	seen := map[string]int{}
 	for range 10 {
-		seen[pick(t, c, start, Want{}).Domain]++
+		seen[pick(t, c, start, Requirements{}).Domain]++
 	}
 	require.Greater(t, seen["d0"], seen["d1"])
 	require.Positive(t, seen["d1"])
@@ -54,10 +54,10 @@
 	c := fleet(1, 2)
 	c.SetPeer("other", []Held{{Target: "t0-0", Online: 7}})
 	for range 6 {
-		require.Equal(t, "t0-1", pick(t, c, start, Want{}).ID)
+		require.Equal(t, "t0-1", pick(t, c, start, Requirements{}).ID)
 	}
 	c.SetPeer("other", nil)
-	require.Equal(t, "t0-0", pick(t, c, start, Want{}).ID)
+	require.Equal(t, "t0-0", pick(t, c, start, Requirements{}).ID)
 }
 
 // A target reports more requests than the instances know of, because one of them
@@ -65,8 +65,8 @@
 func TestUnknownLoadCountsForAWhile(t *testing.T) {
 	c := fleet(1, 2)
 	c.Told(start, "t0-0", exchange.Load{Running: 8, Waiting: 3, Slots: 8})
-	require.Equal(t, "t0-1", pick(t, c, start, Want{}).ID)
-	require.Equal(t, "t0-0", pick(t, c, after(time.Second), Want{}).ID)
+	require.Equal(t, "t0-1", pick(t, c, start, Requirements{}).ID)
+	require.Equal(t, "t0-0", pick(t, c, after(time.Second), Requirements{}).ID)
 }
 
 // All slots are taken, some by batch items. The online request goes where an item
@@ -75,12 +75,12 @@
 	c := fleet(1, 2)
 	c.SetPeer("other", []Held{{Target: "t0-1", Batch: 2}})
 	for range 14 {
-		require.False(t, pick(t, c, start, Want{}).Crowded)
+		require.False(t, pick(t, c, start, Requirements{}).Crowded)
 	}
-	choice := pick(t, c, start, Want{})
+	choice := pick(t, c, start, Requirements{})
 	require.Equal(t, "t0-1", choice.ID)
 	require.True(t, choice.Crowded)
-	_, ok := c.Pick(start, Want{Service: "s", Batch: true})
+	_, ok := c.Pick(start, Requirements{Service: "s", Batch: true})
 	require.False(t, ok)
 }
 
@@ -89,14 +89,14 @@
 // of connections, and requests that wait in vain.
 func TestDeadTargetIsNoOverflow(t *testing.T) {
 	c := fleet(1, 2)
-	dead := pick(t, c, start, Want{Exclude: []string{"t0-1"}})
+	dead := pick(t, c, start, Requirements{Exclude: []string{"t0-1"}})
 	c.Done(start, dead, Unreachable)
 	for range 20 {
-		if choice, ok := c.Pick(after(10*time.Millisecond), Want{Service: "s"}); ok {
+		if choice, ok := c.Pick(after(10*time.Millisecond), Requirements{Service: "s"}); ok {
 			require.Equal(t, "t0-1", choice.ID)
 		}
 	}
-	_, ok := c.Pick(after(10*time.Millisecond), Want{Service: "s", Batch: true})
+	_, ok := c.Pick(after(10*time.Millisecond), Requirements{Service: "s", Batch: true})
 	require.False(t, ok)
 }
 
@@ -104,21 +104,21 @@
 // at first, and by all once it answered.
 func TestDeadTargetIsProbedByOne(t *testing.T) {
 	c := fleet(1, 2)
-	dead := pick(t, c, start, Want{Exclude: []string{"t0-1"}})
+	dead := pick(t, c, start, Requirements{Exclude: []string{"t0-1"}})
 	c.Done(start, dead, Unreachable)
 	later := after(500 * time.Millisecond)
 	for range 6 {
-		require.Equal(t, "t0-1", pick(t, c, later, Want{}).ID, "what may not be repeated is no probe")
+		require.Equal(t, "t0-1", pick(t, c, later, Requirements{}).ID, "what may not be repeated is no probe")
 	}
-	probe := pick(t, c, later, Want{Repeatable: true})
+	probe := pick(t, c, later, Requirements{Repeatable: true})
 	require.Equal(t, "t0-0", probe.ID)
-	require.Equal(t, "t0-1", pick(t, c, later, Want{Repeatable: true}).ID, "one probe is enough")
+	require.Equal(t, "t0-1", pick(t, c, later, Requirements{Repeatable: true}).ID, "one probe is enough")
 	c.Done(later, probe, Unreachable)
-	require.Equal(t, "t0-1", pick(t, c, after(900*time.Millisecond), Want{Batch: true, Exclude: nil}).ID, "the pause has doubled")
-	probe = pick(t, c, after(1400*time.Millisecond), Want{Batch: true})
+	require.Equal(t, "t0-1", pick(t, c, after(900*time.Millisecond), Requirements{Batch: true, Exclude: nil}).ID, "the pause has doubled")
+	probe = pick(t, c, after(1400*time.Millisecond), Requirements{Batch: true})
 	require.Equal(t, "t0-0", probe.ID)
 	c.Done(after(1400*time.Millisecond), probe, Served)
-	require.Equal(t, "t0-0", pick(t, c, after(1400*time.Millisecond), Want{}).ID)
+	require.Equal(t, "t0-0", pick(t, c, after(1400*time.Millisecond), Requirements{}).ID)
 }
 
 // All targets have failed, as when the instance itself was cut off for a moment.
@@ -126,9 +126,9 @@
 func TestWithoutAnyGoodTargetABadOneIsTried(t *testing.T) {
 	c := fleet(1, 2)
 	for range 2 {
-		c.Done(start, pick(t, c, start, Want{}), Unreachable)
+		c.Done(start, pick(t, c, start, Requirements{}), Unreachable)
 	}
-	pick(t, c, start, Want{})
+	pick(t, c, start, Requirements{})
 }
 
 // The path to another failure domain is cut. Its targets are silent, and each
@@ -138,12 +138,12 @@
 	c := fleet(2, 1)
 	c.SetDomainSilent(start, "d1", true)
 	for range 8 {
-		require.Equal(t, "d0", pick(t, c, start, Want{}).Domain)
+		require.Equal(t, "d0", pick(t, c, start, Requirements{}).Domain)
 	}
-	_, ok := c.Pick(start, Want{Service: "s"})
+	_, ok := c.Pick(start, Requirements{Service: "s"})
 	require.False(t, ok, "waiting for a slot is better than being sent where nobody answers")
 	c.SetDomainSilent(start, "d1", false)
-	require.Equal(t, "d1", pick(t, c, start, Want{}).Domain)
+	require.Equal(t, "d1", pick(t, c, start, Requirements{}).Domain)
 }
 
 // Only the instances of the other domain are cut off. Its targets answer a probe
@@ -152,20 +152,20 @@
 	c := fleet(2, 1)
 	c.SetDomainSilent(start, "d1", true)
 	later := after(time.Second)
-	probe := pick(t, c, later, Want{Repeatable: true, Exclude: []string{"t0-0"}})
+	probe := pick(t, c, later, Requirements{Repeatable: true, Exclude: []string{"t0-0"}})
 	require.Equal(t, "d1", probe.Domain)
 	c.Done(later, probe, Served)
 	seen := map[string]int{}
 	for range 16 {
-		seen[pick(t, c, later, Want{}).Domain]++
+		seen[pick(t, c, later, Requirements{}).Domain]++
 	}
 	require.Equal(t, map[string]int{"d0": 8, "d1": 8}, seen)
 }
 
 func TestReplacedTargetGetsNothingMore(t *testing.T) {
 	c := fleet(1, 1)
-	c.Done(start, pick(t, c, start, Want{}), Replaced)
-	_, ok := c.Pick(start, Want{Service: "s"})
+	c.Done(start, pick(t, c, start, Requirements{}), Replaced)
+	_, ok := c.Pick(start, Requirements{Service: "s"})
 	require.False(t, ok)
 	require.False(t, c.Known("s"))
 }
@@ -174,11 +174,11 @@
 // keep requests from the new one.
 func TestNewLifeOfATargetStartsEmpty(t *testing.T) {
 	c := fleet(1, 1)
-	old := pick(t, c, start, Want{})
+	old := pick(t, c, start, Requirements{})
 	c.SetTargets([]roster.Target{{ID: "t0-0", Service: "s", Domain: "d0", Address: "10.0.0.0:1", Slots: 8, Started: 5}})
-	require.Zero(t, pick(t, c, start, Want{}).Busy)
+	require.Zero(t, pick(t, c, start, Requirements{}).Busy)
 	c.Done(start, old, Broken)
-	require.Equal(t, 1, pick(t, c, start, Want{}).Busy)
+	require.Equal(t, 1, pick(t, c, start, Requirements{}).Busy)
 }
 
 // What other instances have at the targets is counted as they tell it. However they
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -80,7 +80,7 @@
 // Place chooses a target for an online request and counts it there until Done.
 // While all are full it waits; it fails if none is known, or if the patience or
 // ctx ends. It is for the times when no broker answers.
-func (p *Placer) Place(ctx context.Context, want Want, patience Patience) (Choice, bool) {
+func (p *Placer) Place(ctx context.Context, want Requirements, patience Patience) (Choice, bool) {
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
@@ -108,7 +108,7 @@
 
 // Pick chooses a target and counts the request there until Done. It fails if none
 // is known or all are full.
-func (p *Placer) Pick(want Want) (Choice, bool) {
+func (p *Placer) Pick(want Requirements) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Pick(time.Now(), want)
@@ -145,7 +145,7 @@
 
 // Distrusted gives the targets that a request should not go to, unless there is
 // no other: then none are given, and each may be tried.
-func (p *Placer) Distrusted(want Want) []string {
+func (p *Placer) Distrusted(want Requirements) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Distrusted(time.Now(), want)
--- a/internal/coordination/routed/placement/warmup_test.go
+++ b/internal/coordination/routed/placement/warmup_test.go
@@ -30,7 +30,7 @@
 		c := warming(true)
 		count := 0
 		for now := start; now.Before(after(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
-			if choice, ok := c.Pick(now, Want{Service: "s", Batch: batch, Exclude: []string{"warm"}}); ok {
+			if choice, ok := c.Pick(now, Requirements{Service: "s", Batch: batch, Exclude: []string{"warm"}}); ok {
 				count++
 				c.Done(now, choice, Served)
 			}
@@ -45,9 +45,9 @@
 func TestOnlyWhoDecidesForAllSendsToWarmingTargets(t *testing.T) {
 	c := warming(false)
 	for range 8 {
-		require.Equal(t, "warm", pick(t, c, start, Want{}).ID)
+		require.Equal(t, "warm", pick(t, c, start, Requirements{}).ID)
 	}
-	_, ok := c.Pick(start, Want{Service: "s"})
+	_, ok := c.Pick(start, Requirements{Service: "s"})
 	require.False(t, ok, "not even if nothing else is free")
 	require.Zero(t, c.Free(start))
 }
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -36,8 +36,8 @@
 // Placer chooses targets.
 type Placer interface {
 	// Place waits for a place, TryPlace does not.
-	Place(context.Context, placement.Want, placement.Patience) (placement.Choice, bool)
-	TryPlace(context.Context, placement.Want) (placement.Choice, bool)
+	Place(context.Context, placement.Requirements, placement.Patience) (placement.Choice, bool)
+	TryPlace(context.Context, placement.Requirements) (placement.Choice, bool)
 	Heard(id string)
 	Done(placement.Choice, placement.Result)
 	Told(choice placement.Choice, load *exchange.Load)
@@ -149,8 +149,8 @@
 	return c.opts.Placer.Place(ctx, c.want(), c.waiting())
 }
 
-func (c *call) want() placement.Want {
-	return placement.Want{Service: c.Service, Run: c.Request.ID, Exclude: slices.Clone(c.tried), Repeatable: c.Route.Repeatable()}
+func (c *call) want() placement.Requirements {
+	return placement.Requirements{Service: c.Service, Run: c.Request.ID, Exclude: slices.Clone(c.tried), Repeatable: c.Route.Repeatable()}
 }
 
 // waiting says how long the request may wait for a place.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -38,7 +38,7 @@
 type fleet struct {
 	steps []step
 	sent  []exchange.Dispatch
-	wants []placement.Want
+	wants []placement.Requirements
 	done  []placement.Result
 	// full says that no target has a place, unknown that none is known.
 	full, unknown bool
@@ -59,7 +59,7 @@
 
 func (f *fleet) Forget(string) {}
 
-func (f *fleet) Place(ctx context.Context, want placement.Want, patience placement.Patience) (placement.Choice, bool) {
+func (f *fleet) Place(ctx context.Context, want placement.Requirements, patience placement.Patience) (placement.Choice, bool) {
 	f.wants = append(f.wants, want)
 	if f.unknown {
 		return placement.Choice{}, false
@@ -77,7 +77,7 @@
 	return placement.Choice{Target: roster.Target{ID: id, Address: id + ":1"}}, true
 }
 
-func (f *fleet) TryPlace(context.Context, placement.Want) (placement.Choice, bool) {
+func (f *fleet) TryPlace(context.Context, placement.Requirements) (placement.Choice, bool) {
 	return placement.Choice{}, false
 }
 func (f *fleet) Heard(string)                                     {}
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -34,7 +34,7 @@
 	call   *call
 	choice placement.Choice
 	// want is what another target would be chosen for, if that is allowed.
-	want    placement.Want
+	want    placement.Requirements
 	mayMove bool
 
 	mu      sync.Mutex
--- a/internal/policybench/slots/play.go
+++ b/internal/policybench/slots/play.go
@@ -289,6 +289,6 @@
 	return out
 }
 
-func onlineWant() placement.Want { return placement.Want{Service: service} }
+func onlineWant() placement.Requirements { return placement.Requirements{Service: service} }
 
-func itemWant() placement.Want { return placement.Want{Service: service, Batch: true} }
+func itemWant() placement.Requirements { return placement.Requirements{Service: service, Batch: true} }
