--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -118,7 +118,7 @@
 // Place chooses a target for an online request and counts it there until Done.
 // While all are full it waits; it fails if none is known, or if the patience or
 // ctx ends.
-func (c *Client) Place(ctx context.Context, want placement.Requirements, patience placement.Patience) (placement.Choice, bool) {
+func (c *Client) Place(ctx context.Context, want placement.Requirements, patience placement.WaitLimits) (placement.Choice, bool) {
 	began := time.Now()
 	waitAt := ""
 	for {
@@ -145,7 +145,7 @@
 // tryAll asks the brokers of all domains, the own one first. It also gives the
 // first domain whose broker answered. Domains that had no slot a moment ago are
 // left out of a second round.
-func (c *Client) tryAll(ctx context.Context, want placement.Requirements, patience placement.Patience, began time.Time, again bool) (placement.Choice, string) {
+func (c *Client) tryAll(ctx context.Context, want placement.Requirements, patience placement.WaitLimits, began time.Time, again bool) (placement.Choice, string) {
 	answered := ""
 	for _, name := range c.order(want) {
 		if again && name != c.opts.Self.Domain && c.knownFull(name) {
@@ -163,7 +163,7 @@
 }
 
 // ask asks the broker of one domain for one slot. It is not ok if none answers.
-func (c *Client) ask(ctx context.Context, name string, want placement.Requirements, patience placement.Patience, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
+func (c *Client) ask(ctx context.Context, name string, want placement.Requirements, patience placement.WaitLimits, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
 	now := time.Now()
 	ask := &Ask{
 		Domain: name, Want: want, Wait: wait,
@@ -347,7 +347,7 @@
 // for none.
 func (c *Client) TryPlace(ctx context.Context, want placement.Requirements) (placement.Choice, bool) {
 	now := time.Now()
-	choice, answered := c.tryAll(ctx, want, placement.Patience{OnTimeUntil: now, Until: now}, now, false)
+	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{OnTimeUntil: now, Until: now}, now, false)
 	if choice.ID == "" && answered == "" {
 		return c.opts.Local.Pick(want)
 	}
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -69,8 +69,8 @@
 	return p.core.Held()
 }
 
-// Patience says how long a request may wait for a place.
-type Patience struct {
+// WaitLimits says how long a request may wait for a place.
+type WaitLimits struct {
 	// OnTimeUntil is when the request must be sent for its answer to be on time.
 	OnTimeUntil time.Time
 	// Until is when waiting has no use any more.
@@ -80,7 +80,7 @@
 // Place chooses a target for an online request and counts it there until Done.
 // While all are full it waits; it fails if none is known, or if the patience or
 // ctx ends. It is for the times when no broker answers.
-func (p *Placer) Place(ctx context.Context, want Requirements, patience Patience) (Choice, bool) {
+func (p *Placer) Place(ctx context.Context, want Requirements, patience WaitLimits) (Choice, bool) {
 	ticker := time.NewTicker(lookEvery)
 	defer ticker.Stop()
 	for {
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -36,7 +36,7 @@
 // Placer chooses targets.
 type Placer interface {
 	// Place waits for a place, TryPlace does not.
-	Place(context.Context, placement.Requirements, placement.Patience) (placement.Choice, bool)
+	Place(context.Context, placement.Requirements, placement.WaitLimits) (placement.Choice, bool)
 	TryPlace(context.Context, placement.Requirements) (placement.Choice, bool)
 	Heard(id string)
 	Done(placement.Choice, placement.Result)
@@ -154,13 +154,13 @@
 }
 
 // waiting says how long the request may wait for a place.
-func (c *call) waiting() placement.Patience {
+func (c *call) waiting() placement.WaitLimits {
 	onTime := c.Began.Add(c.Route.Objective - answerTime)
 	if c.begun {
 		// A stream that goes on must do so before its pause is too long.
 		onTime = time.Now().Add(c.gapLimit())
 	}
-	return placement.Patience{OnTimeUntil: onTime, Until: c.Began.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.Began))))}
+	return placement.WaitLimits{OnTimeUntil: onTime, Until: c.Began.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.Began))))}
 }
 
 // giveBack gives a target back that was found too late to be needed.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -59,7 +59,7 @@
 
 func (f *fleet) Forget(string) {}
 
-func (f *fleet) Place(ctx context.Context, want placement.Requirements, patience placement.Patience) (placement.Choice, bool) {
+func (f *fleet) Place(ctx context.Context, want placement.Requirements, patience placement.WaitLimits) (placement.Choice, bool) {
 	f.wants = append(f.wants, want)
 	if f.unknown {
 		return placement.Choice{}, false
