--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -167,7 +167,7 @@
 	now := time.Now()
 	ask := &Ask{
 		Domain: name, Want: want, Wait: wait,
-		OnTimeIn: patience.OnTimeUntil.Sub(now), Age: now.Sub(began),
+		OnTimeIn: patience.SendBy.Sub(now), Age: now.Sub(began),
 	}
 	return c.send(ctx, ask)
 }
@@ -347,7 +347,7 @@
 // for none.
 func (c *Client) TryPlace(ctx context.Context, want placement.Requirements) (placement.Choice, bool) {
 	now := time.Now()
-	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{OnTimeUntil: now, Until: now}, now, false)
+	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{SendBy: now, Until: now}, now, false)
 	if choice.ID == "" && answered == "" {
 		return c.opts.Local.Pick(want)
 	}
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -71,8 +71,8 @@
 
 // WaitLimits says how long a request may wait for a place.
 type WaitLimits struct {
-	// OnTimeUntil is when the request must be sent for its answer to be on time.
-	OnTimeUntil time.Time
+	// SendBy is when the request must be sent for its answer to be on time.
+	SendBy time.Time
 	// Until is when waiting has no use any more.
 	Until time.Time
 }
