--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -131,7 +131,7 @@
 			return c.opts.Local.Place(ctx, want, patience)
 		}
 		waitAt = answered
-		left := time.Until(patience.Until)
+		left := time.Until(patience.Deadline)
 		if left <= 0 || ctx.Err() != nil {
 			return placement.Choice{}, false
 		}
@@ -347,7 +347,7 @@
 // for none.
 func (c *Client) TryPlace(ctx context.Context, want placement.Requirements) (placement.Choice, bool) {
 	now := time.Now()
-	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{SendBy: now, Until: now}, now, false)
+	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{SendBy: now, Deadline: now}, now, false)
 	if choice.ID == "" && answered == "" {
 		return c.opts.Local.Pick(want)
 	}
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -73,8 +73,8 @@
 type WaitLimits struct {
 	// SendBy is when the request must be sent for its answer to be on time.
 	SendBy time.Time
-	// Until is when waiting has no use any more.
-	Until time.Time
+	// Deadline is when waiting has no use any more.
+	Deadline time.Time
 }
 
 // Place chooses a target for an online request and counts it there until Done.
@@ -87,7 +87,7 @@
 		if choice, ok := p.Pick(want); ok {
 			return choice, true
 		}
-		if !p.Known(want.Service) || !time.Now().Before(patience.Until) {
+		if !p.Known(want.Service) || !time.Now().Before(patience.Deadline) {
 			return Choice{}, false
 		}
 		select {
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -160,7 +160,7 @@
 		// A stream that goes on must do so before its pause is too long.
 		onTime = time.Now().Add(c.gapLimit())
 	}
-	return placement.WaitLimits{SendBy: onTime, Until: c.Began.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.Began))))}
+	return placement.WaitLimits{SendBy: onTime, Deadline: c.Began.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.Began))))}
 }
 
 // giveBack gives a target back that was found too late to be needed.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -65,7 +65,7 @@
 		return placement.Choice{}, false
 	}
 	if f.full {
-		timer := time.NewTimer(time.Until(patience.Until))
+		timer := time.NewTimer(time.Until(patience.Deadline))
 		defer timer.Stop()
 		select {
 		case <-timer.C:
