--- a/internal/coordination/routed/mesh/beat.go
+++ b/internal/coordination/routed/mesh/beat.go
@@ -42,7 +42,7 @@
 	// StoreAge is the time since the platform's store answered this instance.
 	StoreAge time.Duration
 	// Held is what the instance has at targets.
-	Held []placement.Held
+	Held []placement.InFlight
 	// Admitted are the requests that it let in: all counts if Whole, else those
 	// that changed since the last message.
 	Admitted quota.Counts
--- a/internal/coordination/routed/mesh/bench_test.go
+++ b/internal/coordination/routed/mesh/bench_test.go
@@ -36,7 +36,7 @@
 	go func() { _ = server.Serve(b.Context()) }()
 	beat := Beat{From: instance("a", 2), Admitted: local.own, Informed: true, Partitions: []int{1, 2}}
 	for i := range 10 {
-		beat.Held = append(beat.Held, placement.Held{Target: fmt.Sprint("i-9c9397eba", i), Online: 2, Batch: 1})
+		beat.Held = append(beat.Held, placement.InFlight{Target: fmt.Sprint("i-9c9397eba", i), Online: 2, Batch: 1})
 	}
 	for b.Loop() {
 		beat.Seq++
--- a/internal/coordination/routed/placement/core.go
+++ b/internal/coordination/routed/placement/core.go
@@ -58,11 +58,11 @@
 	// silent are the failure domains whose instances are all silent.
 	silent map[string]bool
 	// peers are the counts that other instances told last.
-	peers map[string][]Held
+	peers map[string][]InFlight
 }
 
-// Held is what an instance has at a target.
-type Held struct {
+// InFlight is what an instance has at a target.
+type InFlight struct {
 	Target        string
 	Online, Batch int
 }
@@ -109,7 +109,7 @@
 
 // New returns a core that knows no target.
 func New(opts Options) *Core {
-	return &Core{opts: opts, targets: map[string]*target{}, silent: map[string]bool{}, peers: map[string][]Held{}}
+	return &Core{opts: opts, targets: map[string]*target{}, silent: map[string]bool{}, peers: map[string][]InFlight{}}
 }
 
 // SetTargets takes over the targets that may be used. Counts of those that stay
@@ -182,7 +182,7 @@
 
 // SetPeer takes over what another instance has at the targets. Nothing forgets
 // the instance.
-func (c *Core) SetPeer(name string, held []Held) {
+func (c *Core) SetPeer(name string, held []InFlight) {
 	c.countPeer(c.peers[name], -1)
 	c.countPeer(held, 1)
 	if len(held) == 0 {
@@ -205,7 +205,7 @@
 // countPeer adds what one instance has to the counts of the targets, or takes it off
 // with a factor of -1. A message comes many times a second from each instance of a
 // fleet, so it must not count anew what all of them have.
-func (c *Core) countPeer(held []Held, factor int) {
+func (c *Core) countPeer(held []InFlight, factor int) {
 	for _, h := range held {
 		if t := c.targets[h.Target]; t != nil {
 			t.elsewhereOnline += factor * h.Online
@@ -215,11 +215,11 @@
 }
 
 // Held gives what this instance has at the targets.
-func (c *Core) Held() []Held {
-	var out []Held
+func (c *Core) Held() []InFlight {
+	var out []InFlight
 	for id, t := range c.targets {
 		if t.online+t.batch > 0 {
-			out = append(out, Held{Target: id, Online: t.online, Batch: t.batch})
+			out = append(out, InFlight{Target: id, Online: t.online, Batch: t.batch})
 		}
 	}
 	return out
--- a/internal/coordination/routed/placement/core_test.go
+++ b/internal/coordination/routed/placement/core_test.go
@@ -52,7 +52,7 @@
 
 func TestCountsOfOtherInstancesCount(t *testing.T) {
 	c := fleet(1, 2)
-	c.SetPeer("other", []Held{{Target: "t0-0", Online: 7}})
+	c.SetPeer("other", []InFlight{{Target: "t0-0", Online: 7}})
 	for range 6 {
 		require.Equal(t, "t0-1", pick(t, c, start, Requirements{}).ID)
 	}
@@ -73,7 +73,7 @@
 // can give way, and says so; an item finds no place.
 func TestOnlineGoesWhereBatchGivesWay(t *testing.T) {
 	c := fleet(1, 2)
-	c.SetPeer("other", []Held{{Target: "t0-1", Batch: 2}})
+	c.SetPeer("other", []InFlight{{Target: "t0-1", Batch: 2}})
 	for range 14 {
 		require.False(t, pick(t, c, start, Requirements{}).Crowded)
 	}
@@ -187,7 +187,7 @@
 func TestCountsOfOthersAreThoseOfTheirLastMessages(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 9))
 	core := New(Options{Domain: "d", Random: random})
-	told := map[string][]Held{}
+	told := map[string][]InFlight{}
 	for range 500 {
 		var list []roster.Target
 		for i := range random.IntN(4) {
@@ -199,7 +199,7 @@
 		name := fmt.Sprint("n", random.IntN(3))
 		told[name] = nil
 		for i := range random.IntN(4) {
-			told[name] = append(told[name], Held{Target: fmt.Sprint("t", i), Online: random.IntN(5), Batch: random.IntN(5)})
+			told[name] = append(told[name], InFlight{Target: fmt.Sprint("t", i), Online: random.IntN(5), Batch: random.IntN(5)})
 		}
 		core.SetPeer(name, told[name])
 		for id, target := range core.targets {
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -56,14 +56,14 @@
 }
 
 // SetPeer takes over what another instance has at the targets.
-func (p *Placer) SetPeer(name string, held []Held) {
+func (p *Placer) SetPeer(name string, held []InFlight) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetPeer(name, held)
 }
 
 // Held gives what this instance has at the targets.
-func (p *Placer) Held() []Held {
+func (p *Placer) Held() []InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.Held()
