--- a/internal/coordination/routed/placement/core.go
+++ b/internal/coordination/routed/placement/core.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// Held gives what this instance has at the targets.
-func (c *Core) Held() []InFlight {
+// InFlight gives what this instance has at the targets.
+func (c *Core) InFlight() []InFlight {
 	var out []InFlight
 	for id, t := range c.targets {
 		if t.online+t.batch > 0 {
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -66,7 +66,7 @@
 func (p *Placer) Held() []InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.core.Held()
+	return p.core.InFlight()
 }
 
 // WaitLimits says how long a request may wait for a place.
--- a/internal/policybench/slots/counted.go
+++ b/internal/policybench/slots/counted.go
@@ -45,7 +45,7 @@
 
 func (c *counted) tell() {
 	for i, from := range c.cores {
-		held := from.Held()
+		held := from.InFlight()
 		c.clock.After(farHop, func() {
 			for j, to := range c.cores {
 				if i != j {
