--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -41,7 +41,7 @@
 
 // used counts what this instance has at all targets.
 func (p *Placer) used() (online, batch int) {
-	for _, h := range p.Held() {
+	for _, h := range p.InFlight() {
 		online += h.Online
 		batch += h.Batch
 	}
@@ -62,8 +62,8 @@
 	p.core.SetPeer(name, held)
 }
 
-// Held gives what this instance has at the targets.
-func (p *Placer) Held() []InFlight {
+// InFlight gives what this instance has at the targets.
+func (p *Placer) InFlight() []InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.InFlight()
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -20,7 +20,7 @@
 func (l *local) Describe(beat *mesh.Beat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
-	beat.Held = l.placer.Held()
+	beat.Held = l.placer.InFlight()
 	beat.Admitted = l.meter.Own()
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
