--- a/internal/coordination/routed/broker/book.go
+++ b/internal/coordination/routed/broker/book.go
@@ -237,7 +237,7 @@
 		return Grant{}, nil, false
 	}
 	h.Target, h.Batch, h.Run = choice.ID, want.Batch, want.Run
-	if choice.Crowded {
+	if choice.MustPreempt {
 		yields = b.lastDue(choice.ID)
 	}
 	if yields != nil {
--- a/internal/coordination/routed/placement/core.go
+++ b/internal/coordination/routed/placement/core.go
@@ -94,9 +94,9 @@
 // Choice is a target that was chosen, with the request counted there.
 type Choice struct {
 	roster.Target
-	// Crowded says that all slots were taken when it was chosen and that batch
+	// MustPreempt says that all slots were taken when it was chosen and that batch
 	// items hold some of them.
-	Crowded bool
+	MustPreempt bool
 	// Busy and Slots are what the choice was made by, Unseen the part of Busy that
 	// no instance tells of now.
 	Busy, Unseen, Slots int
@@ -239,7 +239,7 @@
 	busy := best.busy(now)
 	choice := Choice{
 		Target: best.Target, Busy: busy, Unseen: best.beyond(now), Slots: best.slots, batch: want.Batch,
-		Crowded: !want.Batch && busy >= best.slots && best.batches() > 0,
+		MustPreempt: !want.Batch && busy >= best.slots && best.batches() > 0,
 	}
 	best.take(want.Batch)
 	best.begins(now)
--- a/internal/coordination/routed/placement/core_test.go
+++ b/internal/coordination/routed/placement/core_test.go
@@ -75,11 +75,11 @@
 	c := fleet(1, 2)
 	c.SetPeer("other", []InFlight{{Target: "t0-1", Batch: 2}})
 	for range 14 {
-		require.False(t, pick(t, c, start, Requirements{}).Crowded)
+		require.False(t, pick(t, c, start, Requirements{}).MustPreempt)
 	}
 	choice := pick(t, c, start, Requirements{})
 	require.Equal(t, "t0-1", choice.ID)
-	require.True(t, choice.Crowded)
+	require.True(t, choice.MustPreempt)
 	_, ok := c.Pick(start, Requirements{Service: "s", Batch: true})
 	require.False(t, ok)
 }
--- a/internal/policybench/slots/counted.go
+++ b/internal/policybench/slots/counted.go
@@ -64,7 +64,7 @@
 	choice, ok := c.cores[n.number].Pick(c.clock.Now(), onlineWant())
 	switch {
 	case ok:
-		if choice.Crowded {
+		if choice.MustPreempt {
 			c.takeBack(n, choice.ID)
 		}
 		granted(c.slot(n, choice), true)
