--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -128,7 +128,7 @@
 	began, from := time.Now(), t.position
 	how, result, err := t.exchange(ctx, choice, stall)
 	if silent.Load() {
-		how, result = broken, placement.Silent
+		how, result = broken, placement.TimedOut
 	}
 	t.hasWorked(time.Since(began))
 	opts.Placer.Done(choice, result)
--- a/internal/coordination/routed/placement/result.go
+++ b/internal/coordination/routed/placement/result.go
@@ -16,15 +16,15 @@
 	Unreachable
 	// Broken: the connection ended before the whole answer was there.
 	Broken
-	// Silent: the target did not go on in time, and was left.
-	Silent
+	// TimedOut: the target did not go on in time, and was left.
+	TimedOut
 	// Left: the exchange was ended from this side for a reason that says
 	// nothing about the target.
 	Left
 )
 
 // Failure says that the target did not answer, or not to the end.
-func (r Result) Failure() bool { return r == Unreachable || r == Broken || r == Silent }
+func (r Result) Failure() bool { return r == Unreachable || r == Broken || r == TimedOut }
 
 // fullFor is how long a target that refused counts as full: about the time until one
 // of its slots comes free.
@@ -52,7 +52,7 @@
 		t.health.bad(now, strikesToAvoid)
 	case Broken:
 		t.health.bad(now, 1)
-	case Silent:
+	case TimedOut:
 		t.health.bad(now, strikesToAvoid)
 	case Left:
 	}
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -114,7 +114,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clear != nil {
-		return placement.Silent
+		return placement.TimedOut
 	}
 	if w.next != nil {
 		return placement.Left
