--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -80,7 +80,7 @@
 	defer r.mu.Unlock()
 	t, _ := r.first(time.Now(), service)
 	if t == nil {
-		go r.opts.Placer.Done(choice, placement.Left)
+		go r.opts.Placer.Done(choice, placement.Cancelled)
 		return
 	}
 	r.unqueue(t)
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			return left, placement.Left, err
+			return left, placement.Cancelled, err
 		case errors.Is(err, external.ErrNotSent):
 			return refused, placement.Unreachable, err
 		default:
@@ -247,7 +247,7 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return left, placement.Left, err
+				return left, placement.Cancelled, err
 			}
 			return broken, placement.Broken, err
 		}
--- a/internal/coordination/routed/placement/result.go
+++ b/internal/coordination/routed/placement/result.go
@@ -18,9 +18,9 @@
 	Broken
 	// TimedOut: the target did not go on in time, and was left.
 	TimedOut
-	// Left: the exchange was ended from this side for a reason that says
+	// Cancelled: the exchange was ended from this side for a reason that says
 	// nothing about the target.
-	Left
+	Cancelled
 )
 
 // Failure says that the target did not answer, or not to the end.
@@ -54,7 +54,7 @@
 		t.health.bad(now, 1)
 	case TimedOut:
 		t.health.bad(now, strikesToAvoid)
-	case Left:
+	case Cancelled:
 	}
 	if !t.listed && t.online+t.batch == 0 {
 		c.remove(choice.ID)
--- a/internal/coordination/routed/relay/pass.go
+++ b/internal/coordination/routed/relay/pass.go
@@ -36,11 +36,11 @@
 		return finish
 	}
 	if c.ended(ctx) {
-		c.opts.Placer.Done(choice, watch.result(placement.Left))
+		c.opts.Placer.Done(choice, watch.result(placement.Cancelled))
 		return finish
 	}
 	if errors.Is(err, errCallerGone) {
-		c.opts.Placer.Done(choice, placement.Left)
+		c.opts.Placer.Done(choice, placement.Cancelled)
 		c.outcome.Reason = CallerLeft
 		return finish
 	}
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -166,7 +166,7 @@
 // giveBack gives a target back that was found too late to be needed.
 func (c *call) giveBack() {
 	if c.next != nil {
-		c.opts.Placer.Done(*c.next, placement.Left)
+		c.opts.Placer.Done(*c.next, placement.Cancelled)
 		c.next = nil
 	}
 }
@@ -246,7 +246,7 @@
 		c.outcome.Runs++
 	}
 	if ended := c.ended(ctx); ended {
-		c.opts.Placer.Done(choice, watch.result(placement.Left))
+		c.opts.Placer.Done(choice, watch.result(placement.Cancelled))
 		return finish
 	}
 	if notSent {
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -89,7 +89,7 @@
 	case !found:
 		w.timer.Reset(againEvery)
 	case w.stopped:
-		go w.call.opts.Placer.Done(choice, placement.Left)
+		go w.call.opts.Placer.Done(choice, placement.Cancelled)
 	default:
 		w.next = &choice
 		w.cancel()
@@ -117,7 +117,7 @@
 		return placement.TimedOut
 	}
 	if w.next != nil {
-		return placement.Left
+		return placement.Cancelled
 	}
 	return otherwise
 }
