--- a/internal/coordination/routed/broker/telling.go
+++ b/internal/coordination/routed/broker/telling.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// First says that this instance is the broker of its failure domain.
-func (c *Client) First() bool {
+// IsBroker says that this instance is the broker of its failure domain.
+func (c *Client) IsBroker() bool {
 	addresses := c.Brokers(c.opts.Self.Domain)
 	return len(addresses) > 0 && addresses[0] == c.opts.Self.Address
 }
@@ -75,7 +75,7 @@
 // Leads says that this instance is the broker of its failure domain for more than half of
 // the instances there. There is only one such.
 func (c *Client) Leads() bool {
-	if !c.First() {
+	if !c.IsBroker() {
 		return false
 	}
 	own := c.opts.Self.Domain
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		Follows: func() bool { return d.mesh.Follows() && !d.slots.First() },
+		Follows: func() bool { return d.mesh.Follows() && !d.slots.IsBroker() },
 	})
 }
 
@@ -210,7 +210,7 @@
 	d.tree.Add(d.broker)
 	d.tree.Add(d.slots)
 	d.tree.Add(&broker.Sweeper{
-		Broker: d.broker, First: d.slots.First, Targets: d.targets, Orphans: d.desk.Orphans, Logger: d.logger,
+		Broker: d.broker, First: d.slots.IsBroker, Targets: d.targets, Orphans: d.desk.Orphans, Logger: d.logger,
 	})
 	d.tree.Add(&broker.Checker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
 	d.tree.Add(d.runner)
