--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -164,13 +164,13 @@
 	weaker := mesh.Instance{Name: "b", Domain: "d", Address: "10.0.0.2:1"}
 	peers := &crowd{up: []mesh.Instance{weaker}, alive: 1}
 	c := NewClient(ClientOptions{Self: own, Peers: peers, Broker: newTestBroker(1), Logger: log.NewNopLogger()})
-	require.True(t, c.Leads())
+	require.True(t, c.IsSoleBroker())
 	peers.alive = 2
-	require.True(t, c.Leads(), "two of three")
+	require.True(t, c.IsSoleBroker(), "two of three")
 	peers.alive = 3
-	require.False(t, c.Leads(), "two of four")
+	require.False(t, c.IsSoleBroker(), "two of four")
 	stronger := weaker
 	stronger.Strength = 10
 	c = NewClient(ClientOptions{Self: own, Peers: &crowd{up: []mesh.Instance{stronger}, alive: 1}, Broker: newTestBroker(1), Logger: log.NewNopLogger()})
-	require.False(t, c.Leads(), "another one is the broker")
+	require.False(t, c.IsSoleBroker(), "another one is the broker")
 }
--- a/internal/coordination/routed/broker/telling.go
+++ b/internal/coordination/routed/broker/telling.go
@@ -72,9 +72,9 @@
 	return len(addresses) > 0 && addresses[0] == c.opts.Self.Address
 }
 
-// Leads says that this instance is the broker of its failure domain for more than half of
+// IsSoleBroker says that this instance is the broker of its failure domain for more than half of
 // the instances there. There is only one such.
-func (c *Client) Leads() bool {
+func (c *Client) IsSoleBroker() bool {
 	if !c.IsBroker() {
 		return false
 	}
