--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -70,9 +70,9 @@
 	return b
 }
 
-// SetLeads gives what says whether this is the only broker of its domain. It must come
+// SetIsSoleBroker gives what says whether this is the only broker of its domain. It must come
 // before anything is asked.
-func (b *Broker) SetLeads(leads func() bool) { b.leads = leads }
+func (b *Broker) SetIsSoleBroker(leads func() bool) { b.leads = leads }
 
 // alone says that no other broker of the domain gives slots. It needs the lock.
 //
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -149,7 +149,7 @@
 		Self: d.self, Peers: d.mesh, Caller: d.calls, Broker: d.broker, Local: d.placer,
 		Connected: d.targets.Connected, Logger: d.logger,
 	})
-	d.broker.SetLeads(d.slots.IsSoleBroker)
+	d.broker.SetIsSoleBroker(d.slots.IsSoleBroker)
 }
 
 func (d *Daemon) joinJobs() {
