--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// Silent notes that an instance is not heard.
-func (b *Broker) Silent(instance string) {
+// InstanceSilent notes that an instance is not heard.
+func (b *Broker) InstanceSilent(instance string) {
 	b.change(func(now time.Time) {
 		b.allotter.Silent(now, instance)
 		b.beginSweep(now)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -71,7 +71,7 @@
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
-	l.broker.Silent(i.Name)
+	l.broker.InstanceSilent(i.Name)
 	l.calls.Forget(i.Address)
 }
 
