--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// Gone drops the holds of an instance whose process is not there.
-func (b *Broker) Gone(instance string) {
+// InstanceDown drops the holds of an instance whose process is not there.
+func (b *Broker) InstanceDown(instance string) {
 	b.change(func(now time.Time) {
 		b.allotter.Gone(instance)
 		b.beginSweep(now)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -78,7 +78,7 @@
 // PeerGone implements mesh.Local.
 func (l *local) PeerGone(name string) {
 	l.placer.SetPeer(name, nil)
-	l.broker.Gone(name)
+	l.broker.InstanceDown(name)
 	l.meter.Gone(name)
 }
 
