--- a/internal/coordination/routed/broker/sweeper.go
+++ b/internal/coordination/routed/broker/sweeper.go
@@ -31,8 +31,8 @@
 type Sweeper struct {
 	// Broker knows who holds what.
 	Broker *Broker
-	// First says that this instance is the domain's broker.
-	First   func() bool
+	// IsBroker says that this instance is the domain's broker.
+	IsBroker   func() bool
 	Targets external.Inspector
 	// Orphans gives those of some runs that the holders of their items say nobody reads.
 	Orphans func(ctx context.Context, runs []TargetRun) []TargetRun
@@ -49,7 +49,7 @@
 func (s *Sweeper) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := sweepIdle
-		if s.Broker.Sweeping(time.Now()) && s.First() {
+		if s.Broker.Sweeping(time.Now()) && s.IsBroker() {
 			s.sweep(ctx)
 			pause = sweepEvery
 		}
