--- a/internal/coordination/routed/broker/sweeper.go
+++ b/internal/coordination/routed/broker/sweeper.go
@@ -34,8 +34,8 @@
 	// IsBroker says that this instance is the domain's broker.
 	IsBroker   func() bool
 	Targets external.Inspector
-	// Orphans gives those of some runs that the holders of their items say nobody reads.
-	Orphans func(ctx context.Context, runs []TargetRun) []TargetRun
+	// FilterOrphans gives those of some runs that the holders of their items say nobody reads.
+	FilterOrphans func(ctx context.Context, runs []TargetRun) []TargetRun
 	Logger  log.Logger
 }
 
@@ -92,7 +92,7 @@
 	if len(runs) == 0 {
 		return
 	}
-	for _, run := range s.Orphans(ctx, runs) {
+	for _, run := range s.FilterOrphans(ctx, runs) {
 		if o, ok := s.Broker.OrphanOf(run); ok {
 			go s.end(ctx, o, "item_elsewhere")
 		}
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -210,7 +210,7 @@
 	d.tree.Add(d.broker)
 	d.tree.Add(d.slots)
 	d.tree.Add(&broker.Sweeper{
-		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, Orphans: d.desk.Orphans, Logger: d.logger,
+		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, FilterOrphans: d.desk.Orphans, Logger: d.logger,
 	})
 	d.tree.Add(&broker.Checker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
 	d.tree.Add(d.runner)
