--- a/internal/coordination/routed/broker/checker.go
+++ b/internal/coordination/routed/broker/checker.go
@@ -23,18 +23,18 @@
 
 var checked = metrics.NewCounter(`target_checks_total`)
 
-// Checker asks targets how they are that may have started anew. It is a duty.
-type Checker struct {
+// HealthChecker asks targets how they are that may have started anew. It is a duty.
+type HealthChecker struct {
 	Broker  *Broker
 	Targets external.HealthChecker
 	Logger  log.Logger
 }
 
 // String names the duty.
-func (c *Checker) String() string { return "checker" }
+func (c *HealthChecker) String() string { return "checker" }
 
 // Serve asks until ctx ends.
-func (c *Checker) Serve(ctx context.Context) error {
+func (c *HealthChecker) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		due, open := c.Broker.checkups(time.Now())
 		for _, t := range due {
@@ -46,7 +46,7 @@
 }
 
 // await waits until a target is to be asked.
-func (c *Checker) await(ctx context.Context, open bool) {
+func (c *HealthChecker) await(ctx context.Context, open bool) {
 	var again <-chan time.Time
 	if open {
 		timer := time.NewTimer(checkAgain)
@@ -60,7 +60,7 @@
 	}
 }
 
-func (c *Checker) ask(ctx context.Context, t roster.Target) {
+func (c *HealthChecker) ask(ctx context.Context, t roster.Target) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	checked.Inc()
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -212,7 +212,7 @@
 	d.tree.Add(&broker.Sweeper{
 		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, FilterOrphans: d.desk.Orphans, Logger: d.logger,
 	})
-	d.tree.Add(&broker.Checker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
+	d.tree.Add(&broker.HealthChecker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
 	d.tree.Add(d.runner)
 	d.tree.Add(d.keeper)
 	d.tree.Add(d.front)
