--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -175,8 +175,8 @@
 // Item is a batch item that wants a slot.
 type Item struct {
 	Service string
-	// Deadline is when it is due, BeginBy when it must have begun to be done by then.
-	Deadline, BeginBy time.Time
+	// Deadline is when it is due, StartBy when it must have begun to be done by then.
+	Deadline, StartBy time.Time
 	// Lasts is how long a target is busy with it at most.
 	Lasts time.Duration
 }
@@ -191,7 +191,7 @@
 func (c *Client) PlaceItem(ctx context.Context, name string, item Item) (placement.Choice, bool) {
 	ask := &Ask{
 		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: itemWait,
-		OnTimeIn: time.Until(item.BeginBy), Due: item.Deadline.UnixMilli(), Lasts: item.Lasts,
+		OnTimeIn: time.Until(item.StartBy), Due: item.Deadline.UnixMilli(), Lasts: item.Lasts,
 	}
 	choice, answered := c.send(ctx, ask)
 	if answered {
