--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -45,7 +45,7 @@
 	left := r.pace.left(t.events)
 	return broker.Item{
 		Service: service, Deadline: t.job.Due, StartBy: t.job.Due.Add(-left),
-		Lasts: time.Duration(lastsMost * float64(left)),
+		MaxRuntime: time.Duration(lastsMost * float64(left)),
 	}, true
 }
 
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -177,8 +177,8 @@
 	Service string
 	// Deadline is when it is due, StartBy when it must have begun to be done by then.
 	Deadline, StartBy time.Time
-	// Lasts is how long a target is busy with it at most.
-	Lasts time.Duration
+	// MaxRuntime is how long a target is busy with it at most.
+	MaxRuntime time.Duration
 }
 
 // PlaceItem chooses a target of one failure domain for a batch item, and waits a
@@ -191,7 +191,7 @@
 func (c *Client) PlaceItem(ctx context.Context, name string, item Item) (placement.Choice, bool) {
 	ask := &Ask{
 		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: itemWait,
-		OnTimeIn: time.Until(item.StartBy), Due: item.Deadline.UnixMilli(), Lasts: item.Lasts,
+		OnTimeIn: time.Until(item.StartBy), Due: item.Deadline.UnixMilli(), Lasts: item.MaxRuntime,
 	}
 	choice, answered := c.send(ctx, ask)
 	if answered {
