--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -26,7 +26,7 @@
 // enter has one wait and gives what was allotted then.
 func enter(a *Allotter, now time.Time, number uint64, batch bool) []Allotment {
 	a.Enter(now, &Ask{
-		Told: Told{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
+		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
 		Want: placement.Requirements{Service: "s", Batch: batch},
 	})
 	return a.Allot(now)
@@ -50,10 +50,10 @@
 	require.Empty(t, enter(a, calm, 200, true), "no slot is free")
 	// Two of 25 slots stay free.
 	for n := range uint64(2) {
-		a.Tell(calm, Told{Instance: fmt.Sprint("n", n%3), Released: []uint64{n}})
+		a.Tell(calm, HoldReport{Instance: fmt.Sprint("n", n%3), Released: []uint64{n}})
 		require.Empty(t, a.Allot(calm))
 	}
-	a.Tell(calm, Told{Instance: "n2", Released: []uint64{2}})
+	a.Tell(calm, HoldReport{Instance: "n2", Released: []uint64{2}})
 	require.Len(t, a.Allot(calm), 1)
 	require.Len(t, enter(a, calm, 101, false), 1, "requests take the spared slots")
 	require.Empty(t, enter(a, calm, 201, true))
--- a/internal/coordination/routed/broker/book.go
+++ b/internal/coordination/routed/broker/book.go
@@ -87,7 +87,7 @@
 }
 
 // Tell takes over what an instance holds.
-func (b *Book) Tell(now time.Time, told Told) {
+func (b *Book) Tell(now time.Time, told HoldReport) {
 	before, known := b.heard[told.Instance]
 	if known && before.start != told.Start {
 		if before.ended == told.Start {
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -235,7 +235,7 @@
 }
 
 // Tell takes over what an instance holds.
-func (b *Broker) Tell(told *Told) {
+func (b *Broker) Tell(told *HoldReport) {
 	b.change(func(now time.Time) { b.allotter.Tell(now, *told) })
 }
 
@@ -252,7 +252,7 @@
 }
 
 // Tell takes over what the caller holds.
-func (r *Receiver) Tell(args *Told, _ *struct{}) error {
+func (r *Receiver) Tell(args *HoldReport, _ *struct{}) error {
 	r.broker.Tell(args)
 	return nil
 }
--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -24,7 +24,7 @@
 
 func askOf(number uint64, onTimeIn, wait time.Duration) *Ask {
 	return &Ask{
-		Told: Told{Instance: fmt.Sprint("n", number%3)}, Number: number,
+		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number,
 		Want: placement.Requirements{Service: "s"}, OnTimeIn: onTimeIn, Wait: wait,
 	}
 }
@@ -58,7 +58,7 @@
 				}
 				mu.Unlock()
 				<-time.After(work)
-				b.Tell(&Told{Instance: fmt.Sprint("n", number%3), Released: []uint64{number}})
+				b.Tell(&HoldReport{Instance: fmt.Sprint("n", number%3), Released: []uint64{number}})
 			})
 		}
 		callers.Wait()
@@ -79,12 +79,12 @@
 			require.True(t, reply.Granted)
 		})
 		synctest.Wait()
-		items := &Ask{Told: Told{Instance: "n0"}, Number: 7, Want: placement.Requirements{Service: "s", Batch: true}, OnTimeIn: time.Hour}
+		items := &Ask{Told: HoldReport{Instance: "n0"}, Number: 7, Want: placement.Requirements{Service: "s", Batch: true}, OnTimeIn: time.Hour}
 		require.False(t, b.Place(t.Context(), items).Granted)
-		b.Tell(&Told{Instance: "n1", Released: []uint64{1}})
+		b.Tell(&HoldReport{Instance: "n1", Released: []uint64{1}})
 		waiting.Wait()
 		require.False(t, b.Place(t.Context(), items).Granted)
-		b.Tell(&Told{Instance: "n2", Released: []uint64{2}})
+		b.Tell(&HoldReport{Instance: "n2", Released: []uint64{2}})
 		require.True(t, b.Place(t.Context(), items).Granted)
 	})
 }
@@ -96,7 +96,7 @@
 		b := newTestBroker(1)
 		require.True(t, b.Place(t.Context(), askOf(1, time.Second, 0)).Granted)
 		require.False(t, b.Place(t.Context(), askOf(2, time.Second, 100*time.Millisecond)).Granted)
-		b.Tell(&Told{Instance: "n1", Released: []uint64{1}})
+		b.Tell(&HoldReport{Instance: "n1", Released: []uint64{1}})
 		require.True(t, b.Place(t.Context(), askOf(3, time.Second, 0)).Granted)
 	})
 }
@@ -115,17 +115,17 @@
 				number := uint64(10 + i)
 				instance := fmt.Sprint("n", i%2)
 				reply := b.Place(t.Context(), &Ask{
-					Told: Told{Instance: instance}, Number: number, Due: due, OnTimeIn: onTimeIn, Wait: 10 * time.Second,
+					Told: HoldReport{Instance: instance}, Number: number, Due: due, OnTimeIn: onTimeIn, Wait: 10 * time.Second,
 					Want: placement.Requirements{Service: "s", Batch: true},
 				})
 				require.True(t, reply.Granted)
 				order = append(order, due)
 				<-time.After(100 * time.Millisecond)
-				b.Tell(&Told{Instance: instance, Released: []uint64{number}})
+				b.Tell(&HoldReport{Instance: instance, Released: []uint64{number}})
 			})
 		}
 		synctest.Wait()
-		b.Tell(&Told{Instance: "n1", Released: []uint64{1}})
+		b.Tell(&HoldReport{Instance: "n1", Released: []uint64{1}})
 		waiting.Wait()
 		require.Equal(t, []int64{5_000, 7_000, 9_000, 1_000}, order)
 	})
@@ -142,7 +142,7 @@
 		require.True(t, b.Place(t.Context(), ask).Granted)
 		require.True(t, b.Place(t.Context(), askOf(2, time.Second, 0)).Granted)
 		synctest.Wait()
-		b.Tell(&Told{Instance: "n2", Released: []uint64{2}})
+		b.Tell(&HoldReport{Instance: "n2", Released: []uint64{2}})
 		require.False(t, b.Place(t.Context(), askOf(3, time.Second, 0)).Granted)
 	})
 }
--- a/internal/coordination/routed/broker/messages.go
+++ b/internal/coordination/routed/broker/messages.go
@@ -20,8 +20,8 @@
 	Run string
 }
 
-// Told is what an instance says that it holds at the targets of one domain.
-type Told struct {
+// HoldReport is what an instance says that it holds at the targets of one domain.
+type HoldReport struct {
 	Instance string
 	// Start tells the lives of the instance apart.
 	Start int64
@@ -32,6 +32,9 @@
 	Released []uint64
 }
 
+// Told is another name of HoldReport. Ask embeds it, and gob sends the field under this name.
+type Told = HoldReport
+
 // Ask asks for slots of targets of one domain.
 type Ask struct {
 	Told
--- a/internal/coordination/routed/broker/telling.go
+++ b/internal/coordination/routed/broker/telling.go
@@ -106,11 +106,11 @@
 
 // toldOf gives what a broker is told: all that is held in its domain, if it was
 // not told that for a while, and else who asks.
-func (c *Client) toldOf(address, name string, whole bool) Told {
+func (c *Client) toldOf(address, name string, whole bool) HoldReport {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	told := Told{Instance: c.opts.Self.Name, Start: c.opts.Self.Start}
+	told := HoldReport{Instance: c.opts.Self.Name, Start: c.opts.Self.Start}
 	if !whole && now.Sub(c.told[address]) < tellEvery {
 		return told
 	}
@@ -134,7 +134,7 @@
 // message is on its way goes with the next one.
 func (c *Client) release(address string, number uint64) {
 	if address == c.opts.Self.Address {
-		c.opts.Broker.Tell(&Told{Instance: c.opts.Self.Name, Start: c.opts.Self.Start, Released: []uint64{number}})
+		c.opts.Broker.Tell(&HoldReport{Instance: c.opts.Self.Name, Start: c.opts.Self.Start, Released: []uint64{number}})
 		return
 	}
 	c.mu.Lock()
@@ -163,14 +163,14 @@
 		if len(numbers) == 0 {
 			return
 		}
-		told := &Told{Instance: c.opts.Self.Name, Start: c.opts.Self.Start, Released: numbers}
+		told := &HoldReport{Instance: c.opts.Self.Name, Start: c.opts.Self.Start, Released: numbers}
 		if err := c.tell(address, told); err != nil {
 			unanswered.Inc()
 		}
 	}
 }
 
-func (c *Client) tell(address string, told *Told) error {
+func (c *Client) tell(address string, told *HoldReport) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	return c.opts.Caller.Call(ctx, address, methodTell, told, &struct{}{})
