--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -64,7 +64,7 @@
 }
 
 // Enter puts an ask into the line. Allot says what becomes of it.
-func (a *Allotter) Enter(now time.Time, ask *Ask) *Waiter {
+func (a *Allotter) Enter(now time.Time, ask *PlaceRequest) *Waiter {
 	w := &Waiter{
 		instance: ask.Instance, hold: Hold{Number: ask.Number, Due: ask.Due, Lasts: ask.Lasts}, want: ask.Want,
 		onTimeUntil: now.Add(ask.OnTimeIn), arrived: now.Add(-ask.Age),
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -179,7 +179,7 @@
 
 // Place gives a slot to an instance. If there is none, it is kept waiting for one
 // as long as it wants.
-func (b *Broker) Place(ctx context.Context, ask *Ask) Reply {
+func (b *Broker) Place(ctx context.Context, ask *PlaceRequest) Reply {
 	now := time.Now()
 	placed := make(chan Grant, 1)
 	b.mu.Lock()
@@ -246,7 +246,7 @@
 func (b *Broker) Receiver() *Receiver { return &Receiver{broker: b} }
 
 // Place gives slots.
-func (r *Receiver) Place(args *Ask, reply *Reply) error {
+func (r *Receiver) Place(args *PlaceRequest, reply *Reply) error {
 	*reply = r.broker.Place(context.Background(), args)
 	return nil
 }
--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -22,8 +22,8 @@
 	return b
 }
 
-func askOf(number uint64, onTimeIn, wait time.Duration) *Ask {
-	return &Ask{
+func askOf(number uint64, onTimeIn, wait time.Duration) *PlaceRequest {
+	return &PlaceRequest{
 		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number,
 		Want: placement.Requirements{Service: "s"}, OnTimeIn: onTimeIn, Wait: wait,
 	}
@@ -79,7 +79,7 @@
 			require.True(t, reply.Granted)
 		})
 		synctest.Wait()
-		items := &Ask{Told: HoldReport{Instance: "n0"}, Number: 7, Want: placement.Requirements{Service: "s", Batch: true}, OnTimeIn: time.Hour}
+		items := &PlaceRequest{Told: HoldReport{Instance: "n0"}, Number: 7, Want: placement.Requirements{Service: "s", Batch: true}, OnTimeIn: time.Hour}
 		require.False(t, b.Place(t.Context(), items).Granted)
 		b.Tell(&HoldReport{Instance: "n1", Released: []uint64{1}})
 		waiting.Wait()
@@ -114,7 +114,7 @@
 			waiting.Go(func() {
 				number := uint64(10 + i)
 				instance := fmt.Sprint("n", i%2)
-				reply := b.Place(t.Context(), &Ask{
+				reply := b.Place(t.Context(), &PlaceRequest{
 					Told: HoldReport{Instance: instance}, Number: number, Due: due, OnTimeIn: onTimeIn, Wait: 10 * time.Second,
 					Want: placement.Requirements{Service: "s", Batch: true},
 				})
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -165,7 +165,7 @@
 // ask asks the broker of one domain for one slot. It is not ok if none answers.
 func (c *Client) ask(ctx context.Context, name string, want placement.Requirements, patience placement.WaitLimits, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
 	now := time.Now()
-	ask := &Ask{
+	ask := &PlaceRequest{
 		Domain: name, Want: want, Wait: wait,
 		OnTimeIn: patience.SendBy.Sub(now), Age: now.Sub(began),
 	}
@@ -189,7 +189,7 @@
 // item that would have gone there goes to targets of the others past their brokers.
 // They get twice what they have slots for, and online requests wait in their queues.
 func (c *Client) PlaceItem(ctx context.Context, name string, item Item) (placement.Choice, bool) {
-	ask := &Ask{
+	ask := &PlaceRequest{
 		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: itemWait,
 		OnTimeIn: time.Until(item.StartBy), Due: item.Deadline.UnixMilli(), Lasts: item.MaxRuntime,
 	}
@@ -240,7 +240,7 @@
 
 // send sends an ask to the broker of its domain, and to the next one if that does
 // not answer.
-func (c *Client) send(ctx context.Context, ask *Ask) (choice placement.Choice, answered bool) {
+func (c *Client) send(ctx context.Context, ask *PlaceRequest) (choice placement.Choice, answered bool) {
 	ask.Want.Exclude = append(c.opts.Local.Distrusted(ask.Want), ask.Want.Exclude...)
 	ask.Want.Connected = c.connected(ask.Domain, ask.Want.Service)
 	ask.Number = c.nextNumber()
@@ -256,7 +256,7 @@
 	return placement.Choice{}, false
 }
 
-func (c *Client) sendTo(ctx context.Context, address string, ask *Ask) (Reply, error) {
+func (c *Client) sendTo(ctx context.Context, address string, ask *PlaceRequest) (Reply, error) {
 	ask.Told = c.toldOf(address, ask.Domain, false)
 	if address == c.opts.Self.Address {
 		return c.opts.Broker.Place(ctx, ask), nil
@@ -279,7 +279,7 @@
 }
 
 // take counts the slot that was given, if one was.
-func (c *Client) take(address string, ask *Ask, reply Reply) placement.Choice {
+func (c *Client) take(address string, ask *PlaceRequest, reply Reply) placement.Choice {
 	c.mu.Lock()
 	if d := c.domains[ask.Domain]; d != nil {
 		d.free, d.at = reply.Free, time.Now()
--- a/internal/coordination/routed/broker/messages.go
+++ b/internal/coordination/routed/broker/messages.go
@@ -35,8 +35,8 @@
 // Told is another name of HoldReport. Ask embeds it, and gob sends the field under this name.
 type Told = HoldReport
 
-// Ask asks for slots of targets of one domain.
-type Ask struct {
+// PlaceRequest asks for slots of targets of one domain.
+type PlaceRequest struct {
 	Told
 	Domain string
 	// Number is given to the hold.
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -110,7 +110,7 @@
 		left, wait = b.order(n)[:1], waitChunk
 	}
 	d := b.desks[left[0]]
-	ask := broker.Ask{Want: onlineWant(), OnTimeIn: arrived.Add(objective - answerTime).Sub(b.clock.Now()), Age: b.clock.Now().Sub(arrived)}
+	ask := broker.PlaceRequest{Want: onlineWant(), OnTimeIn: arrived.Add(objective - answerTime).Sub(b.clock.Now()), Age: b.clock.Now().Sub(arrived)}
 	if b.way.InOrder {
 		ask.OnTimeIn = time.Hour - ask.Age
 	}
@@ -129,7 +129,7 @@
 }
 
 // ask sends an ask to a broker and brings its answer back.
-func (b *brokered) ask(n *node, d *desk, ask broker.Ask, wait time.Duration, answer func(slot, bool)) {
+func (b *brokered) ask(n *node, d *desk, ask broker.PlaceRequest, wait time.Duration, answer func(slot, bool)) {
 	hop := b.messageTime(n, d)
 	b.number++
 	ask.Number, ask.Instance = b.number, n.name()
@@ -172,7 +172,7 @@
 		return
 	}
 	b.seeking[key] = true
-	ask := broker.Ask{
+	ask := broker.PlaceRequest{
 		Want: itemWant(), Due: it.due.UnixMilli(), OnTimeIn: it.beginBy().Sub(b.clock.Now()), Lasts: usualItem,
 	}
 	b.ask(n, b.desks[name], ask, itemWait, func(s slot, ok bool) {
@@ -185,7 +185,7 @@
 }
 
 // enter puts an ask into the line for as long as it waits.
-func (d *desk) enter(ask broker.Ask, wait time.Duration, answer func(broker.Grant, bool)) {
+func (d *desk) enter(ask broker.PlaceRequest, wait time.Duration, answer func(broker.Grant, bool)) {
 	w := d.allotter.Enter(d.clock.Now(), &ask)
 	d.asked[w] = answer
 	d.serve()
