--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -28,10 +28,10 @@
 	spareFactor = 0.4
 )
 
-// Allotter decides which request or item gets which slot of one failure domain. It
+// SlotAllocator decides which request or item gets which slot of one failure domain. It
 // is pure: inputs and the time come in, allotments go out. It is not safe for
 // concurrent use.
-type Allotter struct {
+type SlotAllocator struct {
 	*Book
 	queue waitQueue
 	// CalmAfter is the pause of items after one had to give way.
@@ -59,12 +59,12 @@
 }
 
 // NewAllotter returns an allotter of the targets that a core knows.
-func NewAllotter(core *placement.Core) *Allotter {
-	return &Allotter{Book: NewBook(core), CalmAfter: CalmAfter, SpareFor: SpareFor}
+func NewAllotter(core *placement.Core) *SlotAllocator {
+	return &SlotAllocator{Book: NewBook(core), CalmAfter: CalmAfter, SpareFor: SpareFor}
 }
 
 // Enter puts an ask into the line. Allot says what becomes of it.
-func (a *Allotter) Enter(now time.Time, ask *PlaceRequest) *Waiter {
+func (a *SlotAllocator) Enter(now time.Time, ask *PlaceRequest) *Waiter {
 	w := &Waiter{
 		instance: ask.Instance, hold: Hold{Number: ask.Number, Due: ask.Due, Lasts: ask.Lasts}, want: ask.Want,
 		onTimeUntil: now.Add(ask.OnTimeIn), arrived: now.Add(-ask.Age),
@@ -75,13 +75,13 @@
 }
 
 // Withdraw takes one who waits out of the line.
-func (a *Allotter) Withdraw(w *Waiter) { a.queue.remove(w) }
+func (a *SlotAllocator) Withdraw(w *Waiter) { a.queue.remove(w) }
 
 // Waiting counts those who wait.
-func (a *Allotter) Waiting() int { return a.queue.len() }
+func (a *SlotAllocator) Waiting() int { return a.queue.len() }
 
 // Allot gives slots to those who wait, as far as there are any.
-func (a *Allotter) Allot(now time.Time) []Allotment {
+func (a *SlotAllocator) Allot(now time.Time) []Allotment {
 	if a.queue.len() == 0 {
 		return nil
 	}
@@ -107,7 +107,7 @@
 }
 
 // spared says that the slots of a service that are free now are left to requests.
-func (a *Allotter) spared(now time.Time, service string) bool {
+func (a *SlotAllocator) spared(now time.Time, service string) bool {
 	if now.Sub(a.yieldedAt) >= a.SpareFor {
 		return false
 	}
@@ -116,7 +116,7 @@
 }
 
 // SetDomainTargets takes over those of the targets that are in a failure domain.
-func (a *Allotter) SetDomainTargets(domain string, list []roster.Target) {
+func (a *SlotAllocator) SetDomainTargets(domain string, list []roster.Target) {
 	var own []roster.Target
 	for _, t := range list {
 		if t.Domain == domain {
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -14,7 +14,7 @@
 
 // newTestAllotter is an allotter of a target with some slots, beside one of another
 // service that nobody uses.
-func newTestAllotter(slots int) *Allotter {
+func newTestAllotter(slots int) *SlotAllocator {
 	a := NewAllotter(placement.New(placement.Options{Domain: "d", Random: rand.New(rand.NewPCG(1, 1))}))
 	a.SetTargets([]roster.Target{
 		{ID: "t", Service: "s", Domain: "d", Address: "10.0.0.1:1", Slots: slots},
@@ -24,7 +24,7 @@
 }
 
 // enter has one wait and gives what was allotted then.
-func enter(a *Allotter, now time.Time, number uint64, batch bool) []Allotment {
+func enter(a *SlotAllocator, now time.Time, number uint64, batch bool) []Allotment {
 	a.Enter(now, &PlaceRequest{
 		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
 		Want: placement.Requirements{Service: "s", Batch: batch},
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -37,7 +37,7 @@
 	yield func(instance string, number uint64) bool
 
 	mu       sync.Mutex
-	allotter *Allotter
+	allotter *SlotAllocator
 	// placed takes the grant of each who waits, once.
 	placed map[*Waiter]chan Grant
 	// looking says that a look is due.
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -35,7 +35,7 @@
 type desk struct {
 	*brokered
 	domain   string
-	allotter *broker.Allotter
+	allotter *broker.SlotAllocator
 	asked    map[*broker.Waiter]func(grant broker.Grant, ok bool)
 	looking  bool
 }
