--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -58,8 +58,8 @@
 	Number   uint64
 }
 
-// NewAllotter returns an allotter of the targets that a core knows.
-func NewAllotter(core *placement.Core) *SlotAllocator {
+// NewSlotAllocator returns an allotter of the targets that a core knows.
+func NewSlotAllocator(core *placement.Core) *SlotAllocator {
 	return &SlotAllocator{Book: NewBook(core), CalmAfter: CalmAfter, SpareFor: SpareFor}
 }
 
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -15,7 +15,7 @@
 // newTestAllotter is an allotter of a target with some slots, beside one of another
 // service that nobody uses.
 func newTestAllotter(slots int) *SlotAllocator {
-	a := NewAllotter(placement.New(placement.Options{Domain: "d", Random: rand.New(rand.NewPCG(1, 1))}))
+	a := NewSlotAllocator(placement.New(placement.Options{Domain: "d", Random: rand.New(rand.NewPCG(1, 1))}))
 	a.SetTargets([]roster.Target{
 		{ID: "t", Service: "s", Domain: "d", Address: "10.0.0.1:1", Slots: slots},
 		{ID: "u", Service: "other", Domain: "d", Address: "10.0.0.2:1", Slots: slots},
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -64,7 +64,7 @@
 		sweep: newSweep(time.Now()), sweepBegins: make(chan struct{}, 1),
 		checkup: newCheckup(), checkBegins: make(chan struct{}, 1),
 	}
-	b.allotter = NewAllotter(placement.New(placement.Options{
+	b.allotter = NewSlotAllocator(placement.New(placement.Options{
 		Domain: domain, Random: rand.New(rand.NewPCG(seed, seed)), Warming: b.alone,
 	}))
 	return b
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -47,7 +47,7 @@
 	b := &brokered{day: p, way: way, desks: map[string]*desk{}, yields: map[uint64]func() bool{}, seeking: map[seeker]bool{}}
 	for _, name := range b.domains() {
 		core := placement.New(placement.Options{Domain: name, Random: rand.New(rand.NewPCG(p.random.Uint64(), 1))})
-		d := &desk{brokered: b, domain: name, allotter: broker.NewAllotter(core), asked: map[*broker.Waiter]func(broker.Grant, bool){}}
+		d := &desk{brokered: b, domain: name, allotter: broker.NewSlotAllocator(core), asked: map[*broker.Waiter]func(broker.Grant, bool){}}
 		d.allotter.CalmAfter, d.allotter.SpareFor = way.Calm, way.SpareFor
 		b.desks[name] = d
 	}
