--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -63,8 +63,8 @@
 	return &SlotAllocator{Book: NewBook(core), CalmAfter: CalmAfter, SpareFor: SpareFor}
 }
 
-// Enter puts an ask into the line. Allot says what becomes of it.
-func (a *SlotAllocator) Enter(now time.Time, ask *PlaceRequest) *Waiter {
+// Enqueue puts an ask into the line. Allot says what becomes of it.
+func (a *SlotAllocator) Enqueue(now time.Time, ask *PlaceRequest) *Waiter {
 	w := &Waiter{
 		instance: ask.Instance, hold: Hold{Number: ask.Number, Due: ask.Due, Lasts: ask.Lasts}, want: ask.Want,
 		onTimeUntil: now.Add(ask.OnTimeIn), arrived: now.Add(-ask.Age),
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -25,7 +25,7 @@
 
 // enter has one wait and gives what was allotted then.
 func enter(a *SlotAllocator, now time.Time, number uint64, batch bool) []Allotment {
-	a.Enter(now, &PlaceRequest{
+	a.Enqueue(now, &PlaceRequest{
 		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
 		Want: placement.Requirements{Service: "s", Batch: batch},
 	})
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -183,7 +183,7 @@
 	now := time.Now()
 	placed := make(chan Grant, 1)
 	b.mu.Lock()
-	w := b.allotter.Enter(now, ask)
+	w := b.allotter.Enqueue(now, ask)
 	b.placed[w] = placed
 	b.serve(now)
 	b.mu.Unlock()
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -186,7 +186,7 @@
 
 // enter puts an ask into the line for as long as it waits.
 func (d *desk) enter(ask broker.PlaceRequest, wait time.Duration, answer func(broker.Grant, bool)) {
-	w := d.allotter.Enter(d.clock.Now(), &ask)
+	w := d.allotter.Enqueue(d.clock.Now(), &ask)
 	d.asked[w] = answer
 	d.serve()
 	d.clock.After(wait, func() {
