--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -80,8 +80,8 @@
 // Waiting counts those who wait.
 func (a *SlotAllocator) Waiting() int { return a.queue.len() }
 
-// Allot gives slots to those who wait, as far as there are any.
-func (a *SlotAllocator) Allot(now time.Time) []Allotment {
+// Allocate gives slots to those who wait, as far as there are any.
+func (a *SlotAllocator) Allocate(now time.Time) []Allotment {
 	if a.queue.len() == 0 {
 		return nil
 	}
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -29,7 +29,7 @@
 		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
 		Want: placement.Requirements{Service: "s", Batch: batch},
 	})
-	return a.Allot(now)
+	return a.Allocate(now)
 }
 
 // Near a peak all slots but one are taken, and the next request takes the last one
@@ -51,11 +51,11 @@
 	// Two of 25 slots stay free.
 	for n := range uint64(2) {
 		a.Tell(calm, HoldReport{Instance: fmt.Sprint("n", n%3), Released: []uint64{n}})
-		require.Empty(t, a.Allot(calm))
+		require.Empty(t, a.Allocate(calm))
 	}
 	a.Tell(calm, HoldReport{Instance: "n2", Released: []uint64{2}})
-	require.Len(t, a.Allot(calm), 1)
+	require.Len(t, a.Allocate(calm), 1)
 	require.Len(t, enter(a, calm, 101, false), 1, "requests take the spared slots")
 	require.Empty(t, enter(a, calm, 201, true))
-	require.Len(t, a.Allot(after(SpareFor)), 1, "later items take all slots")
+	require.Len(t, a.Allocate(after(SpareFor)), 1, "later items take all slots")
 }
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -156,7 +156,7 @@
 
 // serve gives slots to those who wait. It needs the lock.
 func (b *Broker) serve(now time.Time) {
-	for _, a := range b.allotter.Allot(now) {
+	for _, a := range b.allotter.Allocate(now) {
 		b.placed[a.Waiter] <- a.Grant
 		if a.Waiter.want.Batch {
 			filled.Inc()
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -201,7 +201,7 @@
 
 // serve gives slots to those who wait.
 func (d *desk) serve() {
-	for _, a := range d.allotter.Allot(d.clock.Now()) {
+	for _, a := range d.allotter.Allocate(d.clock.Now()) {
 		answer := d.asked[a.Waiter]
 		delete(d.asked, a.Waiter)
 		answer(a.Grant, true)
