--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -74,8 +74,8 @@
 	return w
 }
 
-// Withdraw takes one who waits out of the line.
-func (a *SlotAllocator) Withdraw(w *Waiter) { a.queue.remove(w) }
+// Dequeue takes one who waits out of the line.
+func (a *SlotAllocator) Dequeue(w *Waiter) { a.queue.remove(w) }
 
 // Waiting counts those who wait.
 func (a *SlotAllocator) Waiting() int { return a.queue.len() }
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -230,7 +230,7 @@
 func (b *Broker) forget(w *Waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.allotter.Withdraw(w)
+	b.allotter.Dequeue(w)
 	delete(b.placed, w)
 }
 
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -193,7 +193,7 @@
 		if d.asked[w] == nil {
 			return
 		}
-		d.allotter.Withdraw(w)
+		d.allotter.Dequeue(w)
 		delete(d.asked, w)
 		answer(broker.Grant{}, false)
 	})
