--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -69,7 +69,7 @@
 		instance: ask.Instance, hold: Hold{Number: ask.Number, Due: ask.Due, Lasts: ask.Lasts}, want: ask.Want,
 		onTimeUntil: now.Add(ask.OnTimeIn), arrived: now.Add(-ask.Age),
 	}
-	a.Tell(now, ask.Told)
+	a.ApplyReport(now, ask.Told)
 	a.queue.add(w)
 	return w
 }
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -50,10 +50,10 @@
 	require.Empty(t, enter(a, calm, 200, true), "no slot is free")
 	// Two of 25 slots stay free.
 	for n := range uint64(2) {
-		a.Tell(calm, HoldReport{Instance: fmt.Sprint("n", n%3), Released: []uint64{n}})
+		a.ApplyReport(calm, HoldReport{Instance: fmt.Sprint("n", n%3), Released: []uint64{n}})
 		require.Empty(t, a.Allocate(calm))
 	}
-	a.Tell(calm, HoldReport{Instance: "n2", Released: []uint64{2}})
+	a.ApplyReport(calm, HoldReport{Instance: "n2", Released: []uint64{2}})
 	require.Len(t, a.Allocate(calm), 1)
 	require.Len(t, enter(a, calm, 101, false), 1, "requests take the spared slots")
 	require.Empty(t, enter(a, calm, 201, true))
--- a/internal/coordination/routed/broker/book.go
+++ b/internal/coordination/routed/broker/book.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Tell takes over what an instance holds.
-func (b *Book) Tell(now time.Time, told HoldReport) {
+// ApplyReport takes over what an instance holds.
+func (b *Book) ApplyReport(now time.Time, told HoldReport) {
 	before, known := b.heard[told.Instance]
 	if known && before.start != told.Start {
 		if before.ended == told.Start {
--- a/internal/coordination/routed/broker/book_test.go
+++ b/internal/coordination/routed/broker/book_test.go
@@ -48,7 +48,7 @@
 	_, _, ok := b.Place(start, "n0", Hold{Number: 9}, online())
 	require.False(t, ok)
 	require.Zero(t, b.Free(start))
-	b.Tell(start, HoldReport{Instance: "n1", Released: []uint64{1}})
+	b.ApplyReport(start, HoldReport{Instance: "n1", Released: []uint64{1}})
 	require.Equal(t, 1, b.Free(start))
 }
 
@@ -66,7 +66,7 @@
 	require.True(t, ok)
 	require.EqualValues(t, 1, yields.Number)
 	require.Zero(t, b.Free(start))
-	b.Tell(start, HoldReport{Instance: "n0", Released: []uint64{1}})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Released: []uint64{1}})
 	require.Zero(t, b.Free(start), "its slot was counted as free once already")
 	_, yields, ok = b.Place(start, "n1", Hold{Number: 2}, online())
 	require.True(t, ok)
@@ -79,7 +79,7 @@
 // away a second time; it learns what is held from those who hold it.
 func TestNewBrokerLearnsWhatIsHeld(t *testing.T) {
 	b := newTestBook(1)
-	b.Tell(start, HoldReport{Instance: "n0", Start: 1, Whole: true, Held: []Hold{{Number: 4, Target: "t0"}, {Number: 5, Target: "t0", Batch: true}}})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Start: 1, Whole: true, Held: []Hold{{Number: 4, Target: "t0"}, {Number: 5, Target: "t0", Batch: true}}})
 	require.Zero(t, b.Free(start))
 	_, yields, ok := b.Place(start, "n1", Hold{Number: 1}, online())
 	require.True(t, ok)
@@ -92,9 +92,9 @@
 	b := newTestBook(1)
 	_, _, ok := b.Place(start, "n0", Hold{Number: 1}, online())
 	require.True(t, ok)
-	b.Tell(after(100*time.Millisecond), HoldReport{Instance: "n0", Whole: true})
+	b.ApplyReport(after(100*time.Millisecond), HoldReport{Instance: "n0", Whole: true})
 	require.Equal(t, 1, b.Free(start))
-	b.Tell(after(time.Second), HoldReport{Instance: "n0", Whole: true})
+	b.ApplyReport(after(time.Second), HoldReport{Instance: "n0", Whole: true})
 	require.Equal(t, 2, b.Free(start), "its release was lost")
 }
 
@@ -104,15 +104,15 @@
 	for name, end := range map[string]func(*Book){
 		"refused connections": func(b *Book) { b.Gone("n0") },
 		"silent":              func(b *Book) { b.Expire(after(3 * time.Second)) },
-		"started again":       func(b *Book) { b.Tell(start, HoldReport{Instance: "n0", Start: 2, Whole: true}) },
+		"started again":       func(b *Book) { b.ApplyReport(start, HoldReport{Instance: "n0", Start: 2, Whole: true}) },
 	} {
 		b := newTestBook(1)
-		b.Tell(start, HoldReport{Instance: "n0", Start: 1})
+		b.ApplyReport(start, HoldReport{Instance: "n0", Start: 1})
 		_, _, ok := b.Place(start, "n0", Hold{Number: 1}, online())
 		require.True(t, ok, name)
 		end(b)
 		require.Equal(t, 2, b.Free(after(3*time.Second)), name)
-		b.Tell(after(3*time.Second), HoldReport{Instance: "n0", Start: 1, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}}})
+		b.ApplyReport(after(3*time.Second), HoldReport{Instance: "n0", Start: 1, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}}})
 		if name == "started again" {
 			require.Equal(t, 2, b.Free(after(3*time.Second)), "a message of an old life came late")
 		}
@@ -124,7 +124,7 @@
 // would bring requests into the target's queue for as long as items take.
 func TestItemsOfASilentInstanceKeepTheirSlots(t *testing.T) {
 	b := newTestBook(1)
-	b.Tell(start, HoldReport{Instance: "cut", Start: 1})
+	b.ApplyReport(start, HoldReport{Instance: "cut", Start: 1})
 	for n := range uint64(2) {
 		_, _, ok := b.Place(start, "cut", Hold{Number: n, Lasts: 5 * time.Second}, item())
 		require.True(t, ok)
@@ -132,7 +132,7 @@
 	_, yields, ok := b.Place(start, "n1", Hold{Number: 1}, online())
 	require.True(t, ok)
 	require.Equal(t, "cut", yields.instance)
-	b.Tell(start, HoldReport{Instance: "n1", Start: 1, Released: []uint64{1}})
+	b.ApplyReport(start, HoldReport{Instance: "n1", Start: 1, Released: []uint64{1}})
 	require.Equal(t, 1, b.Free(start), "it was asked to give way")
 
 	b.Silent(after(500*time.Millisecond), "cut")
@@ -157,7 +157,7 @@
 	b.Silent(start, "n0")
 	_, _, ok := b.Place(start, "n1", Hold{Number: 1}, online())
 	require.False(t, ok)
-	b.Tell(start, HoldReport{Instance: "n0", Whole: true, Held: held})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Whole: true, Held: held})
 	_, yields, ok := b.Place(start, "n1", Hold{Number: 1}, online())
 	require.True(t, ok)
 	require.NotNil(t, yields)
@@ -169,7 +169,7 @@
 // idle while requests wait.
 func TestTargetSaysThatStuckItemsHaveEnded(t *testing.T) {
 	b := newTestBook(1)
-	b.Tell(start, HoldReport{Instance: "cut", Start: 1})
+	b.ApplyReport(start, HoldReport{Instance: "cut", Start: 1})
 	_, _, ok := b.Place(start, "cut", Hold{Number: 1, Lasts: time.Minute}, item())
 	require.True(t, ok)
 	b.Silent(start, "cut")
@@ -188,10 +188,10 @@
 // one held would block slots until it is forgotten.
 func TestLifeAfterAClockJumpedBackIsHeard(t *testing.T) {
 	b := newTestBook(1)
-	b.Tell(start, HoldReport{Instance: "n0", Start: 9, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}, {Number: 2, Target: "t0"}}})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Start: 9, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}, {Number: 2, Target: "t0"}}})
 	require.Zero(t, b.Free(start))
-	b.Tell(start, HoldReport{Instance: "n0", Start: 5, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}}})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Start: 5, Whole: true, Held: []Hold{{Number: 1, Target: "t0"}}})
 	require.Equal(t, 1, b.Free(start))
-	b.Tell(start, HoldReport{Instance: "n0", Start: 9, Whole: true, Held: []Hold{{Number: 7, Target: "t0"}}})
+	b.ApplyReport(start, HoldReport{Instance: "n0", Start: 9, Whole: true, Held: []Hold{{Number: 7, Target: "t0"}}})
 	require.Equal(t, 1, b.Free(start), "a late message of the life that ended")
 }
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -236,7 +236,7 @@
 
 // Tell takes over what an instance holds.
 func (b *Broker) Tell(told *HoldReport) {
-	b.change(func(now time.Time) { b.allotter.Tell(now, *told) })
+	b.change(func(now time.Time) { b.allotter.ApplyReport(now, *told) })
 }
 
 // Receiver is the net/rpc receiver, registered under ReceiverName.
--- a/internal/coordination/routed/broker/orphans_test.go
+++ b/internal/coordination/routed/broker/orphans_test.go
@@ -22,9 +22,9 @@
 // nobody reads them; requests wait for their slots meanwhile.
 func TestRunsOfASilentInstanceAreEnded(t *testing.T) {
 	b := newTestBook(2)
-	b.Tell(start, HoldReport{Instance: "cut", Start: 1})
+	b.ApplyReport(start, HoldReport{Instance: "cut", Start: 1})
 	held := []Hold{holdItem(t, b, "cut", 1, "item-1"), holdItem(t, b, "cut", 2, "item-2"), holdItem(t, b, "cut", 3, "")}
-	b.Tell(start, HoldReport{Instance: "cut", Start: 1, Whole: true, Held: held})
+	b.ApplyReport(start, HoldReport{Instance: "cut", Start: 1, Whole: true, Held: held})
 	require.Empty(t, b.Orphans(after(time.Second)), "it is heard")
 
 	silent := after(time.Second)
@@ -47,9 +47,9 @@
 func TestRunsOfAnInstanceThatPausedGoOn(t *testing.T) {
 	b := newTestBook(2)
 	held := []Hold{holdItem(t, b, "paused", 1, "item-1")}
-	b.Tell(start, HoldReport{Instance: "paused", Start: 1, Whole: true, Held: held})
+	b.ApplyReport(start, HoldReport{Instance: "paused", Start: 1, Whole: true, Held: held})
 	b.Silent(start, "paused")
-	b.Tell(after(100*time.Millisecond), HoldReport{Instance: "paused", Start: 1, Whole: true, Held: held})
+	b.ApplyReport(after(100*time.Millisecond), HoldReport{Instance: "paused", Start: 1, Whole: true, Held: held})
 	require.Empty(t, b.Orphans(after(time.Minute)))
 }
 
@@ -58,7 +58,7 @@
 func TestRunAtTheOnlyTargetIsLeft(t *testing.T) {
 	b := newTestBook(1)
 	held := []Hold{holdItem(t, b, "cut", 1, "item-1")}
-	b.Tell(start, HoldReport{Instance: "cut", Start: 1, Whole: true, Held: held})
+	b.ApplyReport(start, HoldReport{Instance: "cut", Start: 1, Whole: true, Held: held})
 	b.Silent(start, "cut")
 	require.Empty(t, b.Orphans(after(time.Minute)))
 }
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -150,7 +150,7 @@
 		release: func() {
 			delete(b.yields, number)
 			b.clock.After(b.messageTime(n, d), func() {
-				d.allotter.Tell(b.clock.Now(), broker.HoldReport{Instance: n.name(), Released: []uint64{number}})
+				d.allotter.ApplyReport(b.clock.Now(), broker.HoldReport{Instance: n.name(), Released: []uint64{number}})
 				d.serve()
 			})
 		},
