--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -42,8 +42,8 @@
 	yieldedAt time.Time
 }
 
-// Allotment is a slot for one who waited.
-type Allotment struct {
+// Allocation is a slot for one who waited.
+type Allocation struct {
 	Waiter *Waiter
 	Grant  Grant
 	// Yield is the hold of a batch item that must give its slot back for it, if
@@ -81,11 +81,11 @@
 func (a *SlotAllocator) Waiting() int { return a.queue.len() }
 
 // Allocate gives slots to those who wait, as far as there are any.
-func (a *SlotAllocator) Allocate(now time.Time) []Allotment {
+func (a *SlotAllocator) Allocate(now time.Time) []Allocation {
 	if a.queue.len() == 0 {
 		return nil
 	}
-	var out []Allotment
+	var out []Allocation
 	itemsWait := now.Sub(a.yieldedAt) < a.CalmAfter
 	a.queue.place(now, itemsWait, func(w *Waiter) bool {
 		if w.want.Batch && a.spared(now, w.want.Service) {
@@ -95,7 +95,7 @@
 		if !ok {
 			return false
 		}
-		allotment := Allotment{Waiter: w, Grant: grant}
+		allotment := Allocation{Waiter: w, Grant: grant}
 		if yields != nil {
 			a.yieldedAt = now
 			allotment.Yield, allotment.Yields = Yield{Instance: yields.instance, Number: yields.Number}, true
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -24,7 +24,7 @@
 }
 
 // enter has one wait and gives what was allotted then.
-func enter(a *SlotAllocator, now time.Time, number uint64, batch bool) []Allotment {
+func enter(a *SlotAllocator, now time.Time, number uint64, batch bool) []Allocation {
 	a.Enqueue(now, &PlaceRequest{
 		Told: HoldReport{Instance: fmt.Sprint("n", number%3)}, Number: number, OnTimeIn: time.Second, Due: int64(number),
 		Want: placement.Requirements{Service: "s", Batch: batch},
