--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -49,7 +49,7 @@
 	// Yield is the hold of a batch item that must give its slot back for it, if
 	// Yields says that there is one.
 	Yield  Yield
-	Yields bool
+	MustYield bool
 }
 
 // Yield names the hold that an instance is to give back.
@@ -98,7 +98,7 @@
 		allotment := Allocation{Waiter: w, Grant: grant}
 		if yields != nil {
 			a.yieldedAt = now
-			allotment.Yield, allotment.Yields = Yield{Instance: yields.instance, Number: yields.Number}, true
+			allotment.Yield, allotment.MustYield = Yield{Instance: yields.instance, Number: yields.Number}, true
 		}
 		out = append(out, allotment)
 		return true
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -163,7 +163,7 @@
 		} else {
 			granted.Inc()
 		}
-		if a.Yields {
+		if a.MustYield {
 			yielded.Inc()
 			go b.askToYield(a.Yield)
 		}
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -205,7 +205,7 @@
 		answer := d.asked[a.Waiter]
 		delete(d.asked, a.Waiter)
 		answer(a.Grant, true)
-		if a.Yields {
+		if a.MustYield {
 			d.clock.After(d.yieldTime(), func() {
 				if yield := d.yields[a.Yield.Number]; yield != nil {
 					yield()
