--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -8,13 +8,13 @@
 	"merlintiller/internal/state/roster"
 )
 
-// CalmAfter is how long after an item had to give way no further item gets a slot.
+// PauseAfterYield is how long after an item had to give way no further item gets a slot.
 //
 // The load it answers: at a peak a slot comes free every few milliseconds and is
 // wanted by an online request a few milliseconds later. Given to an item in
 // between, it is taken back before the item has read its prompt again, and the
 // item needs a new connection each time.
-const CalmAfter = 80 * time.Millisecond
+const PauseAfterYield = 80 * time.Millisecond
 
 // SpareFor is how long after an item had to give way items leave slots free, and
 // spareFactor how many: that times the square root of the domain's slots of a service, since
@@ -60,7 +60,7 @@
 
 // NewSlotAllocator returns an allotter of the targets that a core knows.
 func NewSlotAllocator(core *placement.Core) *SlotAllocator {
-	return &SlotAllocator{Book: NewBook(core), CalmAfter: CalmAfter, SpareFor: SpareFor}
+	return &SlotAllocator{Book: NewBook(core), CalmAfter: PauseAfterYield, SpareFor: SpareFor}
 }
 
 // Enqueue puts an ask into the line. Allot says what becomes of it.
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -46,7 +46,7 @@
 	taken := enter(a, start, 100, false)
 	require.Len(t, taken, 1)
 	require.Equal(t, Yield{Instance: "n0", Number: slots - 1}, taken[0].Yield)
-	calm := after(CalmAfter)
+	calm := after(PauseAfterYield)
 	require.Empty(t, enter(a, calm, 200, true), "no slot is free")
 	// Two of 25 slots stay free.
 	for n := range uint64(2) {
