--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -34,8 +34,8 @@
 type SlotAllocator struct {
 	*Book
 	queue waitQueue
-	// CalmAfter is the pause of items after one had to give way.
-	CalmAfter time.Duration
+	// PauseAfterYield is the pause of items after one had to give way.
+	PauseAfterYield time.Duration
 	// SpareFor is how long after one gave way items leave some slots free.
 	SpareFor time.Duration
 	// yieldedAt is when one had to give way last.
@@ -60,7 +60,7 @@
 
 // NewSlotAllocator returns an allotter of the targets that a core knows.
 func NewSlotAllocator(core *placement.Core) *SlotAllocator {
-	return &SlotAllocator{Book: NewBook(core), CalmAfter: PauseAfterYield, SpareFor: SpareFor}
+	return &SlotAllocator{Book: NewBook(core), PauseAfterYield: PauseAfterYield, SpareFor: SpareFor}
 }
 
 // Enqueue puts an ask into the line. Allot says what becomes of it.
@@ -86,7 +86,7 @@
 		return nil
 	}
 	var out []Allocation
-	itemsWait := now.Sub(a.yieldedAt) < a.CalmAfter
+	itemsWait := now.Sub(a.yieldedAt) < a.PauseAfterYield
 	a.queue.place(now, itemsWait, func(w *Waiter) bool {
 		if w.want.Batch && a.spared(now, w.want.Service) {
 			return false
