--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -16,7 +16,7 @@
 // item needs a new connection each time.
 const PauseAfterYield = 80 * time.Millisecond
 
-// SpareFor is how long after an item had to give way items leave slots free, and
+// ReserveAfterYield is how long after an item had to give way items leave slots free, and
 // spareFactor how many: that times the square root of the domain's slots of a service, since
 // the swings of requests that come at random grow with the square root of their number.
 //
@@ -24,7 +24,7 @@
 // the last one is taken back by one of the next requests. Some slots left free for a
 // while save a third of the runs of items; as many are done in time.
 const (
-	SpareFor    = 1500 * time.Millisecond
+	ReserveAfterYield    = 1500 * time.Millisecond
 	spareFactor = 0.4
 )
 
@@ -60,7 +60,7 @@
 
 // NewSlotAllocator returns an allotter of the targets that a core knows.
 func NewSlotAllocator(core *placement.Core) *SlotAllocator {
-	return &SlotAllocator{Book: NewBook(core), PauseAfterYield: PauseAfterYield, SpareFor: SpareFor}
+	return &SlotAllocator{Book: NewBook(core), PauseAfterYield: PauseAfterYield, SpareFor: ReserveAfterYield}
 }
 
 // Enqueue puts an ask into the line. Allot says what becomes of it.
--- a/internal/coordination/routed/broker/allotter_test.go
+++ b/internal/coordination/routed/broker/allotter_test.go
@@ -57,5 +57,5 @@
 	require.Len(t, a.Allocate(calm), 1)
 	require.Len(t, enter(a, calm, 101, false), 1, "requests take the spared slots")
 	require.Empty(t, enter(a, calm, 201, true))
-	require.Len(t, a.Allocate(after(SpareFor)), 1, "later items take all slots")
+	require.Len(t, a.Allocate(after(ReserveAfterYield)), 1, "later items take all slots")
 }
--- a/internal/policybench/slots/ways.go
+++ b/internal/policybench/slots/ways.go
@@ -27,13 +27,13 @@
 // Ways are those that are compared; the first is the one in use.
 func Ways() []Way {
 	return []Way{
-		{Name: "broker", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.SpareFor},
+		{Name: "broker", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.ReserveAfterYield},
 		{Name: "broker, no slots spared", Brokered: true, Calm: broker.PauseAfterYield},
 		{Name: "broker, slots spared for 500 ms", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: 500 * time.Millisecond},
-		{Name: "broker, no pause of items", Brokered: true, SpareFor: broker.SpareFor},
-		{Name: "broker, in order of arrival", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.SpareFor, InOrder: true},
+		{Name: "broker, no pause of items", Brokered: true, SpareFor: broker.ReserveAfterYield},
+		{Name: "broker, in order of arrival", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.ReserveAfterYield, InOrder: true},
 		{Name: "counts told every 100 ms"},
-		{Name: "one that sees all", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.SpareFor, AllSeeing: true},
+		{Name: "one that sees all", Brokered: true, Calm: broker.PauseAfterYield, SpareFor: broker.ReserveAfterYield, AllSeeing: true},
 	}
 }
 
