--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -36,8 +36,8 @@
 	queue waitQueue
 	// PauseAfterYield is the pause of items after one had to give way.
 	PauseAfterYield time.Duration
-	// SpareFor is how long after one gave way items leave some slots free.
-	SpareFor time.Duration
+	// ReserveAfterYield is how long after one gave way items leave some slots free.
+	ReserveAfterYield time.Duration
 	// yieldedAt is when one had to give way last.
 	yieldedAt time.Time
 }
@@ -60,7 +60,7 @@
 
 // NewSlotAllocator returns an allotter of the targets that a core knows.
 func NewSlotAllocator(core *placement.Core) *SlotAllocator {
-	return &SlotAllocator{Book: NewBook(core), PauseAfterYield: PauseAfterYield, SpareFor: ReserveAfterYield}
+	return &SlotAllocator{Book: NewBook(core), PauseAfterYield: PauseAfterYield, ReserveAfterYield: ReserveAfterYield}
 }
 
 // Enqueue puts an ask into the line. Allot says what becomes of it.
@@ -108,7 +108,7 @@
 
 // spared says that the slots of a service that are free now are left to requests.
 func (a *SlotAllocator) spared(now time.Time, service string) bool {
-	if now.Sub(a.yieldedAt) >= a.SpareFor {
+	if now.Sub(a.yieldedAt) >= a.ReserveAfterYield {
 		return false
 	}
 	all, free := a.core.Slots(now, service)
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -48,7 +48,7 @@
 	for _, name := range b.domains() {
 		core := placement.New(placement.Options{Domain: name, Random: rand.New(rand.NewPCG(p.random.Uint64(), 1))})
 		d := &desk{brokered: b, domain: name, allotter: broker.NewSlotAllocator(core), asked: map[*broker.Waiter]func(broker.Grant, bool){}}
-		d.allotter.PauseAfterYield, d.allotter.SpareFor = way.Calm, way.SpareFor
+		d.allotter.PauseAfterYield, d.allotter.ReserveAfterYield = way.Calm, way.SpareFor
 		b.desks[name] = d
 	}
 	return b
