--- a/internal/coordination/routed/broker/allotter.go
+++ b/internal/coordination/routed/broker/allotter.go
@@ -24,8 +24,8 @@
 // the last one is taken back by one of the next requests. Some slots left free for a
 // while save a third of the runs of items; as many are done in time.
 const (
-	ReserveAfterYield    = 1500 * time.Millisecond
-	spareFactor = 0.4
+	ReserveAfterYield = 1500 * time.Millisecond
+	spareFactor       = 0.4
 )
 
 // SlotAllocator decides which request or item gets which slot of one failure domain. It
@@ -48,7 +48,7 @@
 	Grant  Grant
 	// Yield is the hold of a batch item that must give its slot back for it, if
 	// Yields says that there is one.
-	Yield  Yield
+	Yield     Yield
 	MustYield bool
 }
 
--- a/internal/coordination/routed/broker/sweeper.go
+++ b/internal/coordination/routed/broker/sweeper.go
@@ -32,11 +32,11 @@
 	// Broker knows who holds what.
 	Broker *Broker
 	// IsBroker says that this instance is the domain's broker.
-	IsBroker   func() bool
-	Targets external.Inspector
+	IsBroker func() bool
+	Targets  external.Inspector
 	// FilterOrphans gives those of some runs that the holders of their items say nobody reads.
 	FilterOrphans func(ctx context.Context, runs []TargetRun) []TargetRun
-	Logger  log.Logger
+	Logger        log.Logger
 }
 
 // TargetRun names a run at a target.
