--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -33,7 +33,7 @@
 	// Runs notes under which id a target runs an item.
 	Runs(choice placement.Choice, id string)
 	Done(placement.Choice, placement.Result)
-	Told(choice placement.Choice, load *exchange.Load)
+	ReportLoad(choice placement.Choice, load *exchange.Load)
 	Heard(id string)
 }
 
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -199,7 +199,7 @@
 	}
 	defer answer.Close()
 	head := answer.Head()
-	opts.Placer.Told(choice, head.Load)
+	opts.Placer.ReportLoad(choice, head.Load)
 	switch {
 	case head.Elsewhere:
 		opts.Targets.Forget(choice.Address)
--- a/internal/coordination/routed/broker/loads.go
+++ b/internal/coordination/routed/broker/loads.go
@@ -26,7 +26,7 @@
 // the broker counts those slots as free again. It gives them away, and requests
 // stand in the queues of targets for as long as a batch item takes. It shows as late
 // requests that did not wait for a slot, a few seconds after a cut at the peak.
-func (c *Client) Told(choice placement.Choice, load *exchange.Load) {
+func (c *Client) ReportLoad(choice placement.Choice, load *exchange.Load) {
 	if load == nil {
 		return
 	}
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -40,7 +40,7 @@
 	TryPlace(context.Context, placement.Requirements) (placement.Choice, bool)
 	Heard(id string)
 	Done(placement.Choice, placement.Result)
-	Told(choice placement.Choice, load *exchange.Load)
+	ReportLoad(choice placement.Choice, load *exchange.Load)
 	Known(service string) bool
 	Waiting(placement.Choice) (goesOn func())
 }
@@ -195,7 +195,7 @@
 	if err != nil {
 		return c.failed(ctx, choice, watch, err)
 	}
-	c.opts.Placer.Told(choice, answer.Head().Load)
+	c.opts.Placer.ReportLoad(choice, answer.Head().Load)
 	if answer.Head().NotRun {
 		return c.notRun(choice, answer)
 	}
