--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -34,7 +34,7 @@
 	Runs(choice placement.Choice, id string)
 	Done(placement.Choice, placement.Result)
 	ReportLoad(choice placement.Choice, load *exchange.Load)
-	Heard(id string)
+	DataReceived(id string)
 }
 
 // Options make a Desk and its duties.
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -252,7 +252,7 @@
 			return broken, placement.Broken, err
 		}
 		stall.Reset(stallLimit)
-		t.runner.opts.Placer.Heard(t.choice.ID)
+		t.runner.opts.Placer.DataReceived(t.choice.ID)
 		if err := t.take(&event); err != nil {
 			return broken, placement.Broken, err
 		}
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -355,7 +355,7 @@
 }
 
 // Heard notes that something came from a target.
-func (c *Client) Heard(id string) { c.opts.Local.Heard(id) }
+func (c *Client) DataReceived(id string) { c.opts.Local.Heard(id) }
 
 // Waiting notes that an exchange waits longer than it should, see
 // placement.Placer.
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -38,7 +38,7 @@
 	// Place waits for a place, TryPlace does not.
 	Place(context.Context, placement.Requirements, placement.WaitLimits) (placement.Choice, bool)
 	TryPlace(context.Context, placement.Requirements) (placement.Choice, bool)
-	Heard(id string)
+	DataReceived(id string)
 	Done(placement.Choice, placement.Result)
 	ReportLoad(choice placement.Choice, load *exchange.Load)
 	Known(service string) bool
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -80,7 +80,7 @@
 func (f *fleet) TryPlace(context.Context, placement.Requirements) (placement.Choice, bool) {
 	return placement.Choice{}, false
 }
-func (f *fleet) Heard(string)                                     {}
+func (f *fleet) DataReceived(string)                              {}
 func (f *fleet) Done(_ placement.Choice, result placement.Result) { f.done = append(f.done, result) }
 func (f *fleet) ReportLoad(placement.Choice, *exchange.Load)      {}
 func (f *fleet) Known(string) bool                                { return !f.unknown }
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -98,7 +98,7 @@
 
 // goesOn notes that something came.
 func (w *watch) goesOn() {
-	w.call.opts.Placer.Heard(w.choice.ID)
+	w.call.opts.Placer.DataReceived(w.choice.ID)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.clear != nil {
