--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -341,7 +341,7 @@
 }
 
 // Known says whether any target of a service may be used.
-func (c *Client) Known(service string) bool { return c.opts.Local.Known(service) }
+func (c *Client) HasTargets(service string) bool { return c.opts.Local.Known(service) }
 
 // TryPlace chooses a target for an online request that has one already. It waits
 // for none.
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -41,7 +41,7 @@
 	DataReceived(id string)
 	Done(placement.Choice, placement.Result)
 	ReportLoad(choice placement.Choice, load *exchange.Load)
-	Known(service string) bool
+	HasTargets(service string) bool
 	Waiting(placement.Choice) (goesOn func())
 }
 
@@ -180,7 +180,7 @@
 		c.outcome.Reason = Lost
 	case c.outcome.Attempts > 0:
 		c.outcome.Reason, c.outcome.RetryAfter = NotTaken, fullRetryAfter
-	case c.opts.Placer.Known(c.Service):
+	case c.opts.Placer.HasTargets(c.Service):
 		c.outcome.Reason, c.outcome.RetryAfter = AllFull, fullRetryAfter
 	default:
 		c.outcome.Reason, c.outcome.RetryAfter = NoTarget, startRetryAfter
