--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -359,6 +359,6 @@
 
 // Waiting notes that an exchange waits longer than it should, see
 // placement.Placer.
-func (c *Client) Waiting(choice placement.Choice) (goesOn func()) {
+func (c *Client) MarkStalled(choice placement.Choice) (goesOn func()) {
 	return c.opts.Local.Waiting(choice)
 }
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -42,7 +42,7 @@
 	Done(placement.Choice, placement.Result)
 	ReportLoad(choice placement.Choice, load *exchange.Load)
 	HasTargets(service string) bool
-	Waiting(placement.Choice) (goesOn func())
+	MarkStalled(placement.Choice) (goesOn func())
 }
 
 // Sink is the caller's side of an answer.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -84,7 +84,7 @@
 func (f *fleet) Done(_ placement.Choice, result placement.Result) { f.done = append(f.done, result) }
 func (f *fleet) ReportLoad(placement.Choice, *exchange.Load)      {}
 func (f *fleet) HasTargets(string) bool                           { return !f.unknown }
-func (f *fleet) Waiting(placement.Choice) (goesOn func())         { return nil }
+func (f *fleet) MarkStalled(placement.Choice) (goesOn func())     { return nil }
 
 // scripted is an answer of a script.
 type scripted struct {
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -72,7 +72,7 @@
 		return
 	}
 	if w.clear == nil {
-		w.clear = w.call.opts.Placer.Waiting(w.choice)
+		w.clear = w.call.opts.Placer.MarkStalled(w.choice)
 	}
 	w.mu.Unlock()
 	if w.mayMove {
