--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -31,7 +31,7 @@
 	Domains() []string
 	PlaceItem(ctx context.Context, domain string, item broker.Item) (placement.Choice, bool)
 	// Runs notes under which id a target runs an item.
-	Runs(choice placement.Choice, id string)
+	SetRunID(choice placement.Choice, id string)
 	Done(placement.Choice, placement.Result)
 	ReportLoad(choice placement.Choice, load *exchange.Load)
 	DataReceived(id string)
--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -318,6 +318,6 @@
 	ctx, cancel := context.WithCancel(r.ctx)
 	t.cancel, t.choice, t.yielding, t.began = cancel, choice, false, time.Now()
 	itemRuns.Inc()
-	r.opts.Placer.Runs(choice, t.id.item)
+	r.opts.Placer.SetRunID(choice, t.id.item)
 	go t.run(ctx, choice)
 }
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -331,7 +331,7 @@
 }
 
 // Runs notes under which id the target of a choice runs a batch item.
-func (c *Client) Runs(choice placement.Choice, id string) {
+func (c *Client) SetRunID(choice placement.Choice, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h, ok := c.held[choice.Number]; ok {
