--- a/internal/coordination/routed/broker/book.go
+++ b/internal/coordination/routed/broker/book.go
@@ -123,7 +123,7 @@
 		known.Run = h.Run
 		return
 	}
-	choice, ok := b.core.Take(now, h.Target, h.Batch)
+	choice, ok := b.core.Acquire(now, h.Target, h.Batch)
 	if ok {
 		b.holds[key] = &held{Hold: h, instance: instance, choice: choice, since: now}
 	}
@@ -182,13 +182,13 @@
 		return
 	case h.yields:
 		h.yields = false
-		choice, ok := b.core.Take(now, h.Target, false)
+		choice, ok := b.core.Acquire(now, h.Target, false)
 		if !ok {
 			return
 		}
 		h.choice = choice
 	default:
-		h.choice = b.core.Recount(h.choice, false)
+		h.choice = b.core.Reclassify(h.choice, false)
 	}
 	h.stuck, h.stuckSince, h.ending = true, now, false
 	b.stuck++
@@ -201,7 +201,7 @@
 	}
 	for key, h := range b.holds {
 		if key.instance == instance && h.stuck {
-			h.choice = b.core.Recount(h.choice, true)
+			h.choice = b.core.Reclassify(h.choice, true)
 			h.stuck = false
 			b.stuck--
 		}
@@ -246,7 +246,7 @@
 	}
 	b.holds[holdKey{instance, h.Number}] = &held{Hold: h, instance: instance, choice: choice, since: now}
 	grant = Grant{Number: h.Number, Target: choice.Target, Busy: choice.Busy, Slots: choice.Slots}
-	grant.Unsure = choice.Unseen + len(b.stuckAt(choice.ID))
+	grant.Unsure = choice.Unaccounted + len(b.stuckAt(choice.ID))
 	return grant, yields, true
 }
 
@@ -280,7 +280,7 @@
 			stuck = stuck[1:]
 		}
 	}
-	b.core.Told(now, id, load)
+	b.core.ApplyLoad(now, id, load)
 }
 
 // lastDue is the batch item at a target that is due last.
--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -65,7 +65,7 @@
 		checkup: newCheckup(), checkBegins: make(chan struct{}, 1),
 	}
 	b.allotter = NewSlotAllocator(placement.New(placement.Options{
-		Domain: domain, Random: rand.New(rand.NewPCG(seed, seed)), Warming: b.alone,
+		Domain: domain, Random: rand.New(rand.NewPCG(seed, seed)), AllowWarmingUp: b.alone,
 	}))
 	return b
 }
--- a/internal/coordination/routed/broker/checker.go
+++ b/internal/coordination/routed/broker/checker.go
@@ -76,7 +76,7 @@
 // Failed notes that a target did not answer a request, or broke its answer off.
 func (b *Broker) Failed(id string) {
 	b.change(func(now time.Time) {
-		if b.allotter.core.MayHaveRestarted(now, id) {
+		if b.allotter.core.MarkPossibleRestart(now, id) {
 			b.checkup.begin(id, now.Add(b.allotter.targets[id].Warming.Lasts))
 			b.wakeChecker()
 		}
@@ -102,7 +102,7 @@
 // warms notes what a target said of itself.
 func (b *Broker) warms(id string, health exchange.Health) {
 	b.change(func(now time.Time) {
-		b.allotter.core.Warms(now, id, health.WarmUp)
+		b.allotter.core.SetWarmUpLeft(now, id, health.WarmUp)
 		b.checkup.end(id)
 	})
 }
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -241,7 +241,7 @@
 // send sends an ask to the broker of its domain, and to the next one if that does
 // not answer.
 func (c *Client) send(ctx context.Context, ask *PlaceRequest) (choice placement.Choice, answered bool) {
-	ask.Want.Exclude = append(c.opts.Local.Distrusted(ask.Want), ask.Want.Exclude...)
+	ask.Want.Exclude = append(c.opts.Local.Untrusted(ask.Want), ask.Want.Exclude...)
 	ask.Want.Connected = c.connected(ask.Domain, ask.Want.Service)
 	ask.Number = c.nextNumber()
 	for _, address := range c.Brokers(ask.Domain) {
@@ -291,8 +291,8 @@
 	if !reply.Granted {
 		return placement.Choice{}
 	}
-	choice := c.opts.Local.Take(reply.Grant.Target, ask.Want.Batch)
-	choice.Busy, choice.Unseen, choice.Slots = reply.Grant.Busy, reply.Grant.Unsure, reply.Grant.Slots
+	choice := c.opts.Local.Acquire(reply.Grant.Target, ask.Want.Batch)
+	choice.Busy, choice.Unaccounted, choice.Slots = reply.Grant.Busy, reply.Grant.Unsure, reply.Grant.Slots
 	choice.Number, choice.Broker = ask.Number, address
 	return choice
 }
@@ -341,7 +341,7 @@
 }
 
 // Known says whether any target of a service may be used.
-func (c *Client) HasTargets(service string) bool { return c.opts.Local.Known(service) }
+func (c *Client) HasTargets(service string) bool { return c.opts.Local.HasTargets(service) }
 
 // TryPlace chooses a target for an online request that has one already. It waits
 // for none.
@@ -355,10 +355,10 @@
 }
 
 // Heard notes that something came from a target.
-func (c *Client) DataReceived(id string) { c.opts.Local.Heard(id) }
+func (c *Client) DataReceived(id string) { c.opts.Local.DataReceived(id) }
 
 // Waiting notes that an exchange waits longer than it should, see
 // placement.Placer.
 func (c *Client) MarkStalled(choice placement.Choice) (goesOn func()) {
-	return c.opts.Local.Waiting(choice)
+	return c.opts.Local.MarkStalled(choice)
 }
--- a/internal/coordination/routed/broker/loads.go
+++ b/internal/coordination/routed/broker/loads.go
@@ -30,12 +30,12 @@
 	if load == nil {
 		return
 	}
-	c.opts.Local.Told(choice.ID, load)
+	c.opts.Local.ApplyLoad(choice.ID, load)
 	switch {
 	case choice.Broker == "":
 	case choice.Broker == c.opts.Self.Address:
 		c.opts.Broker.Loaded(choice.ID, *load)
-	case choice.Unseen > 0 || load.Running+load.Waiting > choice.Busy+unknownRuns:
+	case choice.Unaccounted > 0 || load.Running+load.Waiting > choice.Busy+unknownRuns:
 		go c.report(choice.Broker, LoadReport{Target: choice.ID, Load: *load})
 	}
 }
--- a/internal/coordination/routed/placement/core.go
+++ b/internal/coordination/routed/placement/core.go
@@ -10,110 +10,113 @@
 )
 
 const (
-	// defaultSlots is used for a target whose slots nobody told.
+	// defaultSlots is the number of slots assumed for a target that reported none.
 	defaultSlots = 8
-	// remoteCost is how much busier, as a part of its slots, a target of the own
-	// failure domain may be than another one. Two of eight slots: bytes between
-	// failure domains cost, waiting costs more.
-	remoteCost = 0.25
-	// connectCost is the same for a target to which no connection is kept.
-	connectCost = 0.13
-	// fullCost puts targets without a free slot behind those with one.
+	// remoteDomainCost is how much busier, as a fraction of its slots, a target of the own
+	// failure domain may be than a target of another domain: two of eight slots. Traffic
+	// between failure domains is expensive, but waiting is worse.
+	remoteDomainCost = 0.25
+	// newConnectionCost is the same for a target without a kept connection.
+	newConnectionCost = 0.13
+	// fullCost ranks targets without a free slot behind those with one.
 	fullCost = 10
-	// unseenFor is how long a report of unknown load counts. Answers come many
-	// times a second where there is load.
-	unseenFor = 300 * time.Millisecond
-	// avoidFirst and avoidMost bound how long a target is left alone after it
-	// failed, doubling each time: a crashed one is back within seconds. Then one
-	// batch item or repeatable request probes it.
-	avoidFirst = 400 * time.Millisecond
-	avoidMost  = 3 * time.Second
-	// strikesToAvoid is how many lost answers in a row make a target avoided. A
-	// refused connection weighs as much by itself. Targets that lose one answer
-	// in twenty would otherwise be avoided for most of the time.
-	strikesToAvoid = 2
+	// unaccountedTTL is how long a report of unaccounted requests is used. Under load,
+	// answers with new reports arrive many times a second.
+	unaccountedTTL = 300 * time.Millisecond
+	// minAvoidance and maxAvoidance bound how long a target is avoided after it failed.
+	// The time doubles with each failure. A crashed target is back within seconds. After
+	// the pause, one batch item or idempotent request probes the target.
+	minAvoidance = 400 * time.Millisecond
+	maxAvoidance = 3 * time.Second
+	// avoidanceThreshold is the failure score at which a target is avoided: two lost
+	// answers in a row, or one refused connection. With a threshold of one, targets that
+	// lose one answer in twenty would be avoided most of the time.
+	avoidanceThreshold = 2
 )
 
-// Options make a Core.
+// Options configure a Core.
 type Options struct {
 	// Domain is the own failure domain.
 	Domain string
-	// Connected says that an idle connection to an address is kept.
+	// Connected reports whether an idle connection to an address is kept.
 	Connected func(address string) bool
-	// Random breaks ties. Instances must differ in it, or all of them would
-	// choose the same target between two messages.
+	// Random breaks ties. Each instance needs its own seed: otherwise all instances would
+	// choose the same target between two exchanges of counts.
 	Random *rand.Rand
-	// Warming says that requests may be sent to targets that warm up, as many as these
-	// bear. Only who decides for all instances may: nil, never.
-	Warming func() bool
+	// AllowWarmingUp reports whether requests may be sent to targets that are warming up,
+	// within the rate that those targets can handle. Only a core that decides for all
+	// instances may do so. If nil, no requests are sent to such targets.
+	AllowWarmingUp func() bool
 }
 
-// Core keeps counts and chooses. It is not safe for concurrent use.
+// Core counts requests in flight and chooses targets. It is not safe for concurrent use.
 type Core struct {
 	opts    Options
 	targets map[string]*target
-	// ids are those of the targets, in order: the same inputs and random numbers
-	// must lead to the same choices.
+	// ids are the keys of targets, sorted: the same inputs and random numbers must lead
+	// to the same choices.
 	ids []string
-	// silent are the failure domains whose instances are all silent.
-	silent map[string]bool
-	// peers are the counts that other instances told last.
+	// silentDomains are the failure domains whose instances are all silent.
+	silentDomains map[string]bool
+	// peers are the latest counts that each other instance reported.
 	peers map[string][]InFlight
 }
 
-// InFlight is what an instance has at a target.
+// InFlight is the number of requests that an instance has in flight at a target. gob sends its
+// fields under their Go names.
 type InFlight struct {
 	Target        string
 	Online, Batch int
 }
 
-// Requirements is what a target is chosen for.
+// Requirements describe a request or batch item for which a target is chosen. gob sends the
+// fields under their Go names.
 type Requirements struct {
 	Service string
-	// Run is the id under which the target will run it. Empty: not known yet.
+	// Run is the ID under which the target will run the request. Empty: not known yet.
 	Run string
 	// Domain is the only failure domain whose targets may be chosen. Empty: any.
 	Domain string
-	// Batch items take free slots only.
+	// Batch marks a batch item, which takes free slots only.
 	Batch bool
-	// Repeatable requests may probe a target that failed.
+	// Repeatable marks an idempotent request, which may probe a target that failed.
 	Repeatable bool
-	// Exclude are targets that had the request before, or that the asking
-	// instance does not trust.
+	// Exclude are targets that were already tried for this request, or that the
+	// requesting instance does not trust.
 	Exclude []string
-	// Connected are targets to which the asking instance keeps a connection, if
-	// that is another one.
+	// Connected are targets to which the requesting instance keeps a connection, if the
+	// choice is made on another instance.
 	Connected []string
 }
 
-// fits says that a target may be chosen, whatever its state.
-func (w *Requirements) fits(t *target) bool {
-	return t.listed && t.Service == w.Service && (w.Domain == "" || t.Domain == w.Domain)
+// matches reports whether a target may be chosen, regardless of its load and health.
+func (r *Requirements) matches(t *target) bool {
+	return t.listed && t.Service == r.Service && (r.Domain == "" || t.Domain == r.Domain)
 }
 
-// Choice is a target that was chosen, with the request counted there.
+// Choice is a chosen target at which the request is counted.
 type Choice struct {
 	roster.Target
-	// MustPreempt says that all slots were taken when it was chosen and that batch
-	// items hold some of them.
+	// MustPreempt is set if all slots were taken at the time of the choice and batch items
+	// occupied some of them.
 	MustPreempt bool
-	// Busy and Slots are what the choice was made by, Unseen the part of Busy that
-	// no instance tells of now.
-	Busy, Unseen, Slots int
-	// Number and Broker say under which number which broker gave the slot, if
-	// one did.
+	// Busy is the number of occupied slots and Slots the number of all slots on which the
+	// choice was based. Unaccounted is the part of Busy that no instance currently reports.
+	Busy, Unaccounted, Slots int
+	// Number is the number of the hold and Broker the address of the broker that granted
+	// the slot. Both are zero if no broker was involved.
 	Number uint64
 	Broker string
 	batch  bool
 }
 
-// New returns a core that knows no target.
+// New returns a core without targets.
 func New(opts Options) *Core {
-	return &Core{opts: opts, targets: map[string]*target{}, silent: map[string]bool{}, peers: map[string][]InFlight{}}
+	return &Core{opts: opts, targets: map[string]*target{}, silentDomains: map[string]bool{}, peers: map[string][]InFlight{}}
 }
 
-// SetTargets takes over the targets that may be used. Counts of those that stay
-// are kept, and of those that go until their requests have ended.
+// SetTargets replaces the list of usable targets. The counts of targets that remain are
+// kept, and those of removed targets until their requests have ended.
 func (c *Core) SetTargets(list []roster.Target) {
 	listed := make(map[string]bool, len(list))
 	for _, entry := range list {
@@ -124,7 +127,7 @@
 			c.add(entry.ID, t)
 		}
 		t.Target = entry
-		t.warmUp.take(entry.Warming)
+		t.warmUp.apply(entry.Warming)
 		t.listed = true
 		if entry.Slots > 0 {
 			t.slots = entry.Slots
@@ -139,7 +142,7 @@
 			c.remove(id)
 		}
 	}
-	c.countPeers()
+	c.recountPeers()
 }
 
 func (c *Core) add(id string, t *target) {
@@ -157,64 +160,63 @@
 	}
 }
 
-// SetDomainSilent notes that all instances of another failure domain are silent,
-// while those of others are not, or that one is heard again. The targets of a
-// silent domain are probed before they get requests that may not be repeated.
+// SetDomainSilent records whether all instances of another failure domain are silent while
+// those of other domains are not. The targets of a silent domain are probed before they get
+// requests that are not idempotent.
 //
-// What goes wrong without it: the path to a failure domain is cut. Each target
-// there shows it only by requests that wait in vain, and those that may not be
-// repeated are lost.
+// Without this, a network partition that isolates a failure domain would show at each of its
+// targets only by requests that wait until they time out, and those that are not idempotent
+// would be lost.
 func (c *Core) SetDomainSilent(now time.Time, domain string, silent bool) {
-	if c.silent[domain] == silent {
+	if c.silentDomains[domain] == silent {
 		return
 	}
-	c.silent[domain] = silent
+	c.silentDomains[domain] = silent
 	for _, t := range c.targets {
 		switch {
 		case t.Domain != domain:
 		case silent:
 			t.health.avoid(now)
 		default:
-			t.health.good()
+			t.health.succeeded()
 		}
 	}
 }
 
-// SetPeer takes over what another instance has at the targets. Nothing forgets
-// the instance.
-func (c *Core) SetPeer(name string, held []InFlight) {
-	c.countPeer(c.peers[name], -1)
-	c.countPeer(held, 1)
-	if len(held) == 0 {
+// SetPeer replaces the counts of another instance. An empty list removes the instance.
+func (c *Core) SetPeer(name string, counts []InFlight) {
+	c.addPeerCounts(c.peers[name], -1)
+	c.addPeerCounts(counts, 1)
+	if len(counts) == 0 {
 		delete(c.peers, name)
 	} else {
-		c.peers[name] = held
+		c.peers[name] = counts
 	}
 }
 
-// countPeers counts what all other instances have.
-func (c *Core) countPeers() {
+// recountPeers recomputes the counts of all other instances.
+func (c *Core) recountPeers() {
 	for _, t := range c.targets {
-		t.elsewhereOnline, t.elsewhereBatch = 0, 0
+		t.peerOnline, t.peerBatch = 0, 0
 	}
-	for _, held := range c.peers {
-		c.countPeer(held, 1)
+	for _, counts := range c.peers {
+		c.addPeerCounts(counts, 1)
 	}
 }
 
-// countPeer adds what one instance has to the counts of the targets, or takes it off
-// with a factor of -1. A message comes many times a second from each instance of a
-// fleet, so it must not count anew what all of them have.
-func (c *Core) countPeer(held []InFlight, factor int) {
-	for _, h := range held {
-		if t := c.targets[h.Target]; t != nil {
-			t.elsewhereOnline += factor * h.Online
-			t.elsewhereBatch += factor * h.Batch
+// addPeerCounts adds the counts of one instance to the targets, or subtracts them with a
+// factor of -1. Each instance of a fleet sends its counts many times a second, so a message
+// must not cause a recount of all instances.
+func (c *Core) addPeerCounts(counts []InFlight, factor int) {
+	for _, n := range counts {
+		if t := c.targets[n.Target]; t != nil {
+			t.peerOnline += factor * n.Online
+			t.peerBatch += factor * n.Batch
 		}
 	}
 }
 
-// InFlight gives what this instance has at the targets.
+// InFlight returns the requests of this instance in flight at each target.
 func (c *Core) InFlight() []InFlight {
 	var out []InFlight
 	for id, t := range c.targets {
@@ -225,114 +227,116 @@
 	return out
 }
 
-// Pick chooses a target and counts the request there until Done. It fails if
-// none is known or all are full.
-func (c *Core) Pick(now time.Time, want Requirements) (Choice, bool) {
-	best, any := c.best(now, want, trusted)
-	if best == nil && !any && !want.Batch {
-		// No target is trusted. Refusing would be worse than a try.
-		best, _ = c.best(now, want, suspected)
+// Pick chooses a target and counts the request there until Done. It fails if no target is
+// known or all are full.
+func (c *Core) Pick(now time.Time, req Requirements) (Choice, bool) {
+	best, exists := c.best(now, req, trusted)
+	if best == nil && !exists && !req.Batch {
+		// No target is trusted. Trying a suspect one is better than rejecting the request.
+		best, _ = c.best(now, req, suspected)
 	}
 	if best == nil {
 		return Choice{}, false
 	}
 	busy := best.busy(now)
 	choice := Choice{
-		Target: best.Target, Busy: busy, Unseen: best.beyond(now), Slots: best.slots, batch: want.Batch,
-		MustPreempt: !want.Batch && busy >= best.slots && best.batches() > 0,
+		Target: best.Target, Busy: busy, Unaccounted: best.currentUnaccounted(now), Slots: best.slots, batch: req.Batch,
+		MustPreempt: !req.Batch && busy >= best.slots && best.batchCount() > 0,
 	}
-	best.take(want.Batch)
-	best.begins(now)
+	best.acquire(req.Batch)
+	best.started(now)
 	return choice, true
 }
 
-// trusted lets a target be chosen that has not failed lately, or that this
-// request may probe. suspected lets all others be chosen.
-func trusted(now time.Time, t *target, want Requirements) bool {
-	return t.health.trusted() || (want.Batch || want.Repeatable) && t.mayProbe(now)
+// trusted reports whether a target has not failed recently or may be probed by this
+// request.
+func trusted(now time.Time, t *target, req Requirements) bool {
+	return t.health.trusted() || (req.Batch || req.Repeatable) && t.mayProbe(now)
 }
 
-func suspected(now time.Time, t *target, want Requirements) bool { return !trusted(now, t, want) }
+// suspected is the opposite of trusted.
+func suspected(now time.Time, t *target, req Requirements) bool { return !trusted(now, t, req) }
 
-// best is the target with the least cost among those that are allowed. It also
-// says whether any is allowed, be it full.
-func (c *Core) best(now time.Time, want Requirements, allowed func(time.Time, *target, Requirements) bool) (best *target, any bool) {
+// best returns the allowed target with the lowest cost, or nil. exists reports whether any
+// target is allowed, even if it is full.
+func (c *Core) best(now time.Time, req Requirements, allowed func(time.Time, *target, Requirements) bool) (best *target, exists bool) {
 	least := 0.0
 	for _, id := range c.ids {
 		t := c.targets[id]
-		if !want.fits(t) || slices.Contains(want.Exclude, id) || !allowed(now, t, want) {
+		if !req.matches(t) || slices.Contains(req.Exclude, id) || !allowed(now, t, req) {
 			continue
 		}
-		any = true
-		if !c.mayBegin(now, t) {
+		exists = true
+		if !c.mayStart(now, t) {
 			continue
 		}
-		cost, ok := c.cost(now, t, want)
+		cost, ok := c.cost(now, t, req)
 		if ok && (best == nil || cost < least) {
 			best, least = t, cost
 		}
 	}
-	return best, any
+	return best, exists
 }
 
-// cost ranks a target, the least first. It is not ok if the target is full.
-// Batch items give way, so that they keep no online request out.
-func (c *Core) cost(now time.Time, t *target, want Requirements) (float64, bool) {
+// cost ranks a target: the lowest cost is chosen. The second result is false if the target is
+// full. Batch items yield, so they don't make a target full for online requests.
+func (c *Core) cost(now time.Time, t *target, req Requirements) (float64, bool) {
 	busy := t.busy(now)
-	cost := c.placeCost(t, want) + float64(busy)/float64(t.slots)
-	if want.Batch {
+	cost := c.localityCost(t, req) + float64(busy)/float64(t.slots)
+	if req.Batch {
 		return cost, busy < t.slots
 	}
 	if busy >= t.slots {
 		cost += fullCost
 	}
-	return cost, busy-t.batches() < t.slots
+	return cost, busy-t.batchCount() < t.slots
 }
 
-// placeCost prefers the own failure domain and kept connections.
-func (c *Core) placeCost(t *target, want Requirements) float64 {
-	const tie = 0.01
-	cost := tie * c.opts.Random.Float64()
+// localityCost is lower for targets of the own failure domain and for those with a kept
+// connection.
+func (c *Core) localityCost(t *target, req Requirements) float64 {
+	const tieBreak = 0.01
+	cost := tieBreak * c.opts.Random.Float64()
 	if t.Domain != c.opts.Domain {
-		cost += remoteCost
+		cost += remoteDomainCost
 	}
-	connected := slices.Contains(want.Connected, t.ID) || c.opts.Connected != nil && c.opts.Connected(t.Address)
+	connected := slices.Contains(req.Connected, t.ID) || c.opts.Connected != nil && c.opts.Connected(t.Address)
 	if !connected {
-		cost += connectCost
+		cost += newConnectionCost
 	}
 	return cost
 }
 
-// Take counts a request at a target that was chosen elsewhere.
-func (c *Core) Take(now time.Time, id string, batch bool) (Choice, bool) {
+// Acquire counts a request at a target that was chosen on another instance.
+func (c *Core) Acquire(now time.Time, id string, batch bool) (Choice, bool) {
 	t := c.targets[id]
 	if t == nil {
 		return Choice{}, false
 	}
 	choice := Choice{Target: t.Target, Busy: t.busy(now), Slots: t.slots, batch: batch}
-	t.take(batch)
+	t.acquire(batch)
 	return choice, true
 }
 
-// Release takes a count back, without saying anything of the target.
+// Release removes a request from the counts. It has no effect on the target's health.
 func (c *Core) Release(choice Choice) {
-	if t := c.targets[choice.ID]; t != nil && t.same(choice) {
+	if t := c.targets[choice.ID]; t != nil && t.sameIncarnation(choice) {
 		t.release(choice.batch)
 	}
 }
 
-// Recount counts a request as another kind from now on, without saying anything of
-// the target.
-func (c *Core) Recount(choice Choice, batch bool) Choice {
+// Reclassify counts a request as online or batch from now on. It has no effect on the
+// target's health.
+func (c *Core) Reclassify(choice Choice, batch bool) Choice {
 	c.Release(choice)
 	choice.batch = batch
-	if t := c.targets[choice.ID]; t != nil && t.same(choice) {
-		t.take(batch)
+	if t := c.targets[choice.ID]; t != nil && t.sameIncarnation(choice) {
+		t.acquire(batch)
 	}
 	return choice
 }
 
-// Free counts the free slots of all targets that are trusted.
+// Free returns the number of free slots at all trusted targets.
 func (c *Core) Free(now time.Time) int {
 	free := 0
 	for _, t := range c.targets {
@@ -343,7 +347,7 @@
 	return free
 }
 
-// FreeAt counts the free slots of one target.
+// FreeAt returns the number of free slots at one target.
 func (c *Core) FreeAt(now time.Time, id string) int {
 	if t := c.targets[id]; t != nil && t.health.trusted() {
 		return c.free(now, t)
@@ -351,8 +355,7 @@
 	return 0
 }
 
-// Slots counts the slots of a service at targets that are trusted, and those of them
-// that are free.
+// Slots returns the number of all slots and of free slots of a service at trusted targets.
 func (c *Core) Slots(now time.Time, service string) (all, free int) {
 	for _, t := range c.targets {
 		if t.listed && t.Service == service && t.health.trusted() {
@@ -363,16 +366,16 @@
 	return all, free
 }
 
-// Distrusted gives the targets that a request should not go to. If it could go
-// to no other, none are given: refusing would be worse than a try.
-func (c *Core) Distrusted(now time.Time, want Requirements) []string {
+// Untrusted returns the targets to which a request should not be sent. It returns none if
+// there is no other target: trying one is better than rejecting the request.
+func (c *Core) Untrusted(now time.Time, req Requirements) []string {
 	var out []string
 	others := false
 	for id, t := range c.targets {
-		if !want.fits(t) || slices.Contains(want.Exclude, id) {
+		if !req.matches(t) || slices.Contains(req.Exclude, id) {
 			continue
 		}
-		if trusted(now, t, want) {
+		if trusted(now, t, req) {
 			others = true
 		} else {
 			out = append(out, id)
@@ -384,8 +387,8 @@
 	return out
 }
 
-// Known says whether any target of a service may be used now.
-func (c *Core) Known(service string) bool {
+// HasTargets reports whether the list contains a target of a service.
+func (c *Core) HasTargets(service string) bool {
 	for _, t := range c.targets {
 		if t.listed && t.Service == service {
 			return true
@@ -394,9 +397,9 @@
 	return false
 }
 
-// Told takes in what a target says of its load.
-func (c *Core) Told(now time.Time, id string, load exchange.Load) {
+// ApplyLoad applies a load report of a target.
+func (c *Core) ApplyLoad(now time.Time, id string, load exchange.Load) {
 	if t := c.targets[id]; t != nil {
-		t.told(now, load)
+		t.applyLoad(now, load)
 	}
 }
--- a/internal/coordination/routed/placement/core_test.go
+++ b/internal/coordination/routed/placement/core_test.go
@@ -16,8 +16,8 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// fleet is a core in domain d0 with some targets in each of some domains.
-func fleet(domains, each int) *Core {
+// newTestCore returns a core in domain d0 with the given number of targets in each domain.
+func newTestCore(domains, each int) *Core {
 	c := New(Options{Domain: "d0", Random: rand.New(rand.NewPCG(1, 2))})
 	var list []roster.Target
 	for d := range domains {
@@ -32,16 +32,16 @@
 	return c
 }
 
-func pick(t *testing.T, c *Core, now time.Time, want Requirements) Choice {
+func pick(t *testing.T, c *Core, now time.Time, req Requirements) Choice {
 	t.Helper()
-	want.Service = "s"
-	choice, ok := c.Pick(now, want)
+	req.Service = "s"
+	choice, ok := c.Pick(now, req)
 	require.True(t, ok)
 	return choice
 }
 
-func TestOwnDomainComesFirstUntilItIsBusier(t *testing.T) {
-	c := fleet(2, 1)
+func TestOwnDomainIsPreferredUntilBusier(t *testing.T) {
+	c := newTestCore(2, 1)
 	seen := map[string]int{}
 	for range 10 {
 		seen[pick(t, c, start, Requirements{}).Domain]++
@@ -50,8 +50,8 @@
 	require.Positive(t, seen["d1"])
 }
 
-func TestCountsOfOtherInstancesCount(t *testing.T) {
-	c := fleet(1, 2)
+func TestPeerRequestsOccupySlots(t *testing.T) {
+	c := newTestCore(1, 2)
 	c.SetPeer("other", []InFlight{{Target: "t0-0", Online: 7}})
 	for range 6 {
 		require.Equal(t, "t0-1", pick(t, c, start, Requirements{}).ID)
@@ -60,19 +60,19 @@
 	require.Equal(t, "t0-0", pick(t, c, start, Requirements{}).ID)
 }
 
-// A target reports more requests than the instances know of, because one of them
-// is cut off from the others and uses it too.
-func TestUnknownLoadCountsForAWhile(t *testing.T) {
-	c := fleet(1, 2)
-	c.Told(start, "t0-0", exchange.Load{Running: 8, Waiting: 3, Slots: 8})
+// A target reports more requests than the instances know of: an instance that is isolated
+// from the others uses it too. The extra requests count until the report expires.
+func TestUnaccountedRequestsExpire(t *testing.T) {
+	c := newTestCore(1, 2)
+	c.ApplyLoad(start, "t0-0", exchange.Load{Running: 8, Waiting: 3, Slots: 8})
 	require.Equal(t, "t0-1", pick(t, c, start, Requirements{}).ID)
 	require.Equal(t, "t0-0", pick(t, c, after(time.Second), Requirements{}).ID)
 }
 
-// All slots are taken, some by batch items. The online request goes where an item
-// can give way, and says so; an item finds no place.
-func TestOnlineGoesWhereBatchGivesWay(t *testing.T) {
-	c := fleet(1, 2)
+// All slots are taken, some by batch items. An online request goes to a target that runs an
+// item, and its choice says that it must preempt one. Another item finds no slot.
+func TestOnlineRequestPreemptsBatchItem(t *testing.T) {
+	c := newTestCore(1, 2)
 	c.SetPeer("other", []InFlight{{Target: "t0-1", Batch: 2}})
 	for range 14 {
 		require.False(t, pick(t, c, start, Requirements{}).MustPreempt)
@@ -84,11 +84,11 @@
 	require.False(t, ok)
 }
 
-// A target crashed and refuses connections. While the others are busy, requests
-// and batch items overflow to it, find nobody, come back and try again: a storm
-// of connections, and requests that wait in vain.
-func TestDeadTargetIsNoOverflow(t *testing.T) {
-	c := fleet(1, 2)
+// Guards against requests and batch items that overflow to a crashed target while the others
+// are busy. Each attempt is refused and retried, which causes a storm of connections and
+// delays requests.
+func TestUnreachableTargetGetsNoOverflow(t *testing.T) {
+	c := newTestCore(1, 2)
 	dead := pick(t, c, start, Requirements{Exclude: []string{"t0-1"}})
 	c.Done(start, dead, Unreachable)
 	for range 20 {
@@ -100,19 +100,19 @@
 	require.False(t, ok)
 }
 
-// The same target is tried again after a while: by one item or repeatable request
-// at first, and by all once it answered.
-func TestDeadTargetIsProbedByOne(t *testing.T) {
-	c := fleet(1, 2)
+// An avoided target is probed after the pause by one batch item or idempotent request. It
+// gets all kinds of requests again once a probe is answered.
+func TestUnreachableTargetIsProbedByOneRequest(t *testing.T) {
+	c := newTestCore(1, 2)
 	dead := pick(t, c, start, Requirements{Exclude: []string{"t0-1"}})
 	c.Done(start, dead, Unreachable)
 	later := after(500 * time.Millisecond)
 	for range 6 {
-		require.Equal(t, "t0-1", pick(t, c, later, Requirements{}).ID, "what may not be repeated is no probe")
+		require.Equal(t, "t0-1", pick(t, c, later, Requirements{}).ID, "requests that are not idempotent are not used as probes")
 	}
 	probe := pick(t, c, later, Requirements{Repeatable: true})
 	require.Equal(t, "t0-0", probe.ID)
-	require.Equal(t, "t0-1", pick(t, c, later, Requirements{Repeatable: true}).ID, "one probe is enough")
+	require.Equal(t, "t0-1", pick(t, c, later, Requirements{Repeatable: true}).ID, "only one probe at a time")
 	c.Done(later, probe, Unreachable)
 	require.Equal(t, "t0-1", pick(t, c, after(900*time.Millisecond), Requirements{Batch: true, Exclude: nil}).ID, "the pause has doubled")
 	probe = pick(t, c, after(1400*time.Millisecond), Requirements{Batch: true})
@@ -121,35 +121,35 @@
 	require.Equal(t, "t0-0", pick(t, c, after(1400*time.Millisecond), Requirements{}).ID)
 }
 
-// All targets have failed, as when the instance itself was cut off for a moment.
-// Requests are tried all the same: refusing them would be worse.
-func TestWithoutAnyGoodTargetABadOneIsTried(t *testing.T) {
-	c := fleet(1, 2)
+// All targets have failed, for example because the instance itself was briefly isolated.
+// Requests are sent nevertheless, since rejecting them would be worse.
+func TestSuspectTargetIsTriedIfNoneIsTrusted(t *testing.T) {
+	c := newTestCore(1, 2)
 	for range 2 {
 		c.Done(start, pick(t, c, start, Requirements{}), Unreachable)
 	}
 	pick(t, c, start, Requirements{})
 }
 
-// The path to another failure domain is cut. Its targets are silent, and each
-// request that is sent there waits in vain. Its instances are silent too, which
-// shows before any request is lost.
-func TestTargetsOfASilentDomainAreLeft(t *testing.T) {
-	c := fleet(2, 1)
+// A network partition isolates another failure domain. Requests to its targets would wait
+// until they time out. The instances of the domain are silent too, which is noticed before
+// any request is lost.
+func TestTargetsOfSilentDomainAreAvoided(t *testing.T) {
+	c := newTestCore(2, 1)
 	c.SetDomainSilent(start, "d1", true)
 	for range 8 {
 		require.Equal(t, "d0", pick(t, c, start, Requirements{}).Domain)
 	}
 	_, ok := c.Pick(start, Requirements{Service: "s"})
-	require.False(t, ok, "waiting for a slot is better than being sent where nobody answers")
+	require.False(t, ok, "waiting for a slot is better than sending to a target that does not answer")
 	c.SetDomainSilent(start, "d1", false)
 	require.Equal(t, "d1", pick(t, c, start, Requirements{}).Domain)
 }
 
-// Only the instances of the other domain are cut off. Its targets answer a probe
-// and are used again.
-func TestSilentDomainWhoseTargetsAnswerIsUsed(t *testing.T) {
-	c := fleet(2, 1)
+// Only the instances of the other domain are unreachable. Its targets answer a probe and are
+// used again.
+func TestTargetsOfSilentDomainAreUsedAfterProbe(t *testing.T) {
+	c := newTestCore(2, 1)
 	c.SetDomainSilent(start, "d1", true)
 	later := after(time.Second)
 	probe := pick(t, c, later, Requirements{Repeatable: true, Exclude: []string{"t0-0"}})
@@ -162,18 +162,18 @@
 	require.Equal(t, map[string]int{"d0": 8, "d1": 8}, seen)
 }
 
-func TestReplacedTargetGetsNothingMore(t *testing.T) {
-	c := fleet(1, 1)
+func TestReplacedTargetGetsNoRequests(t *testing.T) {
+	c := newTestCore(1, 1)
 	c.Done(start, pick(t, c, start, Requirements{}), Replaced)
 	_, ok := c.Pick(start, Requirements{Service: "s"})
 	require.False(t, ok)
-	require.False(t, c.Known("s"))
+	require.False(t, c.HasTargets("s"))
 }
 
-// A target starts again under its id. What is counted for its old life must not
-// keep requests from the new one.
-func TestNewLifeOfATargetStartsEmpty(t *testing.T) {
-	c := fleet(1, 1)
+// A target restarts under the same ID. Requests counted for its old incarnation must not
+// occupy slots of the new one.
+func TestRestartedTargetStartsEmpty(t *testing.T) {
+	c := newTestCore(1, 1)
 	old := pick(t, c, start, Requirements{})
 	c.SetTargets([]roster.Target{{ID: "t0-0", Service: "s", Domain: "d0", Address: "10.0.0.0:1", Slots: 8, Started: 5}})
 	require.Zero(t, pick(t, c, start, Requirements{}).Busy)
@@ -181,13 +181,12 @@
 	require.Equal(t, 1, pick(t, c, start, Requirements{}).Busy)
 }
 
-// What other instances have at the targets is counted as they tell it. However they
-// come and go, and targets with them, the counts are those of the last messages; if
-// they drifted, targets would count as busy or free for good.
-func TestCountsOfOthersAreThoseOfTheirLastMessages(t *testing.T) {
+// Guards against counts of other instances that drift from their latest messages while
+// instances and targets join and leave. Such targets would count as busy or free forever.
+func TestPeerCountsMatchLastMessages(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 9))
 	core := New(Options{Domain: "d", Random: random})
-	told := map[string][]InFlight{}
+	latest := map[string][]InFlight{}
 	for range 500 {
 		var list []roster.Target
 		for i := range random.IntN(4) {
@@ -197,22 +196,22 @@
 			core.SetTargets(list)
 		}
 		name := fmt.Sprint("n", random.IntN(3))
-		told[name] = nil
+		latest[name] = nil
 		for i := range random.IntN(4) {
-			told[name] = append(told[name], InFlight{Target: fmt.Sprint("t", i), Online: random.IntN(5), Batch: random.IntN(5)})
+			latest[name] = append(latest[name], InFlight{Target: fmt.Sprint("t", i), Online: random.IntN(5), Batch: random.IntN(5)})
 		}
-		core.SetPeer(name, told[name])
+		core.SetPeer(name, latest[name])
 		for id, target := range core.targets {
 			online, batch := 0, 0
-			for _, held := range told {
-				for _, h := range held {
-					if h.Target == id {
-						online, batch = online+h.Online, batch+h.Batch
+			for _, counts := range latest {
+				for _, n := range counts {
+					if n.Target == id {
+						online, batch = online+n.Online, batch+n.Batch
 					}
 				}
 			}
-			require.Equal(t, online, target.elsewhereOnline)
-			require.Equal(t, batch, target.elsewhereBatch)
+			require.Equal(t, online, target.peerOnline)
+			require.Equal(t, batch, target.peerBatch)
 		}
 	}
 }
--- a/internal/coordination/routed/placement/doc.go
+++ b/internal/coordination/routed/placement/doc.go
@@ -1,15 +1,14 @@
 // Package placement chooses the target of each request and batch item.
 //
-// The load it answers: many instances send to one set of targets whose slots are
-// few, where a request that finds no free slot waits in the target's own queue,
-// first come first served, behind whatever came before it. Targets know no
-// priorities. So an instance keeps count of what it has at each target, is told
-// what the other instances have there, and sends where a slot is free.
+// Many instances send to one set of targets that have few slots. A request that finds no
+// free slot waits in the target's own queue, which is first come, first served: targets
+// know no priorities. Each instance therefore counts its requests in flight at each target,
+// receives the counts of the other instances, and sends to a target with a free slot.
 //
-// Batch items fill slots that online requests leave. When all slots are taken,
-// an online request goes where batch items run, and one of those gives up its
-// slot at once: an item goes on elsewhere at the event where it stopped, which
-// costs the reading of its prompt and no output.
+// Batch items fill the slots that online requests leave free. When all slots are taken, an
+// online request goes to a target that runs batch items, and one of those items yields its
+// slot at once. The item resumes on another target at the event at which it stopped, which
+// costs another prefill of its prompt and loses no output.
 //
-// The decision is pure: time, counts and results come in as arguments.
+// Decisions are pure: the time, the counts and the results are arguments.
 package placement
--- a/internal/coordination/routed/placement/placer.go
+++ b/internal/coordination/routed/placement/placer.go
@@ -12,82 +12,82 @@
 	"merlintiller/internal/state/roster"
 )
 
-// lookEvery is how often a waiting request looks for a slot where no broker
-// answers. Other instances tell several times a second which slots they free.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is how often a waiting request checks for a free slot while no broker
+// answers. Other instances report the slots that they free several times a second.
+const pollInterval = 20 * time.Millisecond
 
-// Placer is a Core that many goroutines use.
+// Placer is a Core that is safe for concurrent use.
 type Placer struct {
 	mu   sync.Mutex
 	core *Core
 }
 
-// NewPlacer returns a placer that knows no target.
+// NewPlacer returns a placer without targets.
 func NewPlacer(domain string, connected func(address string) bool, seed uint64) *Placer {
 	p := &Placer{core: New(Options{
 		Domain: domain, Connected: connected,
 		Random: rand.New(rand.NewPCG(seed, seed)),
 	})}
 	metrics.GetOrCreateGauge(`slots_used{kind="online"}`, func() float64 {
-		online, _ := p.used()
+		online, _ := p.totalInFlight()
 		return float64(online)
 	})
 	metrics.GetOrCreateGauge(`slots_used{kind="batch"}`, func() float64 {
-		_, batch := p.used()
+		_, batch := p.totalInFlight()
 		return float64(batch)
 	})
 	return p
 }
 
-// used counts what this instance has at all targets.
-func (p *Placer) used() (online, batch int) {
-	for _, h := range p.InFlight() {
-		online += h.Online
-		batch += h.Batch
+// totalInFlight returns the requests of this instance in flight at all targets.
+func (p *Placer) totalInFlight() (online, batch int) {
+	for _, n := range p.InFlight() {
+		online += n.Online
+		batch += n.Batch
 	}
 	return online, batch
 }
 
-// SetTargets takes over the targets that may be used.
+// SetTargets replaces the list of usable targets.
 func (p *Placer) SetTargets(list []roster.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetTargets(list)
 }
 
-// SetPeer takes over what another instance has at the targets.
-func (p *Placer) SetPeer(name string, held []InFlight) {
+// SetPeer replaces the counts of another instance.
+func (p *Placer) SetPeer(name string, counts []InFlight) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.SetPeer(name, held)
+	p.core.SetPeer(name, counts)
 }
 
-// InFlight gives what this instance has at the targets.
+// InFlight returns the requests of this instance in flight at each target.
 func (p *Placer) InFlight() []InFlight {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.core.InFlight()
 }
 
-// WaitLimits says how long a request may wait for a place.
+// WaitLimits bound how long a request may wait for a slot.
 type WaitLimits struct {
 	// SendBy is when the request must be sent for its answer to be on time.
 	SendBy time.Time
-	// Deadline is when waiting has no use any more.
+	// Deadline is when the request stops waiting.
 	Deadline time.Time
 }
 
-// Place chooses a target for an online request and counts it there until Done.
-// While all are full it waits; it fails if none is known, or if the patience or
-// ctx ends. It is for the times when no broker answers.
-func (p *Placer) Place(ctx context.Context, want Requirements, patience WaitLimits) (Choice, bool) {
-	ticker := time.NewTicker(lookEvery)
+// Place chooses a target for an online request and counts it there until Done. It waits
+// while all targets are full. It fails if no target is known, at the deadline, or when ctx
+// ends. It is used only while no broker answers.
+func (p *Placer) Place(ctx context.Context, req Requirements, limits WaitLimits) (Choice, bool) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		if choice, ok := p.Pick(want); ok {
+		if choice, ok := p.Pick(req); ok {
 			return choice, true
 		}
-		if !p.Known(want.Service) || !time.Now().Before(patience.Deadline) {
+		if !p.HasTargets(req.Service) || !time.Now().Before(limits.Deadline) {
 			return Choice{}, false
 		}
 		select {
@@ -98,20 +98,19 @@
 	}
 }
 
-// SetDomainSilent notes that all instances of a failure domain are silent, or
-// that one is heard again.
+// SetDomainSilent records whether all instances of a failure domain are silent.
 func (p *Placer) SetDomainSilent(domain string, silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetDomainSilent(time.Now(), domain, silent)
 }
 
-// Pick chooses a target and counts the request there until Done. It fails if none
-// is known or all are full.
-func (p *Placer) Pick(want Requirements) (Choice, bool) {
+// Pick chooses a target and counts the request there until Done. It fails if no target is
+// known or all are full.
+func (p *Placer) Pick(req Requirements) (Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.core.Pick(time.Now(), want)
+	return p.core.Pick(time.Now(), req)
 }
 
 // Done ends the exchange of a choice.
@@ -121,61 +120,62 @@
 	p.core.Done(time.Now(), choice, result)
 }
 
-// Told takes in what a target says of its load.
-func (p *Placer) Told(id string, load *exchange.Load) {
+// ApplyLoad applies a load report of a target. load may be nil.
+func (p *Placer) ApplyLoad(id string, load *exchange.Load) {
 	if load == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Told(time.Now(), id, *load)
+	p.core.ApplyLoad(time.Now(), id, *load)
 }
 
-// Take counts a request at a target that a broker chose.
-func (p *Placer) Take(target roster.Target, batch bool) Choice {
+// Acquire counts a request at a target that a broker chose.
+func (p *Placer) Acquire(target roster.Target, batch bool) Choice {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	choice, ok := p.core.Take(time.Now(), target.ID, batch)
+	choice, ok := p.core.Acquire(time.Now(), target.ID, batch)
 	if !ok {
-		// It left the list here a moment ago, or is not yet on it.
+		// This instance has already removed the target from its list or not yet added it.
 		return Choice{Target: target, batch: batch}
 	}
 	return choice
 }
 
-// Distrusted gives the targets that a request should not go to, unless there is
-// no other: then none are given, and each may be tried.
-func (p *Placer) Distrusted(want Requirements) []string {
+// Untrusted returns the targets to which a request should not be sent. It returns none if
+// there is no other target: then each may be tried.
+func (p *Placer) Untrusted(req Requirements) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.core.Distrusted(time.Now(), want)
+	return p.core.Untrusted(time.Now(), req)
 }
 
-// Known says whether any target of a service may be used.
-func (p *Placer) Known(service string) bool {
+// HasTargets reports whether the list contains a target of a service.
+func (p *Placer) HasTargets(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.core.Known(service)
+	return p.core.HasTargets(service)
 }
 
-// Waiting notes that an exchange waits longer than it should. The returned
-// function takes the note back, once; it is nil if the target is only busy.
-func (p *Placer) Waiting(choice Choice) (goesOn func()) {
+// MarkStalled records that an exchange is waiting longer than it should. The returned
+// function removes the record; further calls have no effect. It is nil if the target is only
+// busy.
+func (p *Placer) MarkStalled(choice Choice) (unmark func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.core.Waiting(time.Now(), choice) {
+	if !p.core.MarkStalled(time.Now(), choice) {
 		return nil
 	}
 	return sync.OnceFunc(func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.core.GoesOn(choice)
+		p.core.ClearStalled(choice)
 	})
 }
 
-// Heard notes that something came from a target.
-func (p *Placer) Heard(id string) {
+// DataReceived records that data arrived from a target.
+func (p *Placer) DataReceived(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.Heard(time.Now(), id)
+	p.core.DataReceived(time.Now(), id)
 }
--- a/internal/coordination/routed/placement/result.go
+++ b/internal/coordination/routed/placement/result.go
@@ -2,33 +2,32 @@
 
 import "time"
 
-// Result is how an exchange with a target ended.
+// Result is the outcome of an exchange with a target.
 type Result int
 
 const (
-	// Served: the target answered, whatever the answer was.
+	// Served: the target answered, with any status.
 	Served Result = iota
-	// Full: the target refused the request because it has no place.
+	// Full: the target rejected the request because it has no free slot.
 	Full
-	// Replaced: another target has the address by now.
+	// Replaced: another target now uses the address.
 	Replaced
-	// Unreachable: no connection came about.
+	// Unreachable: no connection could be established.
 	Unreachable
-	// Broken: the connection ended before the whole answer was there.
+	// Broken: the connection ended before the answer was complete.
 	Broken
-	// TimedOut: the target did not go on in time, and was left.
+	// TimedOut: the target did not continue in time, and the exchange was ended.
 	TimedOut
-	// Cancelled: the exchange was ended from this side for a reason that says
-	// nothing about the target.
+	// Cancelled: this instance ended the exchange for a reason unrelated to the target.
 	Cancelled
 )
 
-// Failure says that the target did not answer, or not to the end.
+// Failure reports whether the target did not answer, or not completely.
 func (r Result) Failure() bool { return r == Unreachable || r == Broken || r == TimedOut }
 
-// fullFor is how long a target that refused counts as full: about the time until one
-// of its slots comes free.
-const fullFor = 90 * time.Millisecond
+// fullTTL is how long a target that rejected a request counts as full: roughly the time
+// until one of its slots becomes free.
+const fullTTL = 90 * time.Millisecond
 
 // Done ends the exchange of a choice.
 func (c *Core) Done(now time.Time, choice Choice, result Result) {
@@ -36,24 +35,24 @@
 	if t == nil {
 		return
 	}
-	if t.same(choice) {
+	if t.sameIncarnation(choice) {
 		t.release(choice.batch)
 	}
 	switch result {
 	case Served:
-		t.health.good()
+		t.health.succeeded()
 	case Full:
-		t.unseen = max(0, t.slots-t.busy(now))
-		t.unseenUntil = now.Add(fullFor)
+		t.unaccounted = max(0, t.slots-t.busy(now))
+		t.unaccountedUntil = now.Add(fullTTL)
 	case Replaced:
 		t.listed = false
-		t.health.bad(now, strikesToAvoid)
+		t.health.failed(now, avoidanceThreshold)
 	case Unreachable:
-		t.health.bad(now, strikesToAvoid)
+		t.health.failed(now, avoidanceThreshold)
 	case Broken:
-		t.health.bad(now, 1)
+		t.health.failed(now, 1)
 	case TimedOut:
-		t.health.bad(now, strikesToAvoid)
+		t.health.failed(now, avoidanceThreshold)
 	case Cancelled:
 	}
 	if !t.listed && t.online+t.batch == 0 {
@@ -61,12 +60,12 @@
 	}
 }
 
-// same says that a choice was made in this life of the target.
-func (t *target) same(choice Choice) bool {
+// sameIncarnation reports whether a choice was made for this incarnation of the target.
+func (t *target) sameIncarnation(choice Choice) bool {
 	return choice.Started == t.Started && choice.Address == t.Address
 }
 
-func (t *target) take(batch bool) {
+func (t *target) acquire(batch bool) {
 	if batch {
 		t.batch++
 	} else {
@@ -82,32 +81,32 @@
 	}
 }
 
-// heardLately is how short ago a target must have been heard for an exchange that
-// waits to be thought to stand in a queue: several events of one request.
-const heardLately = 120 * time.Millisecond
+// recentData bounds the age of the last data from a target below which an exchange that
+// waits is assumed to be queued there. It covers several events of one request.
+const recentData = 120 * time.Millisecond
 
-// Heard notes that something came from a target.
-func (c *Core) Heard(now time.Time, id string) {
+// DataReceived records that data arrived from a target.
+func (c *Core) DataReceived(now time.Time, id string) {
 	if t := c.targets[id]; t != nil {
-		t.heard = now
+		t.lastData = now
 	}
 }
 
-// Waiting notes that an exchange waits longer than it should, unless the target
-// was heard a moment ago: then it is only busy. GoesOn notes that it went on or
-// ended. Meanwhile the target is avoided.
-func (c *Core) Waiting(now time.Time, choice Choice) bool {
+// MarkStalled records that an exchange is waiting longer than it should. The target is
+// avoided until ClearStalled is called. It returns false, and records nothing, if data
+// arrived from the target within recentData: the target is then only busy.
+func (c *Core) MarkStalled(now time.Time, choice Choice) bool {
 	t := c.targets[choice.ID]
-	if t == nil || now.Sub(t.heard) < heardLately {
+	if t == nil || now.Sub(t.lastData) < recentData {
 		return false
 	}
-	t.health.waiting++
+	t.health.stalled++
 	return true
 }
 
-// GoesOn takes a note of Waiting back.
-func (c *Core) GoesOn(choice Choice) {
+// ClearStalled records that a stalled exchange continued or ended.
+func (c *Core) ClearStalled(choice Choice) {
 	if t := c.targets[choice.ID]; t != nil {
-		t.health.waiting = max(0, t.health.waiting-1)
+		t.health.stalled = max(0, t.health.stalled-1)
 	}
 }
--- a/internal/coordination/routed/placement/target.go
+++ b/internal/coordination/routed/placement/target.go
@@ -7,89 +7,91 @@
 	"merlintiller/internal/state/roster"
 )
 
-// target is what is known of one target.
+// target is the state kept for one target.
 type target struct {
 	roster.Target
 	slots int
-	// listed says that the target may still get requests.
+	// listed is set while the target may get requests.
 	listed bool
-	// online and batch are this instance's own requests there.
+	// online and batch are the requests of this instance in flight at the target.
 	online, batch int
-	// elsewhereOnline and elsewhereBatch are those of other instances.
-	elsewhereOnline, elsewhereBatch int
-	// unseen are requests that the target reported beyond the known ones: those
-	// of instances that can't tell. They count until unseenUntil.
-	unseen      int
-	unseenUntil time.Time
-	// heard is when anything came from the target last.
-	heard  time.Time
-	health health
-	warmUp warmUp
+	// peerOnline and peerBatch are the requests of other instances.
+	peerOnline, peerBatch int
+	// unaccounted is the number of requests that the target reported beyond those counted
+	// above: requests of instances whose counts don't arrive. It is used until
+	// unaccountedUntil.
+	unaccounted      int
+	unaccountedUntil time.Time
+	// lastData is when data last arrived from the target.
+	lastData time.Time
+	health   health
+	warmUp   warmUp
 }
 
 func (t *target) busy(now time.Time) int {
-	return t.online + t.batch + t.elsewhereOnline + t.elsewhereBatch + t.beyond(now)
+	return t.online + t.batch + t.peerOnline + t.peerBatch + t.currentUnaccounted(now)
 }
 
-// beyond is how many requests there are beyond the known ones.
-func (t *target) beyond(now time.Time) int {
-	if now.Before(t.unseenUntil) {
-		return t.unseen
+// currentUnaccounted returns unaccounted, or 0 once the report has expired.
+func (t *target) currentUnaccounted(now time.Time) int {
+	if now.Before(t.unaccountedUntil) {
+		return t.unaccounted
 	}
 	return 0
 }
 
-func (t *target) batches() int { return t.batch + t.elsewhereBatch }
+func (t *target) batchCount() int { return t.batch + t.peerBatch }
 
-// told takes in what the target says of its own load.
-func (t *target) told(now time.Time, load exchange.Load) {
+// applyLoad applies a load report of the target.
+func (t *target) applyLoad(now time.Time, load exchange.Load) {
 	if load.Slots > 0 {
 		t.slots = load.Slots
 	}
-	known := t.online + t.batch + t.elsewhereOnline + t.elsewhereBatch
-	t.unseen = max(0, load.Running+load.Waiting-known)
-	t.unseenUntil = now.Add(unseenFor)
+	known := t.online + t.batch + t.peerOnline + t.peerBatch
+	t.unaccounted = max(0, load.Running+load.Waiting-known)
+	t.unaccountedUntil = now.Add(unaccountedTTL)
 }
 
-// mayProbe says that the target may be tried by one request.
+// mayProbe reports whether one request may be sent as a probe.
 func (t *target) mayProbe(now time.Time) bool {
-	return !now.Before(t.health.avoidedUntil) && t.health.waiting == 0 && t.online+t.batch == 0
+	return !now.Before(t.health.avoidedUntil) && t.health.stalled == 0 && t.online+t.batch == 0
 }
 
-// health says whether a target can be trusted with a request.
+// health tracks whether a target may be trusted with requests.
 type health struct {
-	// strikes are failures in a row.
-	strikes int
-	// suspect says that the target failed and has not answered since. It is
-	// left alone until avoidedUntil and probed after that.
+	// failureScore is the sum of the weights of consecutive failures.
+	failureScore int
+	// suspect is set if the target failed and has not answered since. The target is
+	// avoided until avoidedUntil and probed after that.
 	suspect      bool
 	avoidedUntil time.Time
 	backoff      time.Duration
-	// waiting are exchanges that wait longer than they should.
-	waiting int
+	// stalled is the number of exchanges that are waiting longer than they should.
+	stalled int
 }
 
-// trusted says that the target gets any request.
+// trusted reports whether the target may get any request.
 func (h *health) trusted() bool {
-	return !h.suspect && h.waiting == 0
+	return !h.suspect && h.stalled == 0
 }
 
 func (h *health) avoid(now time.Time) {
 	h.suspect = true
-	h.backoff = min(max(avoidFirst, 2*h.backoff), avoidMost)
+	h.backoff = min(max(minAvoidance, 2*h.backoff), maxAvoidance)
 	h.avoidedUntil = now.Add(h.backoff)
 }
 
-func (h *health) good() {
-	h.strikes = 0
+func (h *health) succeeded() {
+	h.failureScore = 0
 	h.suspect = false
 	h.backoff = 0
 }
 
-// bad counts a failure of a weight; at the limit the target is left alone.
-func (h *health) bad(now time.Time, weight int) {
-	h.strikes += weight
-	if h.strikes >= strikesToAvoid {
+// failed adds a failure of the given weight. The target is avoided from avoidanceThreshold
+// on.
+func (h *health) failed(now time.Time, weight int) {
+	h.failureScore += weight
+	if h.failureScore >= avoidanceThreshold {
 		h.avoid(now)
 	}
 }
--- a/internal/coordination/routed/placement/warmup.go
+++ b/internal/coordination/routed/placement/warmup.go
@@ -6,65 +6,66 @@
 	"merlintiller/internal/state/roster"
 )
 
-// warmUp bounds the requests that begin at a target which started a moment ago.
+// warmUp limits the rate of new requests at a target that recently started.
 //
-// The load it answers: a target comes back with all its slots free, and so each instance
-// would send to it first. It bears a few requests a second while it warms up, from all
-// instances together, and crashes well above that.
+// A target comes back with all its slots free, so each instance would send to it first.
+// While it warms up, it can handle only a few new requests a second from all instances
+// together, and crashes well above that rate.
 type warmUp struct {
-	// until is when it ends, listed what the list of targets said last.
-	until, listed time.Time
-	// next is when the next request may begin.
-	next time.Time
+	// until is when the warm-up ends. lastListed is the end that the list of targets gave
+	// last.
+	until, lastListed time.Time
+	// nextStart is when the next request may start.
+	nextStart time.Time
 }
 
-// take takes over what the list says.
-func (w *warmUp) take(told roster.Warming) {
-	if told.Until.Equal(w.listed) {
+// apply applies the warm-up state from the list of targets.
+func (w *warmUp) apply(entry roster.Warming) {
+	if entry.Until.Equal(w.lastListed) {
 		return
 	}
-	w.listed = told.Until
-	if told.Until.After(w.until) {
-		w.until = told.Until
+	w.lastListed = entry.Until
+	if entry.Until.After(w.until) {
+		w.until = entry.Until
 	}
 }
 
-// warming says that only few requests may begin at the target now.
-func (t *target) warming(now time.Time) bool {
+// warmingUp reports whether the rate of new requests at the target is limited now.
+func (t *target) warmingUp(now time.Time) bool {
 	return t.Warming.Rate > 0 && now.Before(t.warmUp.until)
 }
 
-// mayBegin says that a request may begin at a target now, as far as its warm-up goes.
-func (c *Core) mayBegin(now time.Time, t *target) bool {
-	if !t.warming(now) {
+// mayStart reports whether the target's warm-up permits a new request now.
+func (c *Core) mayStart(now time.Time, t *target) bool {
+	if !t.warmingUp(now) {
 		return true
 	}
-	return c.opts.Warming != nil && c.opts.Warming() && !now.Before(t.warmUp.next)
+	return c.opts.AllowWarmingUp != nil && c.opts.AllowWarmingUp() && !now.Before(t.warmUp.nextStart)
 }
 
-// begins notes that a request begins at the target.
-func (t *target) begins(now time.Time) {
-	if t.warming(now) {
-		t.warmUp.next = now.Add(time.Duration(float64(time.Second) / t.Warming.Rate))
+// started records that a request starts at the target.
+func (t *target) started(now time.Time) {
+	if t.warmingUp(now) {
+		t.warmUp.nextStart = now.Add(time.Duration(float64(time.Second) / t.Warming.Rate))
 	}
 }
 
-// free counts the free slots that requests may begin in now.
+// free returns the number of free slots in which requests may start now.
 func (c *Core) free(now time.Time, t *target) int {
 	free := max(0, t.slots-t.busy(now))
 	switch {
-	case !c.mayBegin(now, t):
+	case !c.mayStart(now, t):
 		return 0
-	case t.warming(now):
+	case t.warmingUp(now):
 		return min(1, free)
 	default:
 		return free
 	}
 }
 
-// MayHaveRestarted notes that a target failed, so that it may have started anew and warm up
-// when it answers again. It says whether that matters.
-func (c *Core) MayHaveRestarted(now time.Time, id string) bool {
+// MarkPossibleRestart records that a target failed. The target may have restarted, in which
+// case it warms up when it answers again. It returns false if the target needs no warm-up.
+func (c *Core) MarkPossibleRestart(now time.Time, id string) bool {
 	t := c.targets[id]
 	if t == nil || t.Warming.Rate <= 0 || t.Warming.Lasts <= 0 {
 		return false
@@ -73,8 +74,8 @@
 	return true
 }
 
-// Warms notes how much longer a target warms up, by its own word.
-func (c *Core) Warms(now time.Time, id string, left time.Duration) {
+// SetWarmUpLeft sets the remaining warm-up time that a target reported.
+func (c *Core) SetWarmUpLeft(now time.Time, id string, left time.Duration) {
 	if t := c.targets[id]; t != nil {
 		t.warmUp.until = now.Add(left)
 	}
--- a/internal/coordination/routed/placement/warmup_test.go
+++ b/internal/coordination/routed/placement/warmup_test.go
@@ -10,10 +10,10 @@
 	"merlintiller/internal/state/roster"
 )
 
-// warming is a core of one warm target and one that warms up for three seconds. It may send
-// to the latter if it decides for all.
-func warming(decides bool) *Core {
-	c := New(Options{Random: rand.New(rand.NewPCG(1, 2)), Warming: func() bool { return decides }})
+// newWarmingCore returns a core of one warm target and one that warms up for three seconds.
+// soleBroker is whether it may send requests to the latter.
+func newWarmingCore(soleBroker bool) *Core {
+	c := New(Options{Random: rand.New(rand.NewPCG(1, 2)), AllowWarmingUp: func() bool { return soleBroker }})
 	warm := roster.Warming{Lasts: 3 * time.Second, Rate: 5}
 	cold := warm
 	cold.Until = after(3 * time.Second)
@@ -24,10 +24,11 @@
 	return c
 }
 
-// Guards against more requests at a target that warms up than it bears, of either kind.
-func TestWarmingTargetGetsItsRate(t *testing.T) {
+// Guards against sending more online requests or batch items to a target that warms up than
+// its rate permits.
+func TestWarmingTargetStartsAreRateLimited(t *testing.T) {
 	for _, batch := range []bool{false, true} {
-		c := warming(true)
+		c := newWarmingCore(true)
 		count := 0
 		for now := start; now.Before(after(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
 			if choice, ok := c.Pick(now, Requirements{Service: "s", Batch: batch, Exclude: []string{"warm"}}); ok {
@@ -36,29 +37,29 @@
 			}
 		}
 		require.Equal(t, 10, count)
-		require.Equal(t, 16, c.Free(after(3*time.Second)), "warm by then")
+		require.Equal(t, 16, c.Free(after(3*time.Second)), "the target is warm after three seconds")
 	}
 }
 
-// Guards against instances that decide for themselves alone, each of which would send as many
-// as the target bears from all.
-func TestOnlyWhoDecidesForAllSendsToWarmingTargets(t *testing.T) {
-	c := warming(false)
+// Guards against instances that each send requests to a warming target at the full rate that
+// it can handle from all instances together.
+func TestOnlySoleBrokerSendsToWarmingTargets(t *testing.T) {
+	c := newWarmingCore(false)
 	for range 8 {
 		require.Equal(t, "warm", pick(t, c, start, Requirements{}).ID)
 	}
 	_, ok := c.Pick(start, Requirements{Service: "s"})
-	require.False(t, ok, "not even if nothing else is free")
+	require.False(t, ok, "not even if no other slot is free")
 	require.Zero(t, c.Free(start))
 }
 
-// Guards against a target that came back under its old entry and is taken for warm, and
-// against one that is held back though it says that it did not start anew.
-func TestFailedTargetIsHeldBackUntilItSaysHowItIs(t *testing.T) {
-	c := warming(true)
-	require.True(t, c.MayHaveRestarted(start, "warm"))
+// Guards against a target that restarted without a new list entry and counts as warm, and
+// against rate-limiting a target after its health check reported that it did not restart.
+func TestFailedTargetCountsAsWarmingUntilHealthCheck(t *testing.T) {
+	c := newWarmingCore(true)
+	require.True(t, c.MarkPossibleRestart(start, "warm"))
 	require.Equal(t, 2, c.Free(start))
-	c.Warms(after(10*time.Millisecond), "warm", 0)
+	c.SetWarmUpLeft(after(10*time.Millisecond), "warm", 0)
 	require.Equal(t, 9, c.Free(after(10*time.Millisecond)))
-	require.False(t, c.MayHaveRestarted(start, "unknown"))
+	require.False(t, c.MarkPossibleRestart(start, "unknown"))
 }
