--- a/internal/coordination/routed/broker/broker.go
+++ b/internal/coordination/routed/broker/broker.go
@@ -15,200 +15,201 @@
 )
 
 var (
-	granted = metrics.NewCounter(`broker_grants_total{kind="online"}`)
-	filled  = metrics.NewCounter(`broker_grants_total{kind="batch"}`)
-	yielded = metrics.NewCounter(`broker_yields_total`)
+	onlineGrants  = metrics.NewCounter(`broker_grants_total{kind="online"}`)
+	batchGrants   = metrics.NewCounter(`broker_grants_total{kind="batch"}`)
+	yieldRequests = metrics.NewCounter(`broker_yields_total`)
 )
 
 const (
-	// expireEvery is how often the holds of silent instances are looked for.
-	expireEvery = 500 * time.Millisecond
-	// lookEvery is how often those who wait are looked after when nothing else
-	// happens: the pause after a yield may have ended.
-	lookEvery = 20 * time.Millisecond
+	// expireInterval is how often the holds of silent instances are checked for expiry.
+	expireInterval = 500 * time.Millisecond
+	// retryInterval is how often slots are allocated to waiters while no other event
+	// triggers it: the pause after a yield may have ended.
+	retryInterval = 20 * time.Millisecond
 )
 
-// Broker divides the slots of the targets of its own failure domain, for as long
-// as others ask it to. It is a duty.
+// Broker divides the slots of the targets of its own failure domain for as long as other
+// instances use it as their broker. It is a background service.
 type Broker struct {
 	domain string
-	// yield asks an instance to give the slot of a batch item back. It says whether
-	// the instance was reached.
+	// yield asks an instance to give back the slot of a batch item. It returns false if the
+	// instance was not reached.
 	yield func(instance string, number uint64) bool
 
-	mu       sync.Mutex
-	allotter *SlotAllocator
-	// placed takes the grant of each who waits, once.
-	placed map[*Waiter]chan Grant
-	// looking says that a look is due.
-	looking bool
-	sweep   *sweep
-	// sweepBegins has something in it once a sweep begins.
-	sweepBegins chan struct{}
-	checkup     *checkup
-	// checkBegins has something in it once a target is to be asked how it is.
-	checkBegins chan struct{}
-	// leads says that no other broker of the domain gives slots, as of leadsAt.
-	leads   func() bool
-	led     bool
-	leadsAt time.Time
+	mu        sync.Mutex
+	allocator *SlotAllocator
+	// grants holds a channel for the grant of each waiter. A channel gets at most one.
+	grants map[*Waiter]chan Grant
+	// retryScheduled is set while a timer for the next allocation is running.
+	retryScheduled bool
+	sweep          *sweepSchedule
+	// sweepStarted is signalled when a sweep starts.
+	sweepStarted chan struct{}
+	checks       *checkSchedule
+	// checkAdded is signalled when a target needs a health check.
+	checkAdded chan struct{}
+	// isSoleBroker reports whether no other broker of the domain grants slots. soleBroker is
+	// its result as of soleBrokerAt.
+	isSoleBroker func() bool
+	soleBroker   bool
+	soleBrokerAt time.Time
 }
 
-// leadsFresh is how long it counts that this is the only broker.
-const leadsFresh = 50 * time.Millisecond
+// soleBrokerMaxAge is how long a result of isSoleBroker is used.
+const soleBrokerMaxAge = 50 * time.Millisecond
 
 // New returns a broker of a failure domain.
 func New(domain string, seed uint64, yield func(instance string, number uint64) bool) *Broker {
 	b := &Broker{
-		domain: domain, yield: yield, placed: map[*Waiter]chan Grant{},
-		sweep: newSweep(time.Now()), sweepBegins: make(chan struct{}, 1),
-		checkup: newCheckup(), checkBegins: make(chan struct{}, 1),
+		domain: domain, yield: yield, grants: map[*Waiter]chan Grant{},
+		sweep: newSweepSchedule(time.Now()), sweepStarted: make(chan struct{}, 1),
+		checks: newCheckSchedule(), checkAdded: make(chan struct{}, 1),
 	}
-	b.allotter = NewSlotAllocator(placement.New(placement.Options{
-		Domain: domain, Random: rand.New(rand.NewPCG(seed, seed)), AllowWarmingUp: b.alone,
+	b.allocator = NewSlotAllocator(placement.New(placement.Options{
+		Domain: domain, Random: rand.New(rand.NewPCG(seed, seed)), AllowWarmingUp: b.checkSoleBroker,
 	}))
 	return b
 }
 
-// SetIsSoleBroker gives what says whether this is the only broker of its domain. It must come
-// before anything is asked.
-func (b *Broker) SetIsSoleBroker(leads func() bool) { b.leads = leads }
+// SetIsSoleBroker sets the function that reports whether this is the only broker of its
+// domain. It must be called before the first request.
+func (b *Broker) SetIsSoleBroker(isSoleBroker func() bool) { b.isSoleBroker = isSoleBroker }
 
-// alone says that no other broker of the domain gives slots. It needs the lock.
+// checkSoleBroker reports whether no other broker of the domain grants slots. The caller must
+// hold b.mu.
 //
-// What goes wrong without it: instances are cut off from each other, and each side has a
-// broker of its own. Each lets as many requests begin at a target that warms up as it
-// bears from all of them.
-func (b *Broker) alone() bool {
-	if b.leads == nil {
+// Without this check, each side of a network partition has its own broker, and each broker
+// starts as many requests at a warming target as the target can handle from all of them.
+func (b *Broker) checkSoleBroker() bool {
+	if b.isSoleBroker == nil {
 		return false
 	}
-	if now := time.Now(); now.Sub(b.leadsAt) >= leadsFresh {
-		b.led, b.leadsAt = b.leads(), now
+	if now := time.Now(); now.Sub(b.soleBrokerAt) >= soleBrokerMaxAge {
+		b.soleBroker, b.soleBrokerAt = b.isSoleBroker(), now
 	}
-	return b.led
+	return b.soleBroker
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (b *Broker) String() string { return "broker" }
 
-// Serve drops the holds of silent instances until ctx ends.
+// Serve expires the holds of silent instances until ctx ends.
 func (b *Broker) Serve(ctx context.Context) error {
-	return wait.Every(ctx, expireEvery, func() {
-		b.change(func(now time.Time) { b.allotter.Expire(now) })
+	return wait.Every(ctx, expireInterval, func() {
+		b.update(func(now time.Time) { b.allocator.Expire(now) })
 	})
 }
 
-// lookAgain serves once more after a while, as long as anybody waits. It needs the
-// lock.
-func (b *Broker) lookAgain() {
-	if b.looking || b.allotter.Waiting() == 0 {
+// scheduleRetry allocates slots again after retryInterval if any waiters are left. The caller
+// must hold b.mu.
+func (b *Broker) scheduleRetry() {
+	if b.retryScheduled || b.allocator.Waiting() == 0 {
 		return
 	}
-	b.looking = true
-	time.AfterFunc(lookEvery, func() {
+	b.retryScheduled = true
+	time.AfterFunc(retryInterval, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.looking = false
-		b.serve(time.Now())
+		b.retryScheduled = false
+		b.allocate(time.Now())
 	})
 }
 
-// SetTargets takes over the targets that may be used.
+// SetTargets replaces the list of usable targets.
 func (b *Broker) SetTargets(list []roster.Target) {
-	b.change(func(now time.Time) {
-		b.allotter.SetDomainTargets(b.domain, list)
-		if b.checkup.listed(now, b.allotter.targets) {
+	b.update(func(now time.Time) {
+		b.allocator.SetDomainTargets(b.domain, list)
+		if b.checks.addAssumed(now, b.allocator.targets) {
 			b.wakeChecker()
 		}
 	})
 }
 
-// InstanceDown drops the holds of an instance whose process is not there.
+// InstanceDown removes the holds of an instance whose process is known not to run.
 func (b *Broker) InstanceDown(instance string) {
-	b.change(func(now time.Time) {
-		b.allotter.Gone(instance)
-		b.beginSweep(now)
+	b.update(func(now time.Time) {
+		b.allocator.InstanceDown(instance)
+		b.startSweep(now)
 	})
 }
 
-// InstanceSilent notes that an instance is not heard.
+// InstanceSilent records that an instance is silent.
 func (b *Broker) InstanceSilent(instance string) {
-	b.change(func(now time.Time) {
-		b.allotter.Silent(now, instance)
-		b.beginSweep(now)
+	b.update(func(now time.Time) {
+		b.allocator.InstanceSilent(now, instance)
+		b.startSweep(now)
 	})
 }
 
-// Loaded takes in what a target of the domain says of its load.
-func (b *Broker) Loaded(id string, load exchange.Load) {
-	b.change(func(now time.Time) { b.allotter.Loaded(now, id, load) })
+// ApplyLoad applies a load report of a target of the domain.
+func (b *Broker) ApplyLoad(id string, load exchange.Load) {
+	b.update(func(now time.Time) { b.allocator.ApplyLoad(now, id, load) })
 }
 
-// change changes the book and serves those who wait.
-func (b *Broker) change(do func(now time.Time)) {
+// update changes the hold table and then allocates slots to waiters.
+func (b *Broker) update(do func(now time.Time)) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	do(now)
-	b.serve(now)
+	b.allocate(now)
 }
 
-// serve gives slots to those who wait. It needs the lock.
-func (b *Broker) serve(now time.Time) {
-	for _, a := range b.allotter.Allocate(now) {
-		b.placed[a.Waiter] <- a.Grant
-		if a.Waiter.want.Batch {
-			filled.Inc()
+// allocate grants free slots to waiters. The caller must hold b.mu.
+func (b *Broker) allocate(now time.Time) {
+	for _, a := range b.allocator.Allocate(now) {
+		b.grants[a.Waiter] <- a.Grant
+		if a.Waiter.requirements.Batch {
+			batchGrants.Inc()
 		} else {
-			granted.Inc()
+			onlineGrants.Inc()
 		}
 		if a.MustYield {
-			yielded.Inc()
-			go b.askToYield(a.Yield)
+			yieldRequests.Inc()
+			go b.requestYield(a.Yield)
 		}
 	}
-	b.lookAgain()
+	b.scheduleRetry()
 }
 
-func (b *Broker) askToYield(y Yield) {
+func (b *Broker) requestYield(y Yield) {
 	if !b.yield(y.Instance, y.Number) {
-		b.change(func(now time.Time) { b.allotter.NotYielded(now, y.Instance, y.Number) })
+		b.update(func(now time.Time) { b.allocator.YieldFailed(now, y.Instance, y.Number) })
 	}
 }
 
-// Place gives a slot to an instance. If there is none, it is kept waiting for one
-// as long as it wants.
-func (b *Broker) Place(ctx context.Context, ask *PlaceRequest) Reply {
+// Place grants a slot to an instance. If none is free, the request waits for one for up to
+// req.Wait.
+func (b *Broker) Place(ctx context.Context, req *PlaceRequest) PlaceReply {
 	now := time.Now()
-	placed := make(chan Grant, 1)
+	granted := make(chan Grant, 1)
 	b.mu.Lock()
-	w := b.allotter.Enqueue(now, ask)
-	b.placed[w] = placed
-	b.serve(now)
+	w := b.allocator.Enqueue(now, req)
+	b.grants[w] = granted
+	b.allocate(now)
 	b.mu.Unlock()
-	reply := Reply{}
-	reply.Grant, reply.Granted = b.await(ctx, w, placed, ask.Wait)
+	reply := PlaceReply{}
+	reply.Grant, reply.Granted = b.awaitGrant(ctx, w, granted, req.Wait)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reply.Free = b.allotter.Free(time.Now())
+	reply.Free = b.allocator.Free(time.Now())
 	return reply
 }
 
-// await waits for a grant, for a while at most.
-func (b *Broker) await(ctx context.Context, w *Waiter, placed <-chan Grant, wait time.Duration) (Grant, bool) {
-	grant, granted := receive(ctx, placed, wait)
-	b.forget(w)
+// awaitGrant waits for a grant, for the given time at most.
+func (b *Broker) awaitGrant(ctx context.Context, w *Waiter, grants <-chan Grant, wait time.Duration) (Grant, bool) {
+	grant, granted := receiveGrant(ctx, grants, wait)
+	b.dequeue(w)
 	if granted {
 		return grant, true
 	}
-	// It may have come at the moment at which the wait ended.
-	return receive(ctx, placed, 0)
+	// The grant may have arrived just as the wait ended.
+	return receiveGrant(ctx, grants, 0)
 }
 
-func receive(ctx context.Context, placed <-chan Grant, wait time.Duration) (Grant, bool) {
+func receiveGrant(ctx context.Context, grants <-chan Grant, wait time.Duration) (Grant, bool) {
 	select {
-	case grant := <-placed:
+	case grant := <-grants:
 		return grant, true
 	default:
 	}
@@ -218,7 +219,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case grant := <-placed:
+	case grant := <-grants:
 		return grant, true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -226,17 +227,17 @@
 	return Grant{}, false
 }
 
-// forget takes one out of the line who got a slot or waits no more.
-func (b *Broker) forget(w *Waiter) {
+// dequeue removes a waiter that got a slot or stopped waiting.
+func (b *Broker) dequeue(w *Waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.allotter.Dequeue(w)
-	delete(b.placed, w)
+	b.allocator.Dequeue(w)
+	delete(b.grants, w)
 }
 
-// Tell takes over what an instance holds.
-func (b *Broker) Tell(told *HoldReport) {
-	b.change(func(now time.Time) { b.allotter.ApplyReport(now, *told) })
+// ApplyReport applies an instance's report of its holds.
+func (b *Broker) ApplyReport(report *HoldReport) {
+	b.update(func(now time.Time) { b.allocator.ApplyReport(now, *report) })
 }
 
 // Receiver is the net/rpc receiver, registered under ReceiverName.
@@ -245,14 +246,14 @@
 // Receiver returns the net/rpc receiver.
 func (b *Broker) Receiver() *Receiver { return &Receiver{broker: b} }
 
-// Place gives slots.
-func (r *Receiver) Place(args *PlaceRequest, reply *Reply) error {
+// Place grants a slot.
+func (r *Receiver) Place(args *PlaceRequest, reply *PlaceReply) error {
 	*reply = r.broker.Place(context.Background(), args)
 	return nil
 }
 
-// Tell takes over what the caller holds.
+// Tell applies the caller's report of its holds.
 func (r *Receiver) Tell(args *HoldReport, _ *struct{}) error {
-	r.broker.Tell(args)
+	r.broker.ApplyReport(args)
 	return nil
 }
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -17,90 +17,95 @@
 )
 
 const (
-	// askTimeout bounds an ask beside the time that it waits. A broker answers
-	// within a millisecond or two; one that does not is gone around, and the
-	// request must still be on time.
-	askTimeout = 60 * time.Millisecond
-	// badFor is how long a broker is left alone that did not answer.
-	badFor = time.Second
-	// waitChunk is how long a request waits at one broker until it asks the
-	// others once more.
-	waitChunk = 100 * time.Millisecond
-	// itemWait is the same for a batch item.
-	itemWait = 200 * time.Millisecond
-	// freeFresh is how long it is believed that a domain has no free slot.
-	freeFresh = 50 * time.Millisecond
-	// tellEvery is how often a broker is told all that is held.
-	tellEvery = 400 * time.Millisecond
+	// requestTimeout bounds a call to a broker, in addition to the time for which the
+	// request may wait there. A broker answers within a millisecond or two. If it does not,
+	// the next one is asked, and the request must still be on time.
+	requestTimeout = 60 * time.Millisecond
+	// brokerAvoidance is how long a broker that did not answer is not asked again.
+	brokerAvoidance = time.Second
+	// onlineWait is how long a request waits at one broker before it asks the others
+	// again.
+	onlineWait = 100 * time.Millisecond
+	// batchWait is the same for a batch item.
+	batchWait = 200 * time.Millisecond
+	// freeMaxAge is how long a reply that a domain has no free slot is used.
+	freeMaxAge = 50 * time.Millisecond
+	// reportInterval is how often a broker gets a full report of the holds.
+	reportInterval = 400 * time.Millisecond
 )
 
 var (
-	asks       = metrics.NewCounter(`broker_asks_total{outcome="answered"}`)
-	unanswered = metrics.NewCounter(`broker_asks_total{outcome="failed"}`)
-	// loadReports counts what brokers were told of targets that had more to do
-	// than they knew.
-	loadReports = metrics.NewCounter(`broker_load_reports_total`)
-	unbrokered  = metrics.NewCounter(`broker_choices_without_total`)
+	answeredRequests = metrics.NewCounter(`broker_asks_total{outcome="answered"}`)
+	failedCalls      = metrics.NewCounter(`broker_asks_total{outcome="failed"}`)
+	// loadReports counts the reports to brokers about targets that had more requests than
+	// the broker knew of.
+	loadReports          = metrics.NewCounter(`broker_load_reports_total`)
+	choicesWithoutBroker = metrics.NewCounter(`broker_choices_without_total`)
 )
 
 // Peers are the other instances.
 type Peers interface {
-	// Up gives the instances of a failure domain that are heard and do not leave.
+	// Up returns the instances of a failure domain that are reachable and not leaving.
 	Up(domain string) []mesh.Instance
-	// Alive counts the instances of a failure domain whose processes are not known to be
-	// gone.
+	// Alive returns the number of instances of a failure domain whose processes are not
+	// known to be down.
 	Alive(domain string) int
 }
 
-// ClientOptions make a Client.
+// ClientOptions configure a Client.
 type ClientOptions struct {
 	Self   mesh.Instance
 	Peers  Peers
 	Caller protocol.Caller
-	// Broker is this instance's own, for the times when it is the first.
+	// Broker is this instance's own broker, used while the instance ranks first in its
+	// domain.
 	Broker *Broker
-	// Local decides where no broker answers, and knows which targets this
-	// instance does not trust.
+	// Local chooses targets while no broker answers, and knows which targets this instance
+	// does not trust.
 	Local *placement.Placer
-	// Connected says that an idle connection to an address is kept.
+	// Connected reports whether an idle connection to an address is kept.
 	Connected func(address string) bool
 	Logger    log.Logger
 }
 
-// Client asks brokers for slots. It is a duty and safe for concurrent use.
+// Client requests slots from brokers. It is a background service and safe for concurrent use.
 type Client struct {
 	opts ClientOptions
 
-	mu      sync.Mutex
-	number  uint64
-	held    map[uint64]Hold
-	targets map[string]roster.Target
-	domains map[string]*domain
-	outbox  map[string]*outbox
-	bad     map[string]time.Time
-	told    map[string]time.Time
-	ranked  map[string]*ranking
-	// failedAt is when the failure of a target was reported last.
-	failedAt map[string]time.Time
+	mu sync.Mutex
+	// lastNumber is the number of the last requested hold.
+	lastNumber uint64
+	holds      map[uint64]Hold
+	targets    map[string]roster.Target
+	domains    map[string]*domain
+	// outboxes, avoidUntil and reportedAt are by the address of a broker: its queued
+	// releases, the time until which it is not asked, and the time of its last full report.
+	outboxes   map[string]*outbox
+	avoidUntil map[string]time.Time
+	reportedAt map[string]time.Time
+	// rankings are by failure domain.
+	rankings map[string]*ranking
+	// failureReportedAt is when the failure of a target was last reported.
+	failureReportedAt map[string]time.Time
 }
 
-// domain is what is known of the targets of one failure domain.
+// domain is the state kept for one failure domain.
 type domain struct {
-	// free are the slots that its broker said are left, at a time.
-	free int
-	at   time.Time
+	// free is the number of free slots that its broker reported last, and freeAt when.
+	free   int
+	freeAt time.Time
 }
 
-// NewClient returns a client that holds nothing.
+// NewClient returns a client without holds.
 func NewClient(opts ClientOptions) *Client {
 	return &Client{
-		opts: opts, held: map[uint64]Hold{}, targets: map[string]roster.Target{}, domains: map[string]*domain{},
-		outbox: map[string]*outbox{}, bad: map[string]time.Time{}, told: map[string]time.Time{}, ranked: map[string]*ranking{},
-		failedAt: map[string]time.Time{},
+		opts: opts, holds: map[uint64]Hold{}, targets: map[string]roster.Target{}, domains: map[string]*domain{},
+		outboxes: map[string]*outbox{}, avoidUntil: map[string]time.Time{}, reportedAt: map[string]time.Time{}, rankings: map[string]*ranking{},
+		failureReportedAt: map[string]time.Time{},
 	}
 }
 
-// SetTargets takes over the targets that may be used.
+// SetTargets replaces the list of usable targets.
 func (c *Client) SetTargets(list []roster.Target) {
 	c.opts.Local.SetTargets(list)
 	c.opts.Broker.SetTargets(list)
@@ -115,43 +120,43 @@
 	}
 }
 
-// Place chooses a target for an online request and counts it there until Done.
-// While all are full it waits; it fails if none is known, or if the patience or
-// ctx ends.
-func (c *Client) Place(ctx context.Context, want placement.Requirements, patience placement.WaitLimits) (placement.Choice, bool) {
-	began := time.Now()
+// Place chooses a target for an online request and counts it there until Done. It waits
+// while all targets are full. It fails if no target is known, at the deadline, or when ctx
+// ends.
+func (c *Client) Place(ctx context.Context, req placement.Requirements, limits placement.WaitLimits) (placement.Choice, bool) {
+	arrived := time.Now()
 	waitAt := ""
 	for {
-		choice, answered := c.tryAll(ctx, want, patience, began, waitAt != "")
+		choice, answered := c.tryAll(ctx, req, limits, arrived, waitAt != "")
 		if choice.ID != "" {
 			return choice, true
 		}
 		if answered == "" {
-			unbrokered.Inc()
-			return c.opts.Local.Place(ctx, want, patience)
+			choicesWithoutBroker.Inc()
+			return c.opts.Local.Place(ctx, req, limits)
 		}
 		waitAt = answered
-		left := time.Until(patience.Deadline)
+		left := time.Until(limits.Deadline)
 		if left <= 0 || ctx.Err() != nil {
 			return placement.Choice{}, false
 		}
-		choice, _ = c.ask(ctx, waitAt, want, patience, began, min(left, waitChunk))
+		choice, _ = c.placeIn(ctx, waitAt, req, limits, arrived, min(left, onlineWait))
 		if choice.ID != "" {
 			return choice, true
 		}
 	}
 }
 
-// tryAll asks the brokers of all domains, the own one first. It also gives the
-// first domain whose broker answered. Domains that had no slot a moment ago are
-// left out of a second round.
-func (c *Client) tryAll(ctx context.Context, want placement.Requirements, patience placement.WaitLimits, began time.Time, again bool) (placement.Choice, string) {
+// tryAll asks the brokers of all domains, starting with the own domain. It also returns the
+// first domain whose broker answered. A retry skips domains that had no free slot within
+// freeMaxAge.
+func (c *Client) tryAll(ctx context.Context, req placement.Requirements, limits placement.WaitLimits, arrived time.Time, retry bool) (placement.Choice, string) {
 	answered := ""
-	for _, name := range c.order(want) {
-		if again && name != c.opts.Self.Domain && c.knownFull(name) {
+	for _, name := range c.domainsFor(req) {
+		if retry && name != c.opts.Self.Domain && c.knownFull(name) {
 			continue
 		}
-		choice, ok := c.ask(ctx, name, want, patience, began, 0)
+		choice, ok := c.placeIn(ctx, name, req, limits, arrived, 0)
 		if choice.ID != "" {
 			return choice, name
 		}
@@ -162,51 +167,52 @@
 	return placement.Choice{}, answered
 }
 
-// ask asks the broker of one domain for one slot. It is not ok if none answers.
-func (c *Client) ask(ctx context.Context, name string, want placement.Requirements, patience placement.WaitLimits, began time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
+// placeIn requests a slot from the broker of one domain. ok is false if no broker answers.
+func (c *Client) placeIn(ctx context.Context, name string, req placement.Requirements, limits placement.WaitLimits, arrived time.Time, wait time.Duration) (choice placement.Choice, ok bool) {
 	now := time.Now()
-	ask := &PlaceRequest{
-		Domain: name, Want: want, Wait: wait,
-		OnTimeIn: patience.SendBy.Sub(now), Age: now.Sub(began),
+	request := &PlaceRequest{
+		Domain: name, Want: req, Wait: wait,
+		OnTimeIn: limits.SendBy.Sub(now), Age: now.Sub(arrived),
 	}
-	return c.send(ctx, ask)
+	return c.requestSlot(ctx, request)
 }
 
-// Item is a batch item that wants a slot.
+// Item is a batch item that needs a slot.
 type Item struct {
 	Service string
-	// Deadline is when it is due, StartBy when it must have begun to be done by then.
+	// Deadline is when the item must be done, StartBy when it must start to meet it.
 	Deadline, StartBy time.Time
-	// MaxRuntime is how long a target is busy with it at most.
+	// MaxRuntime is the longest time that a target is busy with the item.
 	MaxRuntime time.Duration
 }
 
-// PlaceItem chooses a target of one failure domain for a batch item, and waits a
-// while for a slot. If no broker of the domain answers, it decides by itself among
-// the domain's targets.
+// PlaceItem chooses a target of one failure domain for a batch item, and waits up to batchWait
+// for a slot. If no broker of the domain answers, it chooses by itself among the domain's
+// targets.
 //
-// What goes wrong if it then chose among all: a failure domain is cut off, and each
-// item that would have gone there goes to targets of the others past their brokers.
-// They get twice what they have slots for, and online requests wait in their queues.
+// If it then chose among the targets of all domains, a network partition that isolates a
+// failure domain would send each of its items to targets of the other domains, bypassing their
+// brokers. Those targets would get twice as many requests as they have slots, and online
+// requests would wait in their queues.
 func (c *Client) PlaceItem(ctx context.Context, name string, item Item) (placement.Choice, bool) {
-	ask := &PlaceRequest{
-		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: itemWait,
+	request := &PlaceRequest{
+		Domain: name, Want: placement.Requirements{Service: item.Service, Batch: true}, Wait: batchWait,
 		OnTimeIn: time.Until(item.StartBy), Due: item.Deadline.UnixMilli(), Lasts: item.MaxRuntime,
 	}
-	choice, answered := c.send(ctx, ask)
+	choice, answered := c.requestSlot(ctx, request)
 	if answered {
 		return choice, choice.ID != ""
 	}
 	choice, ok := c.opts.Local.Pick(placement.Requirements{Service: item.Service, Domain: name, Batch: true})
 	if !ok {
-		wait.For(ctx, itemWait)
+		wait.For(ctx, batchWait)
 		return choice, false
 	}
-	unbrokered.Inc()
+	choicesWithoutBroker.Inc()
 	return choice, true
 }
 
-// Domains gives the failure domains that have targets, the own one first.
+// Domains returns the failure domains that have targets, the own one first.
 func (c *Client) Domains() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,97 +220,97 @@
 	for _, t := range c.targets {
 		has[t.Domain] = true
 	}
-	return ordered(has, c.opts.Self.Domain, func(string) int { return 0 })
+	return orderDomains(has, c.opts.Self.Domain, func(string) int { return 0 })
 }
 
-// order gives the failure domains with targets of a service, the own one first
-// and then those that had the most free slots.
-func (c *Client) order(want placement.Requirements) []string {
+// domainsFor returns the failure domains with targets of a service: the own one first, then
+// the others by the number of free slots in their last reply, highest first.
+func (c *Client) domainsFor(req placement.Requirements) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	has := map[string]bool{}
 	for _, t := range c.targets {
-		if t.Service == want.Service {
+		if t.Service == req.Service {
 			has[t.Domain] = true
 		}
 	}
-	return ordered(has, c.opts.Self.Domain, func(name string) int { return c.domains[name].free })
+	return orderDomains(has, c.opts.Self.Domain, func(name string) int { return c.domains[name].free })
 }
 
 func (c *Client) knownFull(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d := c.domains[name]
-	return d != nil && d.free == 0 && time.Since(d.at) < freeFresh
+	return d != nil && d.free == 0 && time.Since(d.freeAt) < freeMaxAge
 }
 
-// send sends an ask to the broker of its domain, and to the next one if that does
-// not answer.
-func (c *Client) send(ctx context.Context, ask *PlaceRequest) (choice placement.Choice, answered bool) {
-	ask.Want.Exclude = append(c.opts.Local.Untrusted(ask.Want), ask.Want.Exclude...)
-	ask.Want.Connected = c.connected(ask.Domain, ask.Want.Service)
-	ask.Number = c.nextNumber()
-	for _, address := range c.Brokers(ask.Domain) {
-		reply, err := c.sendTo(ctx, address, ask)
+// requestSlot sends a request to the broker of its domain, and to the next broker if that one
+// does not answer.
+func (c *Client) requestSlot(ctx context.Context, request *PlaceRequest) (choice placement.Choice, answered bool) {
+	request.Want.Exclude = append(c.opts.Local.Untrusted(request.Want), request.Want.Exclude...)
+	request.Want.Connected = c.connected(request.Domain, request.Want.Service)
+	request.Number = c.nextNumber()
+	for _, address := range c.Brokers(request.Domain) {
+		reply, err := c.callBroker(ctx, address, request)
 		if err != nil {
-			c.failed(address, ask.Domain, err)
+			c.avoidBroker(address, request.Domain, err)
 			continue
 		}
-		asks.Inc()
-		return c.take(address, ask, reply), true
+		answeredRequests.Inc()
+		return c.applyReply(address, request, reply), true
 	}
 	return placement.Choice{}, false
 }
 
-func (c *Client) sendTo(ctx context.Context, address string, ask *PlaceRequest) (Reply, error) {
-	ask.Told = c.toldOf(address, ask.Domain, false)
+func (c *Client) callBroker(ctx context.Context, address string, request *PlaceRequest) (PlaceReply, error) {
+	request.Told = c.holdReport(address, request.Domain, false)
 	if address == c.opts.Self.Address {
-		return c.opts.Broker.Place(ctx, ask), nil
+		return c.opts.Broker.Place(ctx, request), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout+ask.Wait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout+request.Wait)
 	defer cancel()
-	var reply Reply
-	err := c.opts.Caller.Call(ctx, address, methodPlace, ask, &reply)
+	var reply PlaceReply
+	err := c.opts.Caller.Call(ctx, address, methodPlace, request, &reply)
 	return reply, err
 }
 
-// failed leaves a broker alone for a while. A slot that it gave all the same is
-// free again once it is told what is held.
-func (c *Client) failed(address, name string, err error) {
-	unanswered.Inc()
+// avoidBroker stops asking a broker that did not answer for brokerAvoidance. If the broker
+// granted a slot nevertheless, the next full report frees it.
+func (c *Client) avoidBroker(address, name string, err error) {
+	failedCalls.Inc()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[address] = time.Now().Add(badFor)
+	c.avoidUntil[address] = time.Now().Add(brokerAvoidance)
 	_ = level.Info(c.opts.Logger).Log("event", "broker_unanswered", "broker", address, "domain", name, "err", err)
 }
 
-// take counts the slot that was given, if one was.
-func (c *Client) take(address string, ask *PlaceRequest, reply Reply) placement.Choice {
+// applyReply records the slot that a broker granted, if it granted one.
+func (c *Client) applyReply(address string, request *PlaceRequest, reply PlaceReply) placement.Choice {
 	c.mu.Lock()
-	if d := c.domains[ask.Domain]; d != nil {
-		d.free, d.at = reply.Free, time.Now()
+	if d := c.domains[request.Domain]; d != nil {
+		d.free, d.freeAt = reply.Free, time.Now()
 	}
 	if reply.Granted {
-		c.held[ask.Number] = Hold{Number: ask.Number, Target: reply.Grant.Target.ID, Batch: ask.Want.Batch, Due: ask.Due, Lasts: ask.Lasts, Run: ask.Want.Run}
+		c.holds[request.Number] = Hold{Number: request.Number, Target: reply.Grant.Target.ID, Batch: request.Want.Batch, Due: request.Due, Lasts: request.Lasts, Run: request.Want.Run}
 	}
 	c.mu.Unlock()
 	if !reply.Granted {
 		return placement.Choice{}
 	}
-	choice := c.opts.Local.Acquire(reply.Grant.Target, ask.Want.Batch)
+	choice := c.opts.Local.Acquire(reply.Grant.Target, request.Want.Batch)
 	choice.Busy, choice.Unaccounted, choice.Slots = reply.Grant.Busy, reply.Grant.Unsure, reply.Grant.Slots
-	choice.Number, choice.Broker = ask.Number, address
+	choice.Number, choice.Broker = request.Number, address
 	return choice
 }
 
 func (c *Client) nextNumber() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.number++
-	return c.number
+	c.lastNumber++
+	return c.lastNumber
 }
 
-// connected gives the targets of a domain to which a connection is kept.
+// connected returns the targets of a domain and service to which a connection is kept.
 func (c *Client) connected(name, service string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -325,40 +331,40 @@
 		return
 	}
 	c.mu.Lock()
-	delete(c.held, choice.Number)
+	delete(c.holds, choice.Number)
 	c.mu.Unlock()
 	c.release(choice.Broker, choice.Number)
 }
 
-// Runs notes under which id the target of a choice runs a batch item.
+// SetRunID records the ID under which the target of a choice runs a batch item.
 func (c *Client) SetRunID(choice placement.Choice, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h, ok := c.held[choice.Number]; ok {
+	if h, ok := c.holds[choice.Number]; ok {
 		h.Run = id
-		c.held[choice.Number] = h
+		c.holds[choice.Number] = h
 	}
 }
 
-// Known says whether any target of a service may be used.
+// HasTargets reports whether the list contains a target of a service.
 func (c *Client) HasTargets(service string) bool { return c.opts.Local.HasTargets(service) }
 
-// TryPlace chooses a target for an online request that has one already. It waits
-// for none.
-func (c *Client) TryPlace(ctx context.Context, want placement.Requirements) (placement.Choice, bool) {
+// TryPlace chooses another target for an online request that already has one. It does not wait
+// for a slot.
+func (c *Client) TryPlace(ctx context.Context, req placement.Requirements) (placement.Choice, bool) {
 	now := time.Now()
-	choice, answered := c.tryAll(ctx, want, placement.WaitLimits{SendBy: now, Deadline: now}, now, false)
+	choice, answered := c.tryAll(ctx, req, placement.WaitLimits{SendBy: now, Deadline: now}, now, false)
 	if choice.ID == "" && answered == "" {
-		return c.opts.Local.Pick(want)
+		return c.opts.Local.Pick(req)
 	}
 	return choice, choice.ID != ""
 }
 
-// Heard notes that something came from a target.
+// DataReceived records that data arrived from a target.
 func (c *Client) DataReceived(id string) { c.opts.Local.DataReceived(id) }
 
-// Waiting notes that an exchange waits longer than it should, see
+// MarkStalled records that an exchange is waiting longer than it should, see
 // placement.Placer.
-func (c *Client) MarkStalled(choice placement.Choice) (goesOn func()) {
+func (c *Client) MarkStalled(choice placement.Choice) (unmark func()) {
 	return c.opts.Local.MarkStalled(choice)
 }
--- a/internal/coordination/routed/broker/doc.go
+++ b/internal/coordination/routed/broker/doc.go
@@ -1,23 +1,24 @@
 // Package broker divides the slots of targets among the instances that use them.
 //
-// The load it answers: a dozen instances or more send to the same few slots, at
-// the peak to six in seven of them at once. Each instance by itself knows what
-// the others have only as of their last message. All of them see the same target
-// with a free slot and send there at the same moment, and whoever comes second
-// waits in the target's queue although slots are free elsewhere. Telling each other
-// more often makes that rarer, at many times the messages.
+// With a dozen instances or more, all of them send to the same few slots, of which up to six
+// in seven are occupied at the peak. Each instance knows the counts of the others only as of
+// their last message. Several instances see the same target with a free slot and send to it
+// at the same moment, and all but the first of those requests wait in the target's queue
+// although other targets have free slots. More frequent messages make this rarer, but need
+// many times the messages.
 //
-// So the targets of a failure domain have a broker: the instance of the domain
-// that comes first by rendezvous hashing of those that are heard. An instance asks
-// it for a slot before it sends, which takes the time of one message inside the
-// domain, and tells it when the slot is free again. The broker knows of every slot
-// and gives each away once. Requests that find no slot wait at the broker, those
-// that can still be on time first, whichever instance they came to. Batch items get
-// what online requests leave, and give it back when those need it.
+// Therefore the targets of a failure domain have a broker: the reachable instance of the
+// domain that ranks first by rendezvous hashing. An instance requests a slot from the broker
+// before it sends, which takes the time of one message inside the domain, and reports when
+// the slot is free again. The broker knows all slots and grants each of them to one request
+// at a time. Requests that find no free slot wait at the broker. Those that can still be on
+// time go first, regardless of the instance at which they arrived. Batch items get the slots
+// that online requests leave free, and yield them when online requests need them.
 //
-// Nothing hangs on a broker. It keeps nothing: instances tell what they hold again
-// and again, and a new broker learns it from them. If it does not answer, the next
-// one is asked, and if none does, the instance decides by itself from what the
-// others told last. Two brokers at once give some slots away twice; those requests
-// wait in a target's queue, as they would without a broker.
+// A broker is not a single point of failure. It stores nothing: instances report their holds
+// periodically, and a new broker learns the holds from these reports. If the broker does not
+// answer, the instance asks the next one. If that one does not answer either, the instance
+// decides by itself from the latest counts of the others. Two brokers at the same time grant
+// some slots twice, and those requests wait in a target's queue, as they would without a
+// broker.
 package broker
--- a/internal/coordination/routed/broker/loads.go
+++ b/internal/coordination/routed/broker/loads.go
@@ -7,25 +7,25 @@
 	"merlintiller/internal/protocol/exchange"
 )
 
-// unknownRuns is how many more requests a target must have than its broker knew of
-// when it gave the slot, for the broker to be told. One more may be a slot that was
-// given or freed while the answer was on its way.
-const unknownRuns = 2
+// unreportedMargin is how many more requests than the broker knew of at the grant a target may
+// have before its load is reported to the broker. One more may be a slot that was granted or
+// freed while the answer was in flight.
+const unreportedMargin = 2
 
-// LoadReport is what a target said of its load in an answer.
+// LoadReport is the load that a target reported in an answer.
 type LoadReport struct {
 	Target string
 	Load   exchange.Load
 }
 
-// Told takes in what a target says of its load, and tells the broker that gave
-// the slot if that knows less.
+// ReportLoad applies a load report of a target, and forwards it to the broker that granted the
+// slot if the target has more requests than that broker knew of. load may be nil.
 //
-// What goes wrong without it: a failure domain is cut off, or instances lose power.
-// What they had sent to targets elsewhere goes on running there, to its end, while
-// the broker counts those slots as free again. It gives them away, and requests
-// stand in the queues of targets for as long as a batch item takes. It shows as late
-// requests that did not wait for a slot, a few seconds after a cut at the peak.
+// Without this, a broker grants slots that are still occupied when a network partition isolates
+// a failure domain or instances lose power. The requests that these instances sent to targets
+// of other domains run to their end, while the broker counts their slots as free again. New
+// requests then wait in the queues of targets for as long as a batch item takes. The symptom is
+// late requests that did not wait for a slot, a few seconds after a partition at the peak.
 func (c *Client) ReportLoad(choice placement.Choice, load *exchange.Load) {
 	if load == nil {
 		return
@@ -34,26 +34,26 @@
 	switch {
 	case choice.Broker == "":
 	case choice.Broker == c.opts.Self.Address:
-		c.opts.Broker.Loaded(choice.ID, *load)
-	case choice.Unaccounted > 0 || load.Running+load.Waiting > choice.Busy+unknownRuns:
-		go c.report(choice.Broker, LoadReport{Target: choice.ID, Load: *load})
+		c.opts.Broker.ApplyLoad(choice.ID, *load)
+	case choice.Unaccounted > 0 || load.Running+load.Waiting > choice.Busy+unreportedMargin:
+		go c.sendLoad(choice.Broker, LoadReport{Target: choice.ID, Load: *load})
 	}
 }
 
-// report tells a broker of a target's load. If it is lost, the next answer tells
-// again.
-func (c *Client) report(address string, report LoadReport) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// sendLoad sends a target's load to a broker. A lost report is not repeated: the target's next
+// answer causes another one.
+func (c *Client) sendLoad(address string, report LoadReport) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	if err := c.opts.Caller.Call(ctx, address, methodLoaded, &report, &struct{}{}); err != nil {
-		unanswered.Inc()
+		failedCalls.Inc()
 		return
 	}
 	loadReports.Inc()
 }
 
-// Loaded takes over what a target said of its load.
+// Loaded applies a load report of a target.
 func (r *Receiver) Loaded(report *LoadReport, _ *struct{}) error {
-	r.broker.Loaded(report.Target, report.Load)
+	r.broker.ApplyLoad(report.Target, report.Load)
 	return nil
 }
--- a/internal/coordination/routed/broker/messages.go
+++ b/internal/coordination/routed/broker/messages.go
@@ -7,68 +7,74 @@
 	"merlintiller/internal/state/roster"
 )
 
-// Hold is a request that an instance has at a target, under a number of its own.
+// net/rpc encodes the types of this file with gob, which sends fields under their Go names.
+
+// Hold is a slot that an instance occupies at a target. The instance chooses the number.
 type Hold struct {
 	Number uint64
 	Target string
 	Batch  bool
-	// Due is when a batch item is due, in Unix milliseconds.
+	// Due is the deadline of a batch item, in Unix milliseconds.
 	Due int64
-	// Lasts is how long a target is busy with it at most. 0: as usual.
+	// Lasts is the longest time that the target is busy with the request.
+	// 0: defaultRuntime.
 	Lasts time.Duration
-	// Run is the id under which the target runs it. Empty: not known yet.
+	// Run is the ID under which the target runs the request. Empty: not known yet.
 	Run string
 }
 
-// HoldReport is what an instance says that it holds at the targets of one domain.
+// HoldReport is an instance's report of its holds at the targets of one failure domain.
 type HoldReport struct {
 	Instance string
-	// Start tells the lives of the instance apart.
+	// Start distinguishes the incarnations of the instance.
 	Start int64
-	// Whole says that Held is all that the instance holds. Otherwise only
-	// Released counts.
-	Whole    bool
-	Held     []Hold
+	// Whole is set if Held lists all holds of the instance in the domain. Otherwise only
+	// Released is used.
+	Whole bool
+	Held  []Hold
+	// Released are the numbers of holds that the instance has given back.
 	Released []uint64
 }
 
-// Told is another name of HoldReport. Ask embeds it, and gob sends the field under this name.
+// Told is another name of HoldReport. PlaceRequest embeds it under this name, since gob sends
+// the embedded field as Told.
 type Told = HoldReport
 
-// PlaceRequest asks for slots of targets of one domain.
+// PlaceRequest requests a slot at a target of one failure domain.
 type PlaceRequest struct {
 	Told
 	Domain string
-	// Number is given to the hold.
+	// Number becomes the number of the hold.
 	Number uint64
-	Want   placement.Requirements
-	// OnTimeIn is how long it takes until an online request is late, or until a
-	// batch item must have begun to be done in time. Wait is how long it may be
-	// kept waiting.
+	// Want are the requirements that the target must meet.
+	Want placement.Requirements
+	// OnTimeIn is the time left until an online request must be sent, or a batch item must
+	// start, to be on time. Wait is the longest time that the request may wait for a slot.
 	OnTimeIn time.Duration
 	Wait     time.Duration
 	// Age is how long an online request has been waiting already.
 	Age time.Duration
-	// Due is when a batch item is due, in Unix milliseconds, and Lasts how long a
-	// target is busy with it at most.
+	// Due is the deadline of a batch item, in Unix milliseconds. Lasts is the longest time
+	// that the target is busy with the item.
 	Due   int64
 	Lasts time.Duration
 }
 
-// Grant is a slot that was given.
+// Grant is a granted slot.
 type Grant struct {
 	Number uint64
 	Target roster.Target
-	// Busy and Slots are what the target was chosen by, Unsure the part of Busy that
-	// no instance tells of now.
+	// Busy is the number of occupied slots and Slots the number of all slots of the target
+	// on which the choice was based. Unsure is the part of Busy that no instance currently
+	// reports.
 	Busy, Unsure, Slots int
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// PlaceReply is the reply to a PlaceRequest.
+type PlaceReply struct {
 	Granted bool
 	Grant   Grant
-	// Free are the slots that are left in the domain.
+	// Free is the number of free slots that are left in the domain.
 	Free int
 }
 
--- a/internal/coordination/routed/broker/orphans.go
+++ b/internal/coordination/routed/broker/orphans.go
@@ -6,82 +6,82 @@
 	"merlintiller/internal/state/roster"
 )
 
-// orphanAfter is how long an item's instance must be silent, beyond the silence that
-// makes it count as silent, until the item's run is ended. One that only paused for a
-// moment still takes what comes.
-const orphanAfter = 500 * time.Millisecond
+// orphanDelay is how long after an instance became silent the runs of its items are ended. It
+// is added to the silence timeout. An instance that only paused briefly still reads the output
+// of its items.
+const orphanDelay = 500 * time.Millisecond
 
-// Orphan is the run of a batch item that nobody reads.
+// Orphan is the run of a batch item whose output no instance reads.
 type Orphan struct {
 	Target roster.Target
-	// Run is its id at the target.
+	// Run is its ID at the target.
 	Run string
-	// By is another target that has room for the run's memory.
-	By string
+	// EvacuateTo is the address of another target that has room for the run's memory.
+	EvacuateTo string
 }
 
-// Orphans gives the runs of items whose instances have been silent for a while,
-// each once.
+// Orphans returns the runs of items whose instances have been silent for orphanDelay. It
+// returns each run once.
 //
-// What goes wrong without it: a failure domain is cut off, or instances lose power.
-// No connection is closed, so targets go on with the items of those instances for
-// seconds, to the last event. It shows as slots that are taken by nobody while
-// online requests wait.
-func (b *Book) Orphans(now time.Time) (out []Orphan) {
-	if b.stuck == 0 {
+// When a network partition isolates a failure domain, or instances lose power, no connection
+// is closed. Without this, targets would continue to run the items of these instances for
+// seconds, to the last event. The symptom is slots that no instance uses while online requests
+// wait.
+func (t *HoldTable) Orphans(now time.Time) (out []Orphan) {
+	if t.pinned == 0 {
 		return nil
 	}
-	for _, h := range b.holds {
-		if !h.stuck || h.ending || h.Run == "" || now.Sub(h.stuckSince) < orphanAfter {
+	for _, h := range t.holds {
+		if !h.pinned || h.endRequested || h.Run == "" || now.Sub(h.pinnedSince) < orphanDelay {
 			continue
 		}
-		if orphan, ok := b.orphan(now, h.Target, h.Run); ok {
-			h.ending = true
+		if orphan, ok := t.orphan(now, h.Target, h.Run); ok {
+			h.endRequested = true
 			out = append(out, orphan)
 		}
 	}
 	return out
 }
 
-// orphan says how a run can be ended, if there is another target of the service.
-func (b *Book) orphan(now time.Time, target, run string) (Orphan, bool) {
-	at, ok := b.targets[target]
+// orphan returns how a run can be ended. It fails if the service has no other target.
+func (t *HoldTable) orphan(now time.Time, target, run string) (Orphan, bool) {
+	at, ok := t.targets[target]
 	if !ok {
 		return Orphan{}, false
 	}
-	by, most := "", 0
-	for id, t := range b.targets {
-		if id == target || t.Service != at.Service {
+	evacuateTo, most := "", 0
+	for id, other := range t.targets {
+		if id == target || other.Service != at.Service {
 			continue
 		}
-		if free := b.core.FreeAt(now, id); by == "" || free > most {
-			by, most = t.Address, free
+		if free := t.core.FreeAt(now, id); evacuateTo == "" || free > most {
+			evacuateTo, most = other.Address, free
 		}
 	}
-	return Orphan{Target: at, Run: run, By: by}, by != ""
+	return Orphan{Target: at, Run: run, EvacuateTo: evacuateTo}, evacuateTo != ""
 }
 
-// Unexplained gives the runs of a target that no hold names.
-func (b *Book) Unexplained(target string, runs []string) (out []TargetRun) {
-	named := map[string]bool{}
-	for _, h := range b.holds {
+// UnmatchedRuns returns the runs of a target that belong to no hold.
+func (t *HoldTable) UnmatchedRuns(target string, runs []string) (out []TargetRun) {
+	matched := map[string]bool{}
+	for _, h := range t.holds {
 		if h.Target == target && h.Run != "" {
-			named[h.Run] = true
+			matched[h.Run] = true
 		}
 	}
 	for _, run := range runs {
-		if !named[run] {
+		if !matched[run] {
 			out = append(out, TargetRun{Target: target, Run: run})
 		}
 	}
 	return out
 }
 
-// Ended notes that a run has ended, so that its slot is free.
-func (b *Book) Ended(target, run string) {
-	for key, h := range b.holds {
-		if h.stuck && h.Target == target && h.Run == run {
-			b.release(key)
+// RunEnded records that a run has ended, which frees its slot.
+func (t *HoldTable) RunEnded(target, run string) {
+	for key, h := range t.holds {
+		if h.pinned && h.Target == target && h.Run == run {
+			t.release(key)
 		}
 	}
 }
--- a/internal/coordination/routed/broker/sweep.go
+++ b/internal/coordination/routed/broker/sweep.go
@@ -8,110 +8,110 @@
 )
 
 const (
-	// sweepFor is how long targets are asked what they run after an instance was
+	// sweepDuration is how long targets are queried for their runs after an instance was
 	// lost, or after this one started: as long as a batch item takes.
-	sweepFor = 8 * time.Second
-	// askAgain is the time between two questions to the same target. What it says
-	// counts for placing as long.
-	askAgain = 120 * time.Millisecond
-	// mostAsked bounds the targets that are asked at once. In a large failure domain the
-	// others come with the next looks.
-	mostAsked = 48
+	sweepDuration = 8 * time.Second
+	// queryInterval is the time between two queries of the same target. The reported load
+	// is used for placement for at least as long.
+	queryInterval = 120 * time.Millisecond
+	// maxQueries bounds the number of targets that are queried at the same time. The
+	// remaining targets of a large failure domain follow in the next rounds.
+	maxQueries = 48
 )
 
-// sweep decides which targets are asked what they run. It is pure and not safe for
+// sweepSchedule decides which targets are queried for their runs. It is pure and not safe for
 // concurrent use.
-type sweep struct {
+type sweepSchedule struct {
 	until time.Time
-	// asked is when a target was asked last since the sweep began, clean that it had
-	// nothing unexplained then.
-	asked map[string]time.Time
-	clean map[string]bool
+	// lastQuery is when a target was last queried since the sweep started. clean is set if
+	// it had no unmatched runs at that time.
+	lastQuery map[string]time.Time
+	clean     map[string]bool
 }
 
-func newSweep(now time.Time) *sweep {
-	s := &sweep{}
-	s.begin(now)
+func newSweepSchedule(now time.Time) *sweepSchedule {
+	s := &sweepSchedule{}
+	s.start(now)
 	return s
 }
 
-// begin has all targets asked once more, and those again that run what nobody
-// tells of.
-func (s *sweep) begin(now time.Time) {
-	s.until = now.Add(sweepFor)
+// start starts a sweep: each target is queried once, and again while it has runs that match no
+// hold.
+func (s *sweepSchedule) start(now time.Time) {
+	s.until = now.Add(sweepDuration)
 	s.clean = map[string]bool{}
-	if s.asked == nil {
-		s.asked = map[string]time.Time{}
+	if s.lastQuery == nil {
+		s.lastQuery = map[string]time.Time{}
 	}
 }
 
-// due gives the targets to ask now.
-func (s *sweep) due(now time.Time, targets map[string]roster.Target) (out []roster.Target) {
+// due returns the targets to query now.
+func (s *sweepSchedule) due(now time.Time, targets map[string]roster.Target) (out []roster.Target) {
 	if now.After(s.until) {
-		clear(s.asked)
+		clear(s.lastQuery)
 		return nil
 	}
 	for id, t := range targets {
-		if len(out) < mostAsked && !s.clean[id] && now.Sub(s.asked[id]) >= askAgain {
-			s.asked[id] = now
+		if len(out) < maxQueries && !s.clean[id] && now.Sub(s.lastQuery[id]) >= queryInterval {
+			s.lastQuery[id] = now
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// told notes what a target's answer came to.
-func (s *sweep) told(target string, unexplained []TargetRun) {
-	if len(unexplained) == 0 {
+// record records the unmatched runs of a target after a query.
+func (s *sweepSchedule) record(target string, unmatched []TargetRun) {
+	if len(unmatched) == 0 {
 		s.clean[target] = true
 	}
 }
 
-// beginSweep has the targets asked what they run. It needs the lock.
-func (b *Broker) beginSweep(now time.Time) {
-	b.sweep.begin(now)
+// startSweep starts a sweep of the targets. The caller must hold b.mu.
+func (b *Broker) startSweep(now time.Time) {
+	b.sweep.start(now)
 	select {
-	case b.sweepBegins <- struct{}{}:
+	case b.sweepStarted <- struct{}{}:
 	default:
 	}
 }
 
-// SweepBegins has something in it once a sweep begins.
-func (b *Broker) SweepBegins() <-chan struct{} { return b.sweepBegins }
+// SweepStarted returns a channel that is signalled when a sweep starts.
+func (b *Broker) SweepStarted() <-chan struct{} { return b.sweepStarted }
 
-// Sweeping says that there may be something to sweep.
-func (b *Broker) Sweeping(now time.Time) bool {
+// NeedsSweep reports whether a sweep is in progress or any hold is pinned.
+func (b *Broker) NeedsSweep(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !now.After(b.sweep.until) || b.allotter.stuck > 0
+	return !now.After(b.sweep.until) || b.allocator.pinned > 0
 }
 
-// Sweep gives the runs to end and the targets to ask now.
-func (b *Broker) Sweep(now time.Time) (orphans []Orphan, ask []roster.Target) {
+// Sweep returns the runs to end and the targets to query now.
+func (b *Broker) Sweep(now time.Time) (orphans []Orphan, query []roster.Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allotter.Orphans(now), b.sweep.due(now, b.allotter.targets)
+	return b.allocator.Orphans(now), b.sweep.due(now, b.allocator.targets)
 }
 
-// Reported takes in what a target says that it runs, and gives what of it may be
-// nobody's.
-func (b *Broker) Reported(target string, report exchange.Report) (unexplained []TargetRun) {
-	b.change(func(now time.Time) {
-		b.allotter.Loaded(now, target, report.Load)
-		unexplained = b.allotter.Unexplained(target, report.Runs)
-		b.sweep.told(target, unexplained)
+// ApplyTargetReport applies a target's report of its load and runs. It returns the runs that
+// match no hold and may therefore be orphans.
+func (b *Broker) ApplyTargetReport(target string, report exchange.Report) (unmatched []TargetRun) {
+	b.update(func(now time.Time) {
+		b.allocator.ApplyLoad(now, target, report.Load)
+		unmatched = b.allocator.UnmatchedRuns(target, report.Runs)
+		b.sweep.record(target, unmatched)
 	})
-	return unexplained
+	return unmatched
 }
 
-// OrphanOf says how a run that nobody reads is ended.
+// OrphanOf returns how an orphaned run can be ended.
 func (b *Broker) OrphanOf(run TargetRun) (Orphan, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.allotter.orphan(time.Now(), run.Target, run.Run)
+	return b.allocator.orphan(time.Now(), run.Target, run.Run)
 }
 
-// Ended notes that a run has ended.
-func (b *Broker) Ended(o Orphan) {
-	b.change(func(time.Time) { b.allotter.Ended(o.Target.ID, o.Run) })
+// RunEnded records that a run has ended.
+func (b *Broker) RunEnded(o Orphan) {
+	b.update(func(time.Time) { b.allocator.RunEnded(o.Target.ID, o.Run) })
 }
--- a/internal/coordination/routed/broker/waitqueue.go
+++ b/internal/coordination/routed/broker/waitqueue.go
@@ -10,27 +10,27 @@
 
 // Waiter is a request or a batch item that waits for a slot.
 type Waiter struct {
-	instance string
-	hold     Hold
-	want     placement.Requirements
-	// onTimeUntil is when it must be sent for its answer to be on time, arrived
-	// when it came to the instance that asks.
-	onTimeUntil, arrived time.Time
+	instance     string
+	hold         Hold
+	requirements placement.Requirements
+	// sendBy is when the request must be sent for its answer to be on time. arrived is when
+	// it arrived at the requesting instance.
+	sendBy, arrived time.Time
 }
 
-// waitQueue is the requests and batch items that wait at a broker.
+// waitQueue holds the requests and batch items that wait at a broker.
 //
-// The load it answers: at the peak of a swing, or when targets are lost, more
-// requests come than slots come free, for some seconds. First come first served
-// would make each of them wait a little longer than the one before, until all
-// are late. So those that can still be on time go first, by the end of their
-// time, and those that can't go after them, as slots allow. Every request that
-// is on time costs one that is late anyway some more lateness.
+// At the peak of a load swing, or when targets are lost, requests arrive faster than slots
+// become free for some seconds. With first come, first served, each request would wait a
+// little longer than the one before it, until all are late. Therefore requests that can still
+// be on time go first, ordered by the time at which they must be sent. Requests that are
+// already late get the remaining slots. Each request that is on time delays one that is late
+// in any case.
 //
-// Items come after all online requests, in the same way: those that can still be
-// done in time by when they are due, and those that can't behind them. All items
-// of the fleet stand in one line, or an item that is due soon would wait at one
-// instance while another one begins items that have a lot of time.
+// Batch items come after all online requests and are ordered in the same way: first those that
+// can still meet their deadlines, by deadline, and then the others. The items of all instances
+// share one queue. Otherwise an item with a near deadline could wait at one instance while
+// another instance starts items that have a lot of time left.
 type waitQueue struct {
 	waiters []*Waiter
 }
@@ -43,54 +43,56 @@
 
 func (q *waitQueue) len() int { return len(q.waiters) }
 
-// rank tells the four parts of the line apart.
-func (w *Waiter) rank(now time.Time) int {
-	rank := 0
-	if w.want.Batch {
-		rank = 2
+// class returns the priority class of a waiter. There are four: 0 is an online request that can
+// still be on time, 1 a late one, 2 an item that can still meet its deadline, 3 a late item.
+func (w *Waiter) class(now time.Time) int {
+	class := 0
+	if w.requirements.Batch {
+		class = 2
 	}
-	if now.After(w.onTimeUntil) {
-		rank++
+	if now.After(w.sendBy) {
+		class++
 	}
-	return rank
+	return class
 }
 
-// key orders those of one part.
-func (w *Waiter) key(rank int) int64 {
+// sortKey orders waiters of the same class.
+func (w *Waiter) sortKey(class int) int64 {
 	switch {
-	case w.want.Batch:
+	case w.requirements.Batch:
 		return w.hold.Due
-	case rank > 0:
+	case class > 0:
 		return w.arrived.UnixNano()
 	default:
-		return w.onTimeUntil.UnixNano()
+		return w.sendBy.UnixNano()
 	}
 }
 
-// order puts those who wait into the order in which they are served.
-func (q *waitQueue) order(now time.Time) []*Waiter {
+// sorted sorts the waiters into the order in which they are served, and returns them.
+func (q *waitQueue) sorted(now time.Time) []*Waiter {
 	slices.SortStableFunc(q.waiters, func(a, b *Waiter) int {
-		rankA, rankB := a.rank(now), b.rank(now)
-		return cmp.Or(cmp.Compare(rankA, rankB), cmp.Compare(a.key(rankA), b.key(rankB)))
+		classA, classB := a.class(now), b.class(now)
+		return cmp.Or(cmp.Compare(classA, classB), cmp.Compare(a.sortKey(classA), b.sortKey(classB)))
 	})
 	return q.waiters
 }
 
-// place has a slot sought for each who waits, in turn, until there is none. Items
-// may have to wait though slots are free.
-func (q *waitQueue) place(now time.Time, itemsWait bool, place func(*Waiter) bool) {
+// place calls place for each waiter in order, until a service has no slot left, and removes
+// those that got a slot. Batch items are skipped while batchPaused is set, even if slots are
+// free.
+func (q *waitQueue) place(now time.Time, batchPaused bool, place func(*Waiter) bool) {
 	full := map[string]bool{}
 	kept := make([]*Waiter, 0, len(q.waiters))
-	for _, w := range q.order(now) {
-		if full[w.want.Service] || w.want.Batch && itemsWait {
+	for _, w := range q.sorted(now) {
+		if full[w.requirements.Service] || w.requirements.Batch && batchPaused {
 			kept = append(kept, w)
 			continue
 		}
 		if place(w) {
 			continue
 		}
-		// One that has been to some targets finds no slot where another one may.
-		full[w.want.Service] = len(w.want.Exclude) == 0
+		// A waiter that excludes some targets may find no slot although others can.
+		full[w.requirements.Service] = len(w.requirements.Exclude) == 0
 		kept = append(kept, w)
 	}
 	q.waiters = kept
