--- a/internal/coordination/limiter/decide.go
+++ b/internal/coordination/limiter/decide.go
@@ -26,16 +26,16 @@
 	Granted bool
 	// Ask: another instance may have the tokens. Report the answer by Answered
 	// and decide again.
-	Ask *Ask
+	Ask *TakeCall
 	// Ahead: tokens should be taken ahead of need; nobody waits for them.
-	Ahead *Ask
+	Ahead *TakeCall
 	// Unknown: the configuration has no such organisation.
 	Unknown bool
 	// Refused: RetryAfter says when to come back. Returns are to be sent; they
 	// give back fractions that were not enough.
 	Refused    bool
 	RetryAfter time.Duration
-	Returns    []*Ask
+	Returns    []*TakeCall
 }
 
 // Decide grants a request from the tokens at hand, or says whom to ask, or
@@ -67,8 +67,8 @@
 
 // returns gives back the fractions at hand. They are debited here first, so
 // that a lost message loses them and never doubles them.
-func (c *Core) returns(now time.Time, a *account) []*Ask {
-	var asks []*Ask
+func (c *Core) returns(now time.Time, a *account) []*TakeCall {
+	var asks []*TakeCall
 	kept := a.grants[:0]
 	for _, g := range a.grants {
 		if g.id == 0 || g.amount <= 0 || g.part >= len(a.sources) {
@@ -111,7 +111,7 @@
 // level asks a slot that is nearly full, and so is about to lose refill, before
 // the slots held here are drained. It matters when callers gather in one place:
 // their tokens would run out beside full slots elsewhere.
-func (c *Core) level(now time.Time, a *account, r *Request) *Ask {
+func (c *Core) level(now time.Time, a *account, r *Request) *TakeCall {
 	if r.levelled {
 		return nil
 	}
@@ -135,7 +135,7 @@
 }
 
 // ask chooses the slot most likely to have the missing tokens.
-func (c *Core) ask(now time.Time, a *account, r *Request, missing float64) *Ask {
+func (c *Core) ask(now time.Time, a *account, r *Request, missing float64) *TakeCall {
 	if c.askedEnough(r) {
 		return nil
 	}
@@ -151,7 +151,7 @@
 // gather puts a token together from slots that have less than one each. Without
 // it an organisation with a small burst, cut over many slots, would be refused
 // with more than a token left.
-func (c *Core) gather(now time.Time, a *account, r *Request, missing float64) *Ask {
+func (c *Core) gather(now time.Time, a *account, r *Request, missing float64) *TakeCall {
 	if c.askedEnough(r) {
 		return nil
 	}
@@ -183,10 +183,10 @@
 	return bits.OnesCount64(r.asked)+bits.OnesCount64(r.gathered) >= c.settings.Asks
 }
 
-func (c *Core) askPart(now time.Time, a *account, part int, args TakeArgs) *Ask {
+func (c *Core) askPart(now time.Time, a *account, part int, args TakeArgs) *TakeCall {
 	args.Organisation = a.id
 	args.Slot = a.sources[part].part.Key
-	return &Ask{Holder: c.holders[args.Slot], Args: args, Sent: now, part: part}
+	return &TakeCall{Holder: c.holders[args.Slot], Args: args, Sent: now, part: part}
 }
 
 // elsewhere reports whether another instance is known to hold a slot.
@@ -234,7 +234,7 @@
 
 // ahead decides whether tokens are to be taken ahead of need: when less than
 // half of the forecast is at hand.
-func (c *Core) ahead(now time.Time, a *account) *Ask {
+func (c *Core) ahead(now time.Time, a *account) *TakeCall {
 	forecast := math.Floor(a.demand.over(c.settings.Ahead))
 	if forecast < 1 || a.fetching || c.holdsAny(now, a) {
 		return nil
@@ -262,7 +262,7 @@
 }
 
 // Answered takes in the answer to an ask. Failed says that none came.
-func (c *Core) Answered(now time.Time, ask *Ask, reply TakeReply, failed bool) {
+func (c *Core) Answered(now time.Time, ask *TakeCall, reply TakeReply, failed bool) {
 	a := c.accounts[ask.Args.Organisation]
 	if a == nil {
 		return
@@ -292,7 +292,7 @@
 const notHolderBackoff = 100 * time.Millisecond
 
 // quiet leaves a holder alone for a while.
-func (c *Core) quiet(now time.Time, holder protocol.InstanceID, failed bool, a *account, ask *Ask) {
+func (c *Core) quiet(now time.Time, holder protocol.InstanceID, failed bool, a *account, ask *TakeCall) {
 	if !failed {
 		if ask.part < len(a.sources) {
 			a.sources[ask.part].quietUntil = now.Add(notHolderBackoff)
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -48,7 +48,7 @@
 	// renewedAt is when the own latest renewal was first seen.
 	renewedAt time.Time
 
-	ahead   *ring.Ring[*Ask]
+	ahead   *ring.Ring[*TakeCall]
 	actions *ring.Ring[ClaimAction]
 	// pending are the slots with an action in the ring.
 	pending map[SlotKey]bool
@@ -68,7 +68,7 @@
 		core:      NewCore(config.Self, config.Domain, config.Settings),
 		claims:    NewClaims(config.Self, config.Domain, config.Settings),
 		extension: newExtension(config.Settings),
-		ahead:     ring.New[*Ask]("limiter.ahead", aheadCapacity),
+		ahead:     ring.New[*TakeCall]("limiter.ahead", aheadCapacity),
 		actions:   ring.New[ClaimAction]("limiter.actions", actionCapacity),
 		pending:   map[SlotKey]bool{},
 	}
@@ -164,7 +164,7 @@
 }
 
 // fetch takes tokens ahead of need in the background.
-func (l *Limiter) fetch(ask *Ask) {
+func (l *Limiter) fetch(ask *TakeCall) {
 	if ask == nil || l.ahead.Offer(ask) {
 		return
 	}
@@ -172,7 +172,7 @@
 }
 
 // exchange asks a holder and takes in its answer.
-func (l *Limiter) exchange(ctx context.Context, ask *Ask) {
+func (l *Limiter) exchange(ctx context.Context, ask *TakeCall) {
 	ctx, cancel := context.WithTimeout(ctx, l.Settings.AskTimeout)
 	defer cancel()
 	var reply TakeReply
@@ -186,7 +186,7 @@
 	l.answered(ask, reply, err != nil)
 }
 
-func (l *Limiter) answered(ask *Ask, reply TakeReply, failed bool) {
+func (l *Limiter) answered(ask *TakeCall, reply TakeReply, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.core.Answered(time.Now(), ask, reply, failed)
--- a/internal/coordination/limiter/messages.go
+++ b/internal/coordination/limiter/messages.go
@@ -42,8 +42,8 @@
 	Version protocol.Offset
 }
 
-// Ask is a decision to ask another instance for tokens.
-type Ask struct {
+// TakeCall is a decision to ask another instance for tokens.
+type TakeCall struct {
 	Holder protocol.InstanceID
 	Args   TakeArgs
 	// Sent is the time of the decision, from which the tokens' lives count.
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -46,7 +46,7 @@
 	at    time.Time
 	from  int
 	to    int
-	ask   *Ask
+	ask   *TakeCall
 	reply *TakeReply
 }
 
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -207,7 +207,7 @@
 }
 
 // exchange carries a Take to its holder and the answer back.
-func (f *rateFleet) exchange(i int, ask *limiter.Ask, then func()) {
+func (f *rateFleet) exchange(i int, ask *limiter.TakeCall, then func()) {
 	f.exchanges++
 	asker := f.instances[i]
 	holder := f.byID(ask.Holder)
