--- a/internal/coordination/limiter/decide.go
+++ b/internal/coordination/limiter/decide.go
@@ -24,9 +24,9 @@
 type Verdict struct {
 	// Granted: the tokens are spent, the request may run.
 	Granted bool
-	// Ask: another instance may have the tokens. Report the answer by Answered
+	// Call: another instance may have the tokens. Report the answer by Answered
 	// and decide again.
-	Ask *TakeCall
+	Call *TakeCall
 	// Ahead: tokens should be taken ahead of need; nobody waits for them.
 	Ahead *TakeCall
 	// Unknown: the configuration has no such organisation.
@@ -50,17 +50,17 @@
 		a.demand.add(now, r.Tokens)
 	}
 	if ask := c.level(now, a, r); ask != nil {
-		return Verdict{Ask: ask}
+		return Verdict{Call: ask}
 	}
 	missing := c.spend(now, a, r.Tokens)
 	if missing == 0 {
 		return Verdict{Granted: true, Ahead: c.ahead(now, a)}
 	}
 	if ask := c.ask(now, a, r, missing); ask != nil {
-		return Verdict{Ask: ask}
+		return Verdict{Call: ask}
 	}
 	if ask := c.gather(now, a, r, missing); ask != nil {
-		return Verdict{Ask: ask}
+		return Verdict{Call: ask}
 	}
 	return Verdict{Refused: true, RetryAfter: c.retryAfter(now, a, r.Tokens), Returns: c.returns(now, a)}
 }
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -104,8 +104,8 @@
 			return nil
 		case verdict.Unknown:
 			return l.unknown(org)
-		case verdict.Ask != nil && ctx.Err() == nil:
-			l.exchange(ctx, verdict.Ask)
+		case verdict.Call != nil && ctx.Err() == nil:
+			l.exchange(ctx, verdict.Call)
 		default:
 			stats.Add("refused", 1)
 			for _, back := range verdict.Returns {
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -95,11 +95,11 @@
 	request := &limiter.Request{Organisation: id, Tokens: 1}
 	for {
 		verdict := core.Decide(now, request)
-		if verdict.Ask == nil {
+		if verdict.Call == nil {
 			return
 		}
-		reply := limiter.TakeReply{Holder: true, Now: verdict.Ask.Args.Now, Level: 1}
-		core.Answered(now, verdict.Ask, reply, false)
+		reply := limiter.TakeReply{Holder: true, Now: verdict.Call.Args.Now, Level: 1}
+		core.Answered(now, verdict.Call, reply, false)
 	}
 }
 
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -199,8 +199,8 @@
 	switch {
 	case verdict.Granted:
 		decided(true)
-	case verdict.Ask != nil && f.clock.Now().Before(deadline):
-		f.exchange(i, verdict.Ask, func() { f.decide(i, request, deadline, decided) })
+	case verdict.Call != nil && f.clock.Now().Before(deadline):
+		f.exchange(i, verdict.Call, func() { f.decide(i, request, deadline, decided) })
 	default:
 		decided(false)
 	}
