--- a/internal/coordination/limiter/decide.go
+++ b/internal/coordination/limiter/decide.go
@@ -27,8 +27,8 @@
 	// Call: another instance may have the tokens. Report the answer by Answered
 	// and decide again.
 	Call *TakeCall
-	// Ahead: tokens should be taken ahead of need; nobody waits for them.
-	Ahead *TakeCall
+	// Prefetch: tokens should be taken ahead of need; nobody waits for them.
+	Prefetch *TakeCall
 	// Unknown: the configuration has no such organisation.
 	Unknown bool
 	// Refused: RetryAfter says when to come back. Returns are to be sent; they
@@ -54,7 +54,7 @@
 	}
 	missing := c.spend(now, a, r.Tokens)
 	if missing == 0 {
-		return Verdict{Granted: true, Ahead: c.ahead(now, a)}
+		return Verdict{Granted: true, Prefetch: c.ahead(now, a)}
 	}
 	if ask := c.ask(now, a, r, missing); ask != nil {
 		return Verdict{Call: ask}
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -100,7 +100,7 @@
 		switch {
 		case verdict.Granted:
 			stats.Add("admitted", 1)
-			l.fetch(verdict.Ahead)
+			l.fetch(verdict.Prefetch)
 			return nil
 		case verdict.Unknown:
 			return l.unknown(org)
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -269,7 +269,7 @@
 	if verdict.Granted && t.failure == nil {
 		t.failure = t.oracle.admit(t.now, tokens)
 	}
-	for _, ask := range append(verdict.Returns, verdict.Call, verdict.Ahead) {
+	for _, ask := range append(verdict.Returns, verdict.Call, verdict.Prefetch) {
 		if ask == nil {
 			continue
 		}
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -193,8 +193,8 @@
 	for _, back := range verdict.Returns {
 		f.exchange(i, back, func() {})
 	}
-	if verdict.Ahead != nil {
-		f.exchange(i, verdict.Ahead, func() {})
+	if verdict.Prefetch != nil {
+		f.exchange(i, verdict.Prefetch, func() {})
 	}
 	switch {
 	case verdict.Granted:
