--- a/internal/coordination/limiter/core.go
+++ b/internal/coordination/limiter/core.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Extend says until when the held slots may be used.
-func (c *Core) Extend(until time.Time) {
+// SetUsableUntil says until when the held slots may be used.
+func (c *Core) SetUsableUntil(until time.Time) {
 	c.authority = until
 }
 
--- a/internal/coordination/limiter/leave_test.go
+++ b/internal/coordination/limiter/leave_test.go
@@ -35,7 +35,7 @@
 		Organisations: map[protocol.OrganisationID]protocol.Organisation{"o0": {ID: "o0", Rate: 1, Burst: 4}},
 		Domains:       domains("a"),
 	}, true)
-	c.Extend(epoch.Add(time.Hour))
+	c.SetUsableUntil(epoch.Add(time.Hour))
 	key := Divide(c.fleet.Organisations["o0"], c.fleet.Domains)[0].Key
 	args := SlotBalances{Slot: key, Fence: 5, Balances: []Balance{{Organisation: "o0", Tokens: 3}}}
 	c.Receive(epoch, args)
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -151,15 +151,15 @@
 	}
 	switch {
 	case l.session == 0 || l.Journal.Session() != l.session:
-		l.core.Extend(time.Time{})
+		l.core.SetUsableUntil(time.Time{})
 	case l.Journal.MayHold():
-		l.core.Extend(now.Add(1))
+		l.core.SetUsableUntil(now.Add(1))
 	case l.agreed.ownRenewal(l.session) != l.extension.settled:
 		// The electorate may miss a mate that the journal has read already, or
 		// the session has ended. The next look tells.
-		l.core.Extend(time.Time{})
+		l.core.SetUsableUntil(time.Time{})
 	default:
-		l.core.Extend(l.extension.until(now))
+		l.core.SetUsableUntil(l.extension.until(now))
 	}
 }
 
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -107,14 +107,14 @@
 func (f *rateFleet) move(key limiter.SlotKey, from, to protocol.InstanceID) {
 	target := f.byID(to)
 	if old := f.byID(from); old != nil && old.alive {
-		old.core.Extend(f.clock.Now().Add(time.Hour))
+		old.core.SetUsableUntil(f.clock.Now().Add(time.Hour))
 		if balances, ok := old.core.GiveUp(f.clock.Now(), key); ok {
 			target.core.Receive(f.clock.Now(), balances)
 		}
 		old.core.Drop(key)
 	}
 	f.fence++
-	target.core.Extend(f.clock.Now().Add(24 * time.Hour))
+	target.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
 	target.core.Hold(f.clock.Now(), key, f.fence)
 }
 
