--- a/internal/coordination/limiter/core.go
+++ b/internal/coordination/limiter/core.go
@@ -100,9 +100,9 @@
 	c.authority = until
 }
 
-// Hold notes that this instance won a slot at a fencing number. The slot starts
+// AddSlot notes that this instance won a slot at a fencing number. The slot starts
 // empty, and fills only once the former holder's last tokens have ended.
-func (c *Core) Hold(now time.Time, key SlotKey, fence protocol.Offset) {
+func (c *Core) AddSlot(now time.Time, key SlotKey, fence protocol.Offset) {
 	if t, ok := c.held[key]; ok && t.fence == fence {
 		return
 	}
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -161,7 +161,7 @@
 	t.holder[key] = to
 	core := t.cores[to]
 	core.SetUsableUntil(t.clock(to).Add(24 * time.Hour))
-	core.Hold(t.clock(to), key, t.fence)
+	core.AddSlot(t.clock(to), key, t.fence)
 	if t.defect == slotStartsFull {
 		core.held[key] = tenure{fence: t.fence, from: t.clock(to).Add(-time.Hour)}
 	}
--- a/internal/coordination/limiter/services.go
+++ b/internal/coordination/limiter/services.go
@@ -107,7 +107,7 @@
 	}
 	for key, h := range view.Holdings {
 		if session != 0 && h.Session == session && !h.Ended {
-			l.core.Hold(now, key, h.Fence)
+			l.core.AddSlot(now, key, h.Fence)
 		} else {
 			l.core.Drop(key)
 		}
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -115,7 +115,7 @@
 	}
 	f.fence++
 	target.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
-	target.core.Hold(f.clock.Now(), key, f.fence)
+	target.core.AddSlot(f.clock.Now(), key, f.fence)
 }
 
 func (f *rateFleet) byID(id protocol.InstanceID) *rateInstance { return f.ids[id] }
