--- a/internal/coordination/limiter/core.go
+++ b/internal/coordination/limiter/core.go
@@ -106,7 +106,7 @@
 	if t, ok := c.held[key]; ok && t.fence == fence {
 		return
 	}
-	c.Drop(key)
+	c.RemoveSlot(key)
 	c.held[key] = tenure{
 		fence:  fence,
 		from:   now.Add(c.settings.longer(c.settings.GrantLife)),
@@ -115,8 +115,8 @@
 	}
 }
 
-// Drop notes that this instance no longer holds a slot. Its tokens are gone.
-func (c *Core) Drop(key SlotKey) {
+// RemoveSlot notes that this instance no longer holds a slot. Its tokens are gone.
+func (c *Core) RemoveSlot(key SlotKey) {
 	if _, ok := c.held[key]; !ok {
 		return
 	}
@@ -133,7 +133,7 @@
 // DropAll notes that the session under which the slots were held is over.
 func (c *Core) DropAll() {
 	for key := range c.held {
-		c.Drop(key)
+		c.RemoveSlot(key)
 	}
 }
 
@@ -141,7 +141,7 @@
 func (c *Core) Keep(holds func(SlotKey) bool) {
 	for key := range c.held {
 		if !holds(key) {
-			c.Drop(key)
+			c.RemoveSlot(key)
 		}
 	}
 }
--- a/internal/coordination/limiter/leave_test.go
+++ b/internal/coordination/limiter/leave_test.go
@@ -41,7 +41,7 @@
 	c.Receive(epoch, args)
 	c.AddSlot(epoch, key, 6)
 	require.Equal(t, 3.0, c.Take(epoch, TakeArgs{Organisation: "o0", Slot: key, Now: 9}).Now)
-	c.Drop(key)
+	c.RemoveSlot(key)
 	c.Receive(epoch, args)
 	c.AddSlot(epoch, key, 9)
 	require.Zero(t, c.Take(epoch, TakeArgs{Organisation: "o0", Slot: key, Now: 9}).Now)
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -176,7 +176,7 @@
 	key := parts[t.random.IntN(len(parts))].Key
 	old := t.holder[key]
 	if t.defect != slotReassignedEarly {
-		t.cores[old].Drop(key)
+		t.cores[old].RemoveSlot(key)
 	}
 	t.assign(key, (old+3)%trialInstances)
 }
--- a/internal/coordination/limiter/services.go
+++ b/internal/coordination/limiter/services.go
@@ -109,7 +109,7 @@
 		if session != 0 && h.Session == session && !h.Ended {
 			l.core.AddSlot(now, key, h.Fence)
 		} else {
-			l.core.Drop(key)
+			l.core.RemoveSlot(key)
 		}
 	}
 	l.core.Keep(func(key SlotKey) bool {
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -111,7 +111,7 @@
 		if balances, ok := old.core.GiveUp(f.clock.Now(), key); ok {
 			target.core.Receive(f.clock.Now(), balances)
 		}
-		old.core.Drop(key)
+		old.core.RemoveSlot(key)
 	}
 	f.fence++
 	target.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
