--- a/internal/coordination/limiter/handover.go
+++ b/internal/coordination/limiter/handover.go
@@ -85,9 +85,9 @@
 	return got
 }
 
-// GiveUp stops the use of a slot that is about to be released, and returns what
+// CloseSlot stops the use of a slot that is about to be released, and returns what
 // is left in it. A second call returns nothing.
-func (c *Core) GiveUp(now time.Time, key SlotKey) (SlotBalances, bool) {
+func (c *Core) CloseSlot(now time.Time, key SlotKey) (SlotBalances, bool) {
 	t, ok := c.held[key]
 	if !ok || t.givenUp {
 		return SlotBalances{}, false
--- a/internal/coordination/limiter/leave.go
+++ b/internal/coordination/limiter/leave.go
@@ -41,7 +41,7 @@
 		messages[mate] = &HandoverArgs{Leaving: l.session, Plan: plan}
 	}
 	for _, key := range l.core.HeldKeys() {
-		balances, first := l.core.GiveUp(now, key)
+		balances, first := l.core.CloseSlot(now, key)
 		if args := messages[plan[key.Slot]]; first && args != nil {
 			args.Slots = append(args.Slots, balances)
 		}
--- a/internal/coordination/limiter/services.go
+++ b/internal/coordination/limiter/services.go
@@ -175,7 +175,7 @@
 	l.mu.Lock()
 	now := time.Now()
 	l.authorise(now)
-	balances, first := l.core.GiveUp(now, key)
+	balances, first := l.core.CloseSlot(now, key)
 	successor := l.claims.Successor(key)
 	l.mu.Unlock()
 	if first && successor != "" {
