--- a/internal/coordination/limiter/endpoint.go
+++ b/internal/coordination/limiter/endpoint.go
@@ -67,7 +67,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, slot := range args.Slots {
-		l.core.Receive(time.Now(), slot)
+		l.core.ReceiveHandover(time.Now(), slot)
 	}
 	if args.Leaving != 0 {
 		l.claims.Left(time.Now(), args.Leaving, args.Plan)
--- a/internal/coordination/limiter/handover.go
+++ b/internal/coordination/limiter/handover.go
@@ -127,8 +127,8 @@
 	return slices.ContainsFunc(parts, func(p Part) bool { return p.Key == key })
 }
 
-// Receive takes in the tokens of a slot that this instance will claim.
-func (c *Core) Receive(now time.Time, args SlotBalances) {
+// ReceiveHandover takes in the tokens of a slot that this instance will claim.
+func (c *Core) ReceiveHandover(now time.Time, args SlotBalances) {
 	if _, held := c.held[args.Slot]; held {
 		// Late: the claim was won before, and the slot began empty.
 		return
--- a/internal/coordination/limiter/leave_test.go
+++ b/internal/coordination/limiter/leave_test.go
@@ -38,11 +38,11 @@
 	c.SetUsableUntil(epoch.Add(time.Hour))
 	key := Divide(c.fleet.Organisations["o0"], c.fleet.Domains)[0].Key
 	args := SlotBalances{Slot: key, Fence: 5, Balances: []Balance{{Organisation: "o0", Tokens: 3}}}
-	c.Receive(epoch, args)
+	c.ReceiveHandover(epoch, args)
 	c.AddSlot(epoch, key, 6)
 	require.Equal(t, 3.0, c.Take(epoch, TakeArgs{Organisation: "o0", Slot: key, Now: 9}).Now)
 	c.RemoveSlot(key)
-	c.Receive(epoch, args)
+	c.ReceiveHandover(epoch, args)
 	c.AddSlot(epoch, key, 9)
 	require.Zero(t, c.Take(epoch, TakeArgs{Organisation: "o0", Slot: key, Now: 9}).Now)
 }
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -109,7 +109,7 @@
 	if old := f.byID(from); old != nil && old.alive {
 		old.core.SetUsableUntil(f.clock.Now().Add(time.Hour))
 		if balances, ok := old.core.CloseSlot(f.clock.Now(), key); ok {
-			target.core.Receive(f.clock.Now(), balances)
+			target.core.ReceiveHandover(f.clock.Now(), balances)
 		}
 		old.core.RemoveSlot(key)
 	}
