--- a/internal/coordination/limiter/decide.go
+++ b/internal/coordination/limiter/decide.go
@@ -261,8 +261,8 @@
 	return false
 }
 
-// Answered takes in the answer to an ask. Failed says that none came.
-func (c *Core) Answered(now time.Time, ask *TakeCall, reply TakeReply, failed bool) {
+// HandleReply takes in the answer to an ask. Failed says that none came.
+func (c *Core) HandleReply(now time.Time, ask *TakeCall, reply TakeReply, failed bool) {
 	a := c.accounts[ask.Args.Organisation]
 	if a == nil {
 		return
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -189,5 +189,5 @@
 func (l *Limiter) answered(ask *TakeCall, reply TakeReply, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.Answered(time.Now(), ask, reply, failed)
+	l.core.HandleReply(time.Now(), ask, reply, failed)
 }
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -237,7 +237,7 @@
 		return
 	}
 	m.ask.Holder = ""
-	t.cores[m.to].Answered(t.clock(m.to), &ask, *m.reply, false)
+	t.cores[m.to].HandleReply(t.clock(m.to), &ask, *m.reply, false)
 	t.request(m.to, 1)
 }
 
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -99,7 +99,7 @@
 			return
 		}
 		reply := limiter.TakeReply{Holder: true, Now: verdict.Call.Args.Now, Level: 1}
-		core.Answered(now, verdict.Call, reply, false)
+		core.HandleReply(now, verdict.Call, reply, false)
 	}
 }
 
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -213,7 +213,7 @@
 	holder := f.byID(ask.Holder)
 	if !holder.alive || f.isCut(i, ask.Args.Slot.Domain) {
 		f.clock.After(f.policy.settings.AskTimeout, func() {
-			asker.core.Answered(f.clock.Now(), ask, limiter.TakeReply{}, true)
+			asker.core.HandleReply(f.clock.Now(), ask, limiter.TakeReply{}, true)
 			then()
 		})
 		return
@@ -225,7 +225,7 @@
 	f.clock.After(hop, func() {
 		reply := holder.core.Take(f.clock.Now(), ask.Args)
 		f.clock.After(hop, func() {
-			asker.core.Answered(f.clock.Now(), ask, reply, false)
+			asker.core.HandleReply(f.clock.Now(), ask, reply, false)
 			then()
 		})
 	})
