--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -173,7 +173,7 @@
 
 // exchange asks a holder and takes in its answer.
 func (l *Limiter) exchange(ctx context.Context, ask *TakeCall) {
-	ctx, cancel := context.WithTimeout(ctx, l.Settings.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, l.Settings.CallTimeout)
 	defer cancel()
 	var reply TakeReply
 	err := l.Peers.Call(ctx, ask.Holder, ReceiverName+".Take", &ask.Args, &reply)
--- a/internal/coordination/limiter/settings.go
+++ b/internal/coordination/limiter/settings.go
@@ -25,9 +25,9 @@
 	// ExchangeTimeout bounds the exchanges of one decision, and the life of
 	// tokens taken for it. A few round trips inside a region fit well.
 	ExchangeTimeout time.Duration `yaml:"exchange_timeout"`
-	// AskTimeout bounds one exchange, so that a holder that hangs leaves time
+	// CallTimeout bounds one exchange, so that a holder that hangs leaves time
 	// to ask another one.
-	AskTimeout time.Duration `yaml:"ask_timeout"`
+	CallTimeout time.Duration `yaml:"ask_timeout"`
 	// Ahead is the time of forecast use that an instance takes ahead of need.
 	Ahead time.Duration `yaml:"ahead"`
 	// Asks bounds the exchanges of one decision: enough for the slots of the
@@ -67,7 +67,7 @@
 	return Settings{
 		GrantLife:       250 * time.Millisecond,
 		ExchangeTimeout: 50 * time.Millisecond,
-		AskTimeout:      20 * time.Millisecond,
+		CallTimeout:      20 * time.Millisecond,
 		Ahead:           100 * time.Millisecond,
 		Asks:            12,
 		OwnBonus:        0.1,
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -212,7 +212,7 @@
 	asker := f.instances[i]
 	holder := f.byID(ask.Holder)
 	if !holder.alive || f.isCut(i, ask.Args.Slot.Domain) {
-		f.clock.After(f.policy.settings.AskTimeout, func() {
+		f.clock.After(f.policy.settings.CallTimeout, func() {
 			asker.core.HandleReply(f.clock.Now(), ask, limiter.TakeReply{}, true)
 			then()
 		})
