--- a/internal/coordination/limiter/services.go
+++ b/internal/coordination/limiter/services.go
@@ -235,7 +235,7 @@
 func (l *Limiter) renewalLate(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.renewedAt) > l.Settings.RenewalLate
+	return now.Sub(l.renewedAt) > l.Settings.MaxRenewalAge
 }
 
 // promisesWanted are the mates whose promise ends soon.
--- a/internal/coordination/limiter/settings.go
+++ b/internal/coordination/limiter/settings.go
@@ -47,9 +47,9 @@
 	// replacement of a mate during an outage of the log, and it delays a
 	// takeover only if the holder had lost the log before it died.
 	Promise time.Duration `yaml:"promise"`
-	// RenewalLate is the age of the own latest renewal from which promises are
+	// MaxRenewalAge is the age of the own latest renewal from which promises are
 	// asked for. It must leave time to ask before the session's hold ends.
-	RenewalLate time.Duration `yaml:"renewal_late"`
+	MaxRenewalAge time.Duration `yaml:"renewal_late"`
 	// Grace is how long a holder may go on by promises after it last held its
 	// session, and how long an instance that the holder can't know waits
 	// before it claims. It must outlast the platform's outages; it is paid
@@ -74,7 +74,7 @@
 		NearlyFull:      0.75,
 		PeerBackoff:     time.Second,
 		Promise:         30 * time.Second,
-		RenewalLate:     3 * time.Second,
+		MaxRenewalAge:     3 * time.Second,
 		Grace:           4 * time.Hour,
 		ClockDrift:      0.0005,
 		Idle:            10 * time.Minute,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -196,8 +196,8 @@
 		doc.Report("timings.expire", "%s must be larger than timings.hold (%s on the slowest clock), or two instances hold the same work",
 			t.Expire, slowest)
 	}
-	if s.Limiter.RenewalLate >= t.Hold {
-		doc.Report("limiter.renewal_late", "%s must be below timings.hold (%s), or promises are asked for too late", s.Limiter.RenewalLate, t.Hold)
+	if s.Limiter.MaxRenewalAge >= t.Hold {
+		doc.Report("limiter.renewal_late", "%s must be below timings.hold (%s), or promises are asked for too late", s.Limiter.MaxRenewalAge, t.Hold)
 	}
 	if longest := t.DrainNotice + s.Calls.Deadline; t.DrainLimit < longest {
 		doc.Report("timings.drain_limit", "%s must be at least timings.drain_notice and calls.deadline together (%s), or a shutdown cuts calls", t.DrainLimit, longest)
