--- a/internal/coordination/limiter/account.go
+++ b/internal/coordination/limiter/account.go
@@ -6,41 +6,44 @@
 	"merlintiller/internal/protocol"
 )
 
-// source is what the instance knows of one slot of an organisation.
-type source struct {
-	part Part
+// slotState is what this instance knows of one slot of an organisation.
+type slotState struct {
+	quota Quota
 	// bucket is set while this instance holds the slot and has used it.
 	bucket *bucket
-	// level and levelAt are the holder's last answer.
+	// level is the number of tokens that the holder reported last, and levelAt
+	// the time of that reply.
 	level   float64
 	levelAt time.Time
-	// quietUntil is the time before which asking for a whole token is useless:
-	// the slot has none or its holder did not answer. failedUntil is the time
-	// before which its holder is left alone for not answering.
-	quietUntil, failedUntil time.Time
+	// skipUntil is the time until which the slot is not asked for a whole
+	// token, because it has none or its holder did not answer. unreachableUntil
+	// is the time until which the slot is not asked at all, because its holder
+	// did not answer.
+	skipUntil, unreachableUntil time.Time
 }
 
-// account is what the instance knows of one organisation.
+// account is what this instance knows of one organisation.
 type account struct {
-	id      protocol.OrganisationID
-	version protocol.Offset
-	settled int
-	rate    float64
-	sources []source
-	// grants are tokens taken ahead of need, ordered by their end.
-	grants []lent
+	id                protocol.OrganisationID
+	version           protocol.Offset
+	completedRollouts int
+	rate              float64
+	slots             []slotState
+	// grants are tokens received from other holders, ordered by expiry.
+	grants []grant
 	demand demand
-	// fetching says that tokens are being taken ahead of need.
-	fetching bool
-	used     time.Time
+	// prefetching is true while a prefetch is in flight.
+	prefetching bool
+	lastUsed    time.Time
 }
 
-// granted is the number of tokens at hand. It drops the ones whose life ended.
-func (a *account) granted(now time.Time) float64 {
+// availableGrants returns the number of unspent granted tokens, and drops
+// expired grants.
+func (a *account) availableGrants(now time.Time) float64 {
 	kept := a.grants[:0]
 	sum := 0.0
 	for _, g := range a.grants {
-		if g.until.After(now) {
+		if g.expiresAt.After(now) {
 			kept = append(kept, g)
 			sum += g.amount
 		}
@@ -49,37 +52,38 @@
 	return sum
 }
 
-// spendGrants uses tokens, those that end first first. The caller has checked
-// that there are enough, or wants as many as there are.
+// spendGrants spends up to the given amount, beginning with the grants that
+// expire first, and returns how much it spent.
 func (a *account) spendGrants(amount float64) float64 {
-	left := amount
+	remaining := amount
 	for i := range a.grants {
-		used := min(left, a.grants[i].amount)
+		used := min(remaining, a.grants[i].amount)
 		a.grants[i].amount -= used
-		left -= used
+		remaining -= used
 	}
-	return amount - left
+	return amount - remaining
 }
 
-// add keeps granted tokens ordered by their end.
-func (a *account) add(g lent) {
+// addGrant inserts a grant, ordered by expiry.
+func (a *account) addGrant(g grant) {
 	if g.amount <= 0 {
 		return
 	}
 	i := len(a.grants)
-	for i > 0 && a.grants[i-1].until.After(g.until) {
+	for i > 0 && a.grants[i-1].expiresAt.After(g.expiresAt) {
 		i--
 	}
-	a.grants = append(a.grants, lent{})
+	a.grants = append(a.grants, grant{})
 	copy(a.grants[i+1:], a.grants[i:])
 	a.grants[i] = g
 }
 
-// forecastMemory is the time over which past use counts for the forecast.
-const forecastMemory = 500 * time.Millisecond
+// forecastTimeConstant is the time constant with which past use loses weight in
+// the forecast.
+const forecastTimeConstant = 500 * time.Millisecond
 
-// demand forecasts the organisation's use at this instance from its own recent
-// use: an exponentially decaying count of tokens.
+// demand forecasts an organisation's token use at this instance from a decaying
+// count of the tokens used here.
 type demand struct {
 	count float64
 	at    time.Time
@@ -90,8 +94,8 @@
 	if elapsed <= 0 {
 		return
 	}
-	// A rational decay is close enough to the exponential, and cheaper.
-	d.count /= 1 + elapsed.Seconds()/forecastMemory.Seconds()
+	// This rational decay is close enough to an exponential one, and cheaper.
+	d.count /= 1 + elapsed.Seconds()/forecastTimeConstant.Seconds()
 	d.at = now
 }
 
@@ -100,7 +104,7 @@
 	d.count += tokens
 }
 
-// over is the use expected in the time to come.
-func (d *demand) over(ahead time.Duration) float64 {
-	return d.count * ahead.Seconds() / forecastMemory.Seconds()
+// forecast returns the expected use, in tokens, within the given time.
+func (d *demand) forecast(ahead time.Duration) float64 {
+	return d.count * ahead.Seconds() / forecastTimeConstant.Seconds()
 }
--- a/internal/coordination/limiter/assignment.go
+++ b/internal/coordination/limiter/assignment.go
@@ -9,86 +9,91 @@
 	"merlintiller/internal/protocol"
 )
 
-// Assignment says which instance should hold each slot of a failure domain.
+// Assignment names the instance that should hold each slot of a failure domain.
+// An entry is empty if there is none.
 type Assignment [SlotsPerDomain]protocol.InstanceID
 
-// Assign leaves slots where they are, except the ones that a holder has beyond
-// its even part, since a slot that moves loses its refill for a moment. The
-// others go to instances with less than their part, by rendezvous hash, and not
-// beside a slot of the same instance: an organisation has neighbouring slots,
-// and a death should cost it one of them only.
+// Assign distributes the slots of a failure domain evenly among its instances.
+// A slot stays with its holder unless the holder has more than its even share,
+// because a slot that moves loses its refill for a short time. The other slots
+// are assigned by rendezvous hash to instances with less than their share.
+// Adjacent slots go to different instances where possible: an organisation uses
+// adjacent slots, and the loss of one instance should cost it only one of them.
 func Assign(domain protocol.Domain, instances []protocol.InstanceID, held Assignment) Assignment {
-	a := assigner{domain: domain, instances: instances, load: map[protocol.InstanceID]int{}}
+	a := assigner{domain: domain, instances: instances, slotCount: map[protocol.InstanceID]int{}}
 	if len(instances) == 0 {
-		return a.wanted
+		return a.assigned
 	}
-	a.limit = (SlotsPerDomain + len(instances) - 1) / len(instances)
+	a.maxSlots = (SlotsPerDomain + len(instances) - 1) / len(instances)
 	a.keep(held, true)
 	a.keep(held, false)
-	for slot := range a.wanted {
-		if a.wanted[slot] == "" {
-			a.give(slot, a.choose(slot))
+	for slot := range a.assigned {
+		if a.assigned[slot] == "" {
+			a.assign(slot, a.choose(slot))
 		}
 	}
-	return a.wanted
+	return a.assigned
 }
 
 type assigner struct {
 	domain    protocol.Domain
 	instances []protocol.InstanceID
-	limit     int
-	load      map[protocol.InstanceID]int
-	wanted    Assignment
+	maxSlots  int
+	slotCount map[protocol.InstanceID]int
+	assigned  Assignment
 }
 
-// keep leaves slots with their holders. Of a holder that has too many, those
-// that lie apart are kept first.
+// keep leaves slots with their holders, up to maxSlots for each. With apart
+// set, it skips slots that are near another slot of the same holder. Assign
+// calls it with apart first, so that a holder with too many slots keeps the
+// ones that are far apart.
 func (a *assigner) keep(held Assignment, apart bool) {
 	for slot, id := range held {
-		if a.wanted[slot] != "" || a.load[id] >= a.limit || !slices.Contains(a.instances, id) {
+		if a.assigned[slot] != "" || a.slotCount[id] >= a.maxSlots || !slices.Contains(a.instances, id) {
 			continue
 		}
 		if !apart || !a.nearby(slot, id) {
-			a.give(slot, id)
+			a.assign(slot, id)
 		}
 	}
 }
 
-func (a *assigner) give(slot int, id protocol.InstanceID) {
-	a.wanted[slot] = id
-	a.load[id]++
+func (a *assigner) assign(slot int, id protocol.InstanceID) {
+	a.assigned[slot] = id
+	a.slotCount[id]++
 }
 
-// choose prefers an instance that holds no slot nearby, and else takes any with
-// less than its part. There always is one: the parts add up to all slots.
+// choose returns an instance with less than its share, preferably one that
+// holds no slot nearby. There always is one, because the shares add up to at
+// least the number of slots.
 func (a *assigner) choose(slot int) protocol.InstanceID {
-	var best, bestFar protocol.InstanceID
-	var score, scoreFar uint64
+	var best, bestApart protocol.InstanceID
+	var bestHash, bestApartHash uint64
 	for _, id := range a.instances {
-		if a.load[id] >= a.limit {
+		if a.slotCount[id] >= a.maxSlots {
 			continue
 		}
-		s := xxhash.Sum64String(string(a.domain) + "\x00" + strconv.Itoa(slot) + "\x00" + string(id))
-		if best == "" || s > score {
-			best, score = id, s
+		hash := xxhash.Sum64String(string(a.domain) + "\x00" + strconv.Itoa(slot) + "\x00" + string(id))
+		if best == "" || hash > bestHash {
+			best, bestHash = id, hash
 		}
-		if !a.nearby(slot, id) && (bestFar == "" || s > scoreFar) {
-			bestFar, scoreFar = id, s
+		if !a.nearby(slot, id) && (bestApart == "" || hash > bestApartHash) {
+			bestApart, bestApartHash = id, hash
 		}
 	}
-	if bestFar != "" {
-		return bestFar
+	if bestApart != "" {
+		return bestApart
 	}
 	return best
 }
 
-// nearby reports whether an instance holds a slot that an organisation may use
-// together with this one.
+// nearby reports whether an instance has another slot that an organisation may
+// use together with this one.
 func (a *assigner) nearby(slot int, id protocol.InstanceID) bool {
 	for distance := 1; distance < MaxSlots; distance++ {
 		after := (slot + distance) % SlotsPerDomain
 		before := (slot - distance + SlotsPerDomain) % SlotsPerDomain
-		if a.wanted[after] == id || a.wanted[before] == id {
+		if a.assigned[after] == id || a.assigned[before] == id {
 			return true
 		}
 	}
--- a/internal/coordination/limiter/core.go
+++ b/internal/coordination/limiter/core.go
@@ -7,44 +7,46 @@
 	"merlintiller/internal/protocol"
 )
 
-// tenure is this instance's hold of a slot.
-type tenure struct {
+// heldSlot is a slot whose lease this instance holds.
+type heldSlot struct {
 	fence protocol.Offset
-	// from is when the slot begins to fill: after every token that a former
-	// holder gave away has ended.
-	from time.Time
-	// givenUp says that the slot is being released and is not used any more.
-	givenUp bool
-	// wonAt is when this instance read that it won the slot, and handed what
-	// the former holder handed over.
-	wonAt  time.Time
-	handed handover
+	// fillsFrom is when the slot begins to fill: after all grants of the former
+	// holder have expired.
+	fillsFrom time.Time
+	// closed is true once the slot is being released and is no longer used.
+	closed bool
+	// acquiredAt is when this instance read that its claim was accepted.
+	// handover holds the tokens that the former holder handed over.
+	acquiredAt time.Time
+	handover   handover
 }
 
-// Core is the limiter of one instance: which tokens it has, gives and asks for.
-// It has no clock, no I/O and no goroutine, and is not safe for concurrent use.
+// Core decides which tokens an instance spends, grants and asks for. It has no
+// clock, no I/O and no goroutines, and is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	self     protocol.InstanceID
 	domain   protocol.Domain
 
-	fleet       *protocol.Fleet
-	generations generations
-	// settled counts changes that settled, so that accounts follow them.
-	settled  int
-	accounts map[protocol.OrganisationID]*account
-	// held are the slots this instance holds; authority is the time until
-	// which it may use them.
-	held      map[SlotKey]tenure
-	authority time.Time
-	// holders says whom to ask. It is a hint: the asked instance decides.
+	fleet   *protocol.Fleet
+	rollout rollout
+	// completedRollouts counts the rollouts that have completed. An account
+	// whose count differs has to recompute its quotas.
+	completedRollouts int
+	accounts          map[protocol.OrganisationID]*account
+	// held are the slots that this instance holds. It may use them until
+	// usableUntil.
+	held        map[SlotKey]heldSlot
+	usableUntil time.Time
+	// holders names the instance to ask for each slot. The entries are hints:
+	// the instance that is asked decides whether it holds the slot.
 	holders   map[SlotKey]protocol.InstanceID
 	handovers handovers
-	// fractions numbers the lent fractions.
-	fractions uint64
+	// lastFractionID is the id of the latest fractional grant.
+	lastFractionID uint64
 }
 
-// NewCore returns a limiter that holds nothing.
+// NewCore returns a Core without slots.
 func NewCore(self protocol.InstanceID, domain protocol.Domain, settings Settings) *Core {
 	return &Core{
 		settings:  settings,
@@ -52,93 +54,99 @@
 		domain:    domain,
 		fleet:     &protocol.Fleet{Version: protocol.NoOffset},
 		accounts:  map[protocol.OrganisationID]*account{},
-		held:      map[SlotKey]tenure{},
+		held:      map[SlotKey]heldSlot{},
 		holders:   map[SlotKey]protocol.InstanceID{},
 		handovers: newHandovers(),
 	}
 }
 
-// Configure puts a configuration in force.
-// direct says that this instance saw every configuration up to this one.
-func (c *Core) Configure(now time.Time, fleet *protocol.Fleet, direct bool) {
+// Configure applies a new configuration. consecutive is true if this instance
+// has applied every configuration before it.
+func (c *Core) Configure(now time.Time, fleet *protocol.Fleet, consecutive bool) {
 	if fleet.Version <= c.fleet.Version {
 		return
 	}
-	c.generations.replace(now, c.fleet, fleet, direct)
+	c.rollout.supersede(now, c.fleet, fleet, consecutive)
 	c.fleet = fleet
-	c.followAll(now)
+	c.updateAccounts(now)
 }
 
-// followAll brings the organisations with a bucket here to the configuration in
-// force, so that a raised burst begins to fill now and not at the next request.
-func (c *Core) followAll(now time.Time) {
+// updateAccounts applies the current configuration to all organisations that
+// have a bucket here, so that a raised burst begins to fill now and not at the
+// next request.
+func (c *Core) updateAccounts(now time.Time) {
 	for id, a := range c.accounts {
-		if used := a.used; a.holdsBucket() {
+		if lastUsed := a.lastUsed; a.hasBucket() {
 			if a = c.account(now, id); a != nil {
-				a.used = used
+				a.lastUsed = lastUsed
 			}
 		}
 	}
 }
 
-// Version is the configuration that this instance follows.
+// Version returns the version of the configuration that this instance has
+// applied.
 func (c *Core) Version() protocol.Offset { return c.fleet.Version }
 
-// Unsettled reports whether some part waits for all holders to follow.
-func (c *Core) Unsettled() bool { return len(c.generations.past) > 0 }
+// RolloutPending reports whether some quota is kept low until all holders have
+// applied the configuration.
+func (c *Core) RolloutPending() bool { return len(c.rollout.superseded) > 0 }
 
-// Settle notes that every holder follows a version at least.
-func (c *Core) Settle(now time.Time, version protocol.Offset) {
-	if c.generations.settle(version) {
-		c.settled++
-		c.followAll(now)
+// ConfirmVersion records that every holder has applied at least the given
+// version.
+func (c *Core) ConfirmVersion(now time.Time, version protocol.Offset) {
+	if c.rollout.confirm(version) {
+		c.completedRollouts++
+		c.updateAccounts(now)
 	}
 }
 
-// SetUsableUntil says until when the held slots may be used.
+// SetUsableUntil sets the time until which the held slots may be used.
 func (c *Core) SetUsableUntil(until time.Time) {
-	c.authority = until
+	c.usableUntil = until
 }
 
-// AddSlot notes that this instance won a slot at a fencing number. The slot starts
-// empty, and fills only once the former holder's last tokens have ended.
+// AddSlot records that this instance's claim of a slot was accepted at a
+// fencing number. Apart from tokens handed over, the slot starts empty, and it
+// fills only after all grants of the former holder have expired.
 func (c *Core) AddSlot(now time.Time, key SlotKey, fence protocol.Offset) {
-	if t, ok := c.held[key]; ok && t.fence == fence {
+	if slot, ok := c.held[key]; ok && slot.fence == fence {
 		return
 	}
 	c.RemoveSlot(key)
-	c.held[key] = tenure{
-		fence:  fence,
-		from:   now.Add(c.settings.longer(c.settings.GrantLife)),
-		wonAt:  now,
-		handed: c.handovers.claimed(now, key),
+	c.held[key] = heldSlot{
+		fence:      fence,
+		fillsFrom:  now.Add(c.settings.padForDrift(c.settings.GrantLifetime)),
+		acquiredAt: now,
+		handover:   c.handovers.take(now, key),
 	}
 }
 
-// RemoveSlot notes that this instance no longer holds a slot. Its tokens are gone.
+// RemoveSlot records that this instance no longer holds a slot, and discards
+// the slot's tokens.
 func (c *Core) RemoveSlot(key SlotKey) {
 	if _, ok := c.held[key]; !ok {
 		return
 	}
 	delete(c.held, key)
 	for _, a := range c.accounts {
-		for i := range a.sources {
-			if a.sources[i].part.Key == key {
-				a.sources[i].bucket = nil
+		for i := range a.slots {
+			if a.slots[i].quota.Key == key {
+				a.slots[i].bucket = nil
 			}
 		}
 	}
 }
 
-// DropAll notes that the session under which the slots were held is over.
-func (c *Core) DropAll() {
+// RemoveAllSlots records that the session that held the slots has ended.
+func (c *Core) RemoveAllSlots() {
 	for key := range c.held {
 		c.RemoveSlot(key)
 	}
 }
 
-// Keep drops the slots that replay no longer gives to this instance.
-func (c *Core) Keep(holds func(SlotKey) bool) {
+// RetainSlots removes the slots for which holds returns false.
+func (c *Core) RetainSlots(holds func(SlotKey) bool) {
 	for key := range c.held {
 		if !holds(key) {
 			c.RemoveSlot(key)
@@ -146,23 +154,23 @@
 	}
 }
 
-// Holds reports whether this instance may use a slot now.
-func (c *Core) Holds(now time.Time, key SlotKey) bool {
-	t, ok := c.held[key]
-	return ok && !t.givenUp && now.Before(c.authority)
+// MayUse reports whether this instance may use a slot now.
+func (c *Core) MayUse(now time.Time, key SlotKey) bool {
+	slot, ok := c.held[key]
+	return ok && !slot.closed && now.Before(c.usableUntil)
 }
 
-// SetHolders says whom to ask for the slots that others hold.
+// SetHolders sets the instances to ask for slots.
 func (c *Core) SetHolders(holders map[SlotKey]protocol.InstanceID) {
 	c.holders = holders
 }
 
-// account returns the account of an organisation, as the configuration in force
-// has it, or nil if there is no such organisation.
+// account returns an organisation's account, updated to the current
+// configuration, or nil if the organisation is not configured.
 func (c *Core) account(now time.Time, id protocol.OrganisationID) *account {
 	a := c.accounts[id]
-	if a != nil && a.version == c.fleet.Version && a.settled == c.settled {
-		a.used = now
+	if a != nil && a.version == c.fleet.Version && a.completedRollouts == c.completedRollouts {
+		a.lastUsed = now
 		return a
 	}
 	org, ok := c.fleet.Organisations[id]
@@ -170,123 +178,127 @@
 		delete(c.accounts, id)
 		return nil
 	}
-	a = c.follow(now, a, org)
-	a.used = now
+	a = c.updateAccount(now, a, org)
+	a.lastUsed = now
 	c.accounts[id] = a
 	return a
 }
 
-// follow brings an account to the configuration in force.
-func (c *Core) follow(now time.Time, old *account, org protocol.Organisation) *account {
-	parts := c.generations.parts(org, c.fleet.Domains)
-	a := &account{id: org.ID, version: c.fleet.Version, settled: c.settled, rate: org.Rate}
-	a.sources = make([]source, len(parts))
-	for i, part := range parts {
-		a.sources[i].part = part
+// updateAccount returns an account for the current configuration, with the
+// state of the old account.
+func (c *Core) updateAccount(now time.Time, old *account, org protocol.Organisation) *account {
+	quotas := c.rollout.quotas(org, c.fleet.Domains)
+	a := &account{id: org.ID, version: c.fleet.Version, completedRollouts: c.completedRollouts, rate: org.Rate}
+	a.slots = make([]slotState, len(quotas))
+	for i, quota := range quotas {
+		a.slots[i].quota = quota
 	}
 	if old == nil {
 		return a
 	}
-	a.demand, a.grants, a.fetching = old.demand, old.grants, old.fetching
+	a.demand, a.grants, a.prefetching = old.demand, old.grants, old.prefetching
 	for i := range a.grants {
-		// The slots are numbered anew, so a fraction's slot is not known.
+		// The slot indexes have changed, so the slot to which a fraction would
+		// be returned is unknown.
 		a.grants[i].id = 0
 	}
-	for i := range old.sources {
-		a.keepBucket(now, &old.sources[i], c.settings)
+	for i := range old.slots {
+		a.adoptBucket(now, &old.slots[i], c.settings)
 	}
 	return a
 }
 
-func (a *account) keepBucket(now time.Time, old *source, settings Settings) {
+func (a *account) adoptBucket(now time.Time, old *slotState, settings Settings) {
 	if old.bucket == nil {
 		return
 	}
-	for i := range a.sources {
-		s := &a.sources[i]
-		if s.part.Key == old.part.Key {
+	for i := range a.slots {
+		s := &a.slots[i]
+		if s.quota.Key == old.quota.Key {
 			s.bucket = old.bucket
-			s.bucket.resize(now, settings.slower(s.part.Rate), s.part.Burst)
+			s.bucket.resize(now, settings.rateForDrift(s.quota.Rate), s.quota.Burst)
 		}
 	}
 }
 
-// bucketOf returns the bucket of a slot that this instance holds, or nil.
-func (c *Core) bucketOf(now time.Time, a *account, s *source) *bucket {
-	if !c.Holds(now, s.part.Key) {
+// bucketOf returns the bucket of a slot that this instance may use, or nil.
+func (c *Core) bucketOf(now time.Time, a *account, s *slotState) *bucket {
+	if !c.MayUse(now, s.quota.Key) {
 		return nil
 	}
 	if s.bucket == nil {
-		// Nothing of this organisation was used since the slot was won or the
-		// rate changed, so it has been filling since then.
-		t := c.held[s.part.Key]
-		from := t.from
-		if changed := c.generations.fillsFrom(a.id); changed.After(from) {
+		// The organisation has used no tokens of this slot since the slot was
+		// acquired or its quota changed, so the bucket has been filling since
+		// then.
+		slot := c.held[s.quota.Key]
+		from := slot.fillsFrom
+		if changed := c.rollout.bucketStart(a.id); changed.After(from) {
 			from = changed
 		}
-		s.bucket = newBucket(c.settings.slower(s.part.Rate), s.part.Burst, from)
-		s.bucket.tokens = t.startingTokens(a.id, s.part.Rate, s.part.Burst, c.settings.shorter(c.settings.GrantLife))
+		s.bucket = newBucket(c.settings.rateForDrift(s.quota.Rate), s.quota.Burst, from)
+		s.bucket.tokens = slot.initialTokens(a.id, s.quota.Rate, s.quota.Burst, c.settings.trimForDrift(c.settings.GrantLifetime))
 	}
 	s.bucket.advance(now)
 	return s.bucket
 }
 
-// Take gives tokens of a held slot to another instance.
+// Take grants tokens of a held slot to another instance.
 func (c *Core) Take(now time.Time, args TakeArgs) TakeReply {
 	reply := TakeReply{Version: c.fleet.Version}
-	if !c.Holds(now, args.Slot) {
+	if !c.MayUse(now, args.Slot) {
 		return reply
 	}
 	a := c.account(now, args.Organisation)
 	if a == nil {
 		return reply
 	}
-	for i := range a.sources {
-		s := &a.sources[i]
-		if s.part.Key != args.Slot {
+	for i := range a.slots {
+		s := &a.slots[i]
+		if s.quota.Key != args.Slot {
 			continue
 		}
 		b := c.bucketOf(now, a, s)
-		b.giveBack(now, args.GiveBack, args.Back)
-		c.lend(now, b, args, &reply)
+		b.refund(now, args.GiveBack, args.Back)
+		c.grantTokens(now, b, args, &reply)
 	}
 	return reply
 }
 
-func (c *Core) lend(now time.Time, b *bucket, args TakeArgs, reply *TakeReply) {
+func (c *Core) grantTokens(now time.Time, b *bucket, args TakeArgs, reply *TakeReply) {
 	reply.Holder = true
 	if args.Fraction {
-		// Numbers of an earlier process must not be met again: a fraction it
-		// lent could be given back here in place of another.
-		c.fractions = max(c.fractions+1, uint64(now.UnixNano()))
-		reply.Fraction = c.fractions
+		// The clock keeps ids unique across restarts: a fraction that was
+		// granted before a restart must not be returned in place of another
+		// one.
+		c.lastFractionID = max(c.lastFractionID+1, uint64(now.UnixNano()))
+		reply.Fraction = c.lastFractionID
 	}
-	reply.Now = b.lend(now, args.Now, reply.Fraction, now.Add(c.settings.longer(c.settings.ExchangeTimeout)))
-	reply.Ahead = b.lend(now, c.spare(b, args.Ahead), 0, now.Add(c.settings.longer(c.settings.GrantLife)))
+	reply.Now = b.issue(now, args.Now, reply.Fraction, now.Add(c.settings.padForDrift(c.settings.ExchangeTimeout)))
+	reply.Ahead = b.issue(now, c.maxPrefetch(b, args.Ahead), 0, now.Add(c.settings.padForDrift(c.settings.GrantLifetime)))
 	reply.Level = b.tokens
-	reply.Wait = b.wait(1)
+	reply.Wait = b.timeUntil(1)
 }
 
-// spare bounds what one asker may take ahead of need: half of what is there, so
-// that the last tokens stay where everybody finds them.
-func (c *Core) spare(b *bucket, want float64) float64 {
+// maxPrefetch limits a prefetch to half of the available tokens, so that the
+// last tokens remain with the holder, where every instance can ask for them.
+func (c *Core) maxPrefetch(b *bucket, want float64) float64 {
 	return min(want, math.Floor(b.tokens/2))
 }
 
-// Tidy forgets organisations that were not used for long. Their tokens go with
-// them, except in held slots, which must be remembered: a forgotten bucket
-// would come back filled.
-func (c *Core) Tidy(now time.Time) {
+// EvictIdle evicts organisations that were not used within IdleTimeout,
+// together with their tokens. Organisations with a bucket in a held slot are
+// kept, because a new bucket would count as filled.
+func (c *Core) EvictIdle(now time.Time) {
 	for id, a := range c.accounts {
-		if now.Sub(a.used) > c.settings.Idle && !a.holdsBucket() {
+		if now.Sub(a.lastUsed) > c.settings.IdleTimeout && !a.hasBucket() {
 			delete(c.accounts, id)
 		}
 	}
 }
 
-func (a *account) holdsBucket() bool {
-	for i := range a.sources {
-		if a.sources[i].bucket != nil {
+func (a *account) hasBucket() bool {
+	for i := range a.slots {
+		if a.slots[i].bucket != nil {
 			return true
 		}
 	}
--- a/internal/coordination/limiter/decide.go
+++ b/internal/coordination/limiter/decide.go
@@ -8,163 +8,170 @@
 	"merlintiller/internal/protocol"
 )
 
-// Request is one decision in the making.
+// Request is an admission request and the state of its decision.
 type Request struct {
 	Organisation protocol.OrganisationID
 	Tokens       float64
-	// asked has a bit for each part that was asked for whole tokens, and
-	// gathered for each that was asked for less than one.
+	// asked and gathered have one bit per slot. A bit in asked is set once the
+	// slot was asked for whole tokens, and in gathered once it was asked for a
+	// fraction.
 	asked, gathered uint64
-	// levelled says that a fuller slot was considered.
-	levelled bool
-	begun    bool
+	// nearlyFullChecked is set once nearly full slots were considered, and
+	// counted once the request was added to the demand forecast.
+	nearlyFullChecked bool
+	counted           bool
 }
 
-// Verdict is the state of a decision.
-type Verdict struct {
-	// Granted: the tokens are spent, the request may run.
+// Decision is the next step for a Request.
+type Decision struct {
+	// Granted: the tokens are spent and the request may run.
 	Granted bool
-	// Call: another instance may have the tokens. Report the answer by Answered
-	// and decide again.
+	// Call: another instance may have the tokens. The caller sends the call,
+	// passes the reply to HandleReply and calls Decide again.
 	Call *TakeCall
-	// Prefetch: tokens should be taken ahead of need; nobody waits for them.
+	// Prefetch: a call to send in the background; the request does not wait for
+	// it.
 	Prefetch *TakeCall
 	// Unknown: the configuration has no such organisation.
 	Unknown bool
-	// Refused: RetryAfter says when to come back. Returns are to be sent; they
-	// give back fractions that were not enough.
+	// Refused: the request is rejected, and RetryAfter is the delay until
+	// tokens are expected. Returns are background calls that return fractions
+	// which did not add up to a token.
 	Refused    bool
 	RetryAfter time.Duration
 	Returns    []*TakeCall
 }
 
-// Decide grants a request from the tokens at hand, or says whom to ask, or
-// refuses it.
-func (c *Core) Decide(now time.Time, r *Request) Verdict {
+// Decide grants a request from the available tokens, returns the next call to
+// make for it, or rejects it.
+func (c *Core) Decide(now time.Time, r *Request) Decision {
 	a := c.account(now, r.Organisation)
 	if a == nil {
-		return Verdict{Unknown: true}
+		return Decision{Unknown: true}
 	}
-	if !r.begun {
-		r.begun = true
+	if !r.counted {
+		r.counted = true
 		a.demand.add(now, r.Tokens)
 	}
-	if ask := c.level(now, a, r); ask != nil {
-		return Verdict{Call: ask}
+	if call := c.askNearlyFull(now, a, r); call != nil {
+		return Decision{Call: call}
 	}
 	missing := c.spend(now, a, r.Tokens)
 	if missing == 0 {
-		return Verdict{Granted: true, Prefetch: c.ahead(now, a)}
+		return Decision{Granted: true, Prefetch: c.prefetch(now, a)}
 	}
-	if ask := c.ask(now, a, r, missing); ask != nil {
-		return Verdict{Call: ask}
+	if call := c.askForMissing(now, a, r, missing); call != nil {
+		return Decision{Call: call}
 	}
-	if ask := c.gather(now, a, r, missing); ask != nil {
-		return Verdict{Call: ask}
+	if call := c.askForFraction(now, a, r, missing); call != nil {
+		return Decision{Call: call}
 	}
-	return Verdict{Refused: true, RetryAfter: c.retryAfter(now, a, r.Tokens), Returns: c.returns(now, a)}
+	return Decision{Refused: true, RetryAfter: c.retryAfter(now, a, r.Tokens), Returns: c.refundFractions(now, a)}
 }
 
-// returns gives back the fractions at hand. They are debited here first, so
-// that a lost message loses them and never doubles them.
-func (c *Core) returns(now time.Time, a *account) []*TakeCall {
-	var asks []*TakeCall
+// refundFractions returns the calls that give unused fractions back to their
+// holders. The fractions are debited here first, so a lost message loses them
+// and never doubles them.
+func (c *Core) refundFractions(now time.Time, a *account) []*TakeCall {
+	var calls []*TakeCall
 	kept := a.grants[:0]
 	for _, g := range a.grants {
-		if g.id == 0 || g.amount <= 0 || g.part >= len(a.sources) {
+		if g.id == 0 || g.amount <= 0 || g.slotIndex >= len(a.slots) {
 			kept = append(kept, g)
 			continue
 		}
-		asks = append(asks, c.askPart(now, a, g.part, TakeArgs{GiveBack: g.id, Back: g.amount}))
+		calls = append(calls, c.newCall(now, a, g.slotIndex, TakeArgs{GiveBack: g.id, Back: g.amount}))
 	}
 	a.grants = kept
-	return asks
+	return calls
 }
 
-// spend uses tokens at hand if there are enough, and returns how many miss.
-// Granted tokens go first: they are lost if they wait.
+// spend takes the amount from the available tokens. If there are too few it
+// takes none and returns the missing amount. Granted tokens are spent first,
+// because they expire.
 func (c *Core) spend(now time.Time, a *account, amount float64) float64 {
-	granted := a.granted(now)
-	have := granted
-	for i := range a.sources {
-		if b := c.bucketOf(now, a, &a.sources[i]); b != nil {
-			have += b.tokens
+	granted := a.availableGrants(now)
+	available := granted
+	for i := range a.slots {
+		if b := c.bucketOf(now, a, &a.slots[i]); b != nil {
+			available += b.tokens
 		}
 	}
-	if have < amount {
-		return amount - have
+	if available < amount {
+		return amount - available
 	}
-	left := amount - a.spendGrants(min(granted, amount))
-	for i := range a.sources {
-		if left <= 0 {
+	remaining := amount - a.spendGrants(min(granted, amount))
+	for i := range a.slots {
+		if remaining <= 0 {
 			break
 		}
-		if b := c.bucketOf(now, a, &a.sources[i]); b != nil {
-			used := min(left, b.tokens)
+		if b := c.bucketOf(now, a, &a.slots[i]); b != nil {
+			used := min(remaining, b.tokens)
 			b.tokens -= used
-			left -= used
+			remaining -= used
 		}
 	}
 	return 0
 }
 
-// level asks a slot that is nearly full, and so is about to lose refill, before
-// the slots held here are drained. It matters when callers gather in one place:
-// their tokens would run out beside full slots elsewhere.
-func (c *Core) level(now time.Time, a *account, r *Request) *TakeCall {
-	if r.levelled {
+// askNearlyFull asks a nearly full slot, whose refill is about to be lost,
+// before the local slots are empty. This helps when all callers use one
+// instance: its tokens would run out while slots held by other instances are
+// full.
+func (c *Core) askNearlyFull(now time.Time, a *account, r *Request) *TakeCall {
+	if r.nearlyFullChecked {
 		return nil
 	}
-	r.levelled = true
-	have, burst := a.granted(now), 0.0
-	for i := range a.sources {
-		if b := c.bucketOf(now, a, &a.sources[i]); b != nil {
-			have += b.tokens
+	r.nearlyFullChecked = true
+	available, burst := a.availableGrants(now), 0.0
+	for i := range a.slots {
+		if b := c.bucketOf(now, a, &a.slots[i]); b != nil {
+			available += b.tokens
 			burst += b.burst
 		}
 	}
-	if burst == 0 || have < r.Tokens || have > c.settings.NearlyFull*burst-c.settings.OwnBonus*burst {
+	if burst == 0 || available < r.Tokens || available > c.settings.NearlyFull*burst-c.settings.LocalBonus*burst {
 		return nil
 	}
-	best := c.bestSource(now, a, 0)
-	if best < 0 || a.sources[best].fullness(now) < c.settings.NearlyFull || a.sources[best].estimate(now) < r.Tokens+1 {
+	best := c.bestSlot(now, a, 0)
+	if best < 0 || a.slots[best].fullness(now) < c.settings.NearlyFull || a.slots[best].estimate(now) < r.Tokens+1 {
 		return nil
 	}
 	r.asked |= 1 << uint(best)
-	return c.askPart(now, a, best, TakeArgs{Now: math.Ceil(r.Tokens)})
+	return c.newCall(now, a, best, TakeArgs{Now: math.Ceil(r.Tokens)})
 }
 
-// ask chooses the slot most likely to have the missing tokens.
-func (c *Core) ask(now time.Time, a *account, r *Request, missing float64) *TakeCall {
-	if c.askedEnough(r) {
+// askForMissing asks the slot that is most likely to have the missing tokens.
+func (c *Core) askForMissing(now time.Time, a *account, r *Request, missing float64) *TakeCall {
+	if c.callLimitReached(r) {
 		return nil
 	}
-	best := c.bestSource(now, a, r.asked)
+	best := c.bestSlot(now, a, r.asked)
 	if best < 0 {
 		return nil
 	}
 	r.asked |= 1 << uint(best)
-	ahead := math.Floor(a.demand.over(c.settings.Ahead))
-	return c.askPart(now, a, best, TakeArgs{Now: math.Ceil(missing), Ahead: ahead})
+	ahead := math.Floor(a.demand.forecast(c.settings.PrefetchWindow))
+	return c.newCall(now, a, best, TakeArgs{Now: math.Ceil(missing), Ahead: ahead})
 }
 
-// gather puts a token together from slots that have less than one each. Without
-// it an organisation with a small burst, cut over many slots, would be refused
-// with more than a token left.
-func (c *Core) gather(now time.Time, a *account, r *Request, missing float64) *TakeCall {
-	if c.askedEnough(r) {
+// askForFraction collects one token from slots that have less than one each.
+// Without it, an organisation whose small burst is divided among many slots
+// would be rejected although more than one token is left in total.
+func (c *Core) askForFraction(now time.Time, a *account, r *Request, missing float64) *TakeCall {
+	if c.callLimitReached(r) {
 		return nil
 	}
 	best := -1
 	sum := 0.0
-	for i := range min(len(a.sources), maxParts) {
-		s := &a.sources[i]
-		if r.gathered&(1<<uint(i)) != 0 || s.failedUntil.After(now) || !c.elsewhere(s) {
+	for i := range min(len(a.slots), maxTrackedSlots) {
+		s := &a.slots[i]
+		if r.gathered&(1<<uint(i)) != 0 || s.unreachableUntil.After(now) || !c.heldByOther(s) {
 			continue
 		}
 		level := s.estimate(now)
 		sum += level
-		if best < 0 || level > a.sources[best].estimate(now) {
+		if best < 0 || level > a.slots[best].estimate(now) {
 			best = i
 		}
 	}
@@ -172,45 +179,46 @@
 		return nil
 	}
 	r.gathered |= 1 << uint(best)
-	want := min(missing*(1+gatherMargin), a.sources[best].estimate(now))
-	return c.askPart(now, a, best, TakeArgs{Now: want, Fraction: true})
+	want := min(missing*(1+roundingMargin), a.slots[best].estimate(now))
+	return c.newCall(now, a, best, TakeArgs{Now: want, Fraction: true})
 }
 
-// gatherMargin covers the rounding of sums.
-const gatherMargin = 1e-9
+// roundingMargin compensates for rounding errors when fractions are added up.
+const roundingMargin = 1e-9
 
-func (c *Core) askedEnough(r *Request) bool {
-	return bits.OnesCount64(r.asked)+bits.OnesCount64(r.gathered) >= c.settings.Asks
+func (c *Core) callLimitReached(r *Request) bool {
+	return bits.OnesCount64(r.asked)+bits.OnesCount64(r.gathered) >= c.settings.MaxCalls
 }
 
-func (c *Core) askPart(now time.Time, a *account, part int, args TakeArgs) *TakeCall {
+func (c *Core) newCall(now time.Time, a *account, slot int, args TakeArgs) *TakeCall {
 	args.Organisation = a.id
-	args.Slot = a.sources[part].part.Key
-	return &TakeCall{Holder: c.holders[args.Slot], Args: args, Sent: now, part: part}
+	args.Slot = a.slots[slot].quota.Key
+	return &TakeCall{Holder: c.holders[args.Slot], Args: args, Sent: now, slotIndex: slot}
 }
 
-// elsewhere reports whether another instance is known to hold a slot.
-func (c *Core) elsewhere(s *source) bool {
-	holder := c.holders[s.part.Key]
+// heldByOther reports whether another instance is known to hold a slot.
+func (c *Core) heldByOther(s *slotState) bool {
+	holder := c.holders[s.quota.Key]
 	return holder != "" && holder != c.self
 }
 
-// maxParts is the number of parts a Request can remember to have asked.
-const maxParts = 64
+// maxTrackedSlots is the number of slots that the bit sets of a Request can
+// represent.
+const maxTrackedSlots = 64
 
-// bestSource returns the index of the slot to ask, or -1: the fullest by the
-// level last heard of, with a bonus for the own failure domain.
-func (c *Core) bestSource(now time.Time, a *account, asked uint64) int {
+// bestSlot returns the index of the slot to ask, or -1. It is the slot with the
+// highest estimated level, with a bonus for slots of the local failure domain.
+func (c *Core) bestSlot(now time.Time, a *account, exclude uint64) int {
 	best := -1
 	bestScore := 0.0
-	for i := range min(len(a.sources), maxParts) {
-		s := &a.sources[i]
-		if asked&(1<<uint(i)) != 0 || s.quietUntil.After(now) || !c.elsewhere(s) {
+	for i := range min(len(a.slots), maxTrackedSlots) {
+		s := &a.slots[i]
+		if exclude&(1<<uint(i)) != 0 || s.skipUntil.After(now) || !c.heldByOther(s) {
 			continue
 		}
 		score := s.fullness(now)
-		if s.part.Key.Domain == c.domain {
-			score += c.settings.OwnBonus
+		if s.quota.Key.Domain == c.domain {
+			score += c.settings.LocalBonus
 		}
 		if best < 0 || score > bestScore {
 			best, bestScore = i, score
@@ -219,110 +227,112 @@
 	return best
 }
 
-// fullness is the part of the burst that a slot may hold by now.
-func (s *source) fullness(now time.Time) float64 {
-	return s.estimate(now) / s.part.Burst
+// fullness returns the estimated level of a slot as a fraction of its burst.
+func (s *slotState) fullness(now time.Time) float64 {
+	return s.estimate(now) / s.quota.Burst
 }
 
-// estimate is the level a slot may have by now.
-func (s *source) estimate(now time.Time) float64 {
+// estimate returns the expected level of a slot in tokens: its last known level
+// plus the refill since then.
+func (s *slotState) estimate(now time.Time) float64 {
 	if s.levelAt.IsZero() {
-		return s.part.Burst
+		return s.quota.Burst
 	}
-	return min(s.part.Burst, s.level+s.part.Rate*now.Sub(s.levelAt).Seconds())
+	return min(s.quota.Burst, s.level+s.quota.Rate*now.Sub(s.levelAt).Seconds())
 }
 
-// ahead decides whether tokens are to be taken ahead of need: when less than
-// half of the forecast is at hand.
-func (c *Core) ahead(now time.Time, a *account) *TakeCall {
-	forecast := math.Floor(a.demand.over(c.settings.Ahead))
-	if forecast < 1 || a.fetching || c.holdsAny(now, a) {
+// prefetch returns a call for more tokens if less than half of the forecast use
+// is available, or nil.
+func (c *Core) prefetch(now time.Time, a *account) *TakeCall {
+	forecast := math.Floor(a.demand.forecast(c.settings.PrefetchWindow))
+	if forecast < 1 || a.prefetching || c.hasLocalToken(now, a) {
 		return nil
 	}
-	if at := a.granted(now); at > forecast/2 {
+	if available := a.availableGrants(now); available > forecast/2 {
 		return nil
 	}
-	best := c.bestSource(now, a, 0)
+	best := c.bestSlot(now, a, 0)
 	if best < 0 {
 		return nil
 	}
-	a.fetching = true
-	return c.askPart(now, a, best, TakeArgs{Ahead: forecast})
+	a.prefetching = true
+	return c.newCall(now, a, best, TakeArgs{Ahead: forecast})
 }
 
-// holdsAny reports whether the instance holds a slot of the organisation that
-// still has tokens, so that nothing need be fetched.
-func (c *Core) holdsAny(now time.Time, a *account) bool {
-	for i := range a.sources {
-		if b := c.bucketOf(now, a, &a.sources[i]); b != nil && b.tokens >= 1 {
+// hasLocalToken reports whether this instance holds a slot of the organisation
+// with at least one token, so that no prefetch is needed.
+func (c *Core) hasLocalToken(now time.Time, a *account) bool {
+	for i := range a.slots {
+		if b := c.bucketOf(now, a, &a.slots[i]); b != nil && b.tokens >= 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// HandleReply takes in the answer to an ask. Failed says that none came.
-func (c *Core) HandleReply(now time.Time, ask *TakeCall, reply TakeReply, failed bool) {
-	a := c.accounts[ask.Args.Organisation]
+// HandleReply applies the reply to a call. failed is true if no reply arrived.
+func (c *Core) HandleReply(now time.Time, call *TakeCall, reply TakeReply, failed bool) {
+	a := c.accounts[call.Args.Organisation]
 	if a == nil {
 		return
 	}
-	if ask.Args.Now == 0 && ask.Args.GiveBack == 0 {
-		a.fetching = false
+	if call.Args.Now == 0 && call.Args.GiveBack == 0 {
+		a.prefetching = false
 	}
 	if failed || !reply.Holder {
-		c.quiet(now, ask.Holder, failed, a, ask)
+		c.backOff(now, call.Holder, failed, a, call)
 		return
 	}
-	// Lives count from the sending, so they end here before the holder stops
-	// counting the tokens as out.
-	a.add(lent{until: ask.Sent.Add(c.settings.ExchangeTimeout), amount: reply.Now, id: reply.Fraction, part: ask.part})
-	a.add(lent{until: ask.Sent.Add(c.settings.GrantLife), amount: reply.Ahead})
-	if ask.part < len(a.sources) && a.sources[ask.part].part.Key == ask.Args.Slot {
-		s := &a.sources[ask.part]
+	// The lifetimes are counted from the time of sending, so a grant expires
+	// here before the holder stops counting it as outstanding.
+	a.addGrant(grant{expiresAt: call.Sent.Add(c.settings.ExchangeTimeout), amount: reply.Now, id: reply.Fraction, slotIndex: call.slotIndex})
+	a.addGrant(grant{expiresAt: call.Sent.Add(c.settings.GrantLifetime), amount: reply.Ahead})
+	if call.slotIndex < len(a.slots) && a.slots[call.slotIndex].quota.Key == call.Args.Slot {
+		s := &a.slots[call.slotIndex]
 		s.level, s.levelAt = reply.Level, now
-		if reply.Now < ask.Args.Now && !ask.Args.Fraction {
-			s.quietUntil = now.Add(reply.Wait)
+		if reply.Now < call.Args.Now && !call.Args.Fraction {
+			s.skipUntil = now.Add(reply.Wait)
 		}
 	}
 }
 
-// notHolderBackoff is how long a slot is left alone whose holder is not known
-// rightly; the log tells the right one within that time.
+// notHolderBackoff is how long a slot is not asked again after the instance
+// asked was not its holder. The log shows the new holder within that time.
 const notHolderBackoff = 100 * time.Millisecond
 
-// quiet leaves a holder alone for a while.
-func (c *Core) quiet(now time.Time, holder protocol.InstanceID, failed bool, a *account, ask *TakeCall) {
+// backOff suspends calls to a slot whose known holder was wrong, or to all
+// slots of a holder that did not answer.
+func (c *Core) backOff(now time.Time, holder protocol.InstanceID, failed bool, a *account, call *TakeCall) {
 	if !failed {
-		if ask.part < len(a.sources) {
-			a.sources[ask.part].quietUntil = now.Add(notHolderBackoff)
+		if call.slotIndex < len(a.slots) {
+			a.slots[call.slotIndex].skipUntil = now.Add(notHolderBackoff)
 		}
 		return
 	}
 	for _, other := range c.accounts {
-		for i := range other.sources {
-			if c.holders[other.sources[i].part.Key] == holder {
+		for i := range other.slots {
+			if c.holders[other.slots[i].quota.Key] == holder {
 				until := now.Add(c.settings.PeerBackoff)
-				other.sources[i].quietUntil, other.sources[i].failedUntil = until, until
+				other.slots[i].skipUntil, other.slots[i].unreachableUntil = until, until
 			}
 		}
 	}
 }
 
-// retryAfter is the time in which the missing tokens come in, at the
-// organisation's rate and not before some slot has one.
+// retryAfter returns the time in which the missing tokens accrue at the
+// organisation's rate, and at least until one slot is expected to have enough.
 func (c *Core) retryAfter(now time.Time, a *account, amount float64) time.Duration {
 	if a.rate <= 0 {
 		return time.Hour
 	}
 	wait := time.Duration(amount / a.rate * float64(time.Second))
 	next := time.Duration(math.MaxInt64)
-	for i := range a.sources {
-		s := &a.sources[i]
+	for i := range a.slots {
+		s := &a.slots[i]
 		if b := c.bucketOf(now, a, s); b != nil {
-			next = min(next, b.wait(amount))
-		} else if s.quietUntil.After(now) {
-			next = min(next, s.quietUntil.Sub(now))
+			next = min(next, b.timeUntil(amount))
+		} else if s.skipUntil.After(now) {
+			next = min(next, s.skipUntil.Sub(now))
 		}
 	}
 	if next == time.Duration(math.MaxInt64) {
--- a/internal/coordination/limiter/division.go
+++ b/internal/coordination/limiter/division.go
@@ -11,32 +11,32 @@
 	"merlintiller/internal/protocol"
 )
 
-// SlotKey names a slot of a failure domain.
+// SlotKey identifies a slot of a failure domain.
 type SlotKey struct {
 	Domain protocol.Domain
 	Slot   int
 }
 
-// Resource is the lease under which the slot is held.
+// Resource returns the name of the lease under which the slot is held.
 func (k SlotKey) Resource() protocol.Resource {
 	return protocol.Resource(fmt.Sprintf("rate/%s/%d", k.Domain, k.Slot))
 }
 
-// Part is what one slot holds of an organisation's rate and burst.
-type Part struct {
+// Quota is the share of an organisation's rate and burst that one slot has.
+type Quota struct {
 	Key SlotKey
-	// Rate is in tokens a second, Burst in tokens.
+	// Rate is in tokens per second, Burst in tokens.
 	Rate, Burst float64
 }
 
-// Divide cuts an organisation's rate and burst over the slots of all failure
-// domains. Every instance computes the same parts from the same configuration,
-// and their sums are never above the organisation's own.
+// Divide divides an organisation's rate and burst among slots of all failure
+// domains. Every instance computes the same quotas from the same configuration,
+// and their sums never exceed the organisation's rate and burst.
 //
-// Slots grant whole tokens, so burst is cut into whole tokens where it can be:
-// an organisation with burst 1 has it in one domain, and callers elsewhere
-// reach it while the domains reach each other.
-func Divide(org protocol.Organisation, domains map[protocol.Domain]protocol.DomainShare) []Part {
+// Grants are whole tokens, so the burst is divided into whole tokens where
+// possible. An organisation with a burst of 1 has it in one domain, and callers
+// in other domains can use it as long as the domains can reach each other.
+func Divide(org protocol.Organisation, domains map[protocol.Domain]protocol.DomainShare) []Quota {
 	names := domainNames(domains)
 	if len(names) == 0 || org.Rate <= 0 || org.Burst <= 0 {
 		return nil
@@ -48,11 +48,11 @@
 	bursts := apportion(org.Burst, weights, func(i int) uint64 {
 		return xxhash.Sum64String(string(org.ID) + "\x00" + string(names[i]))
 	})
-	var parts []Part
+	var quotas []Quota
 	for i, name := range names {
-		parts = append(parts, divideDomain(org, name, bursts[i])...)
+		quotas = append(quotas, divideDomain(org, name, bursts[i])...)
 	}
-	return parts
+	return quotas
 }
 
 func domainNames(domains map[protocol.Domain]protocol.DomainShare) []protocol.Domain {
@@ -66,7 +66,7 @@
 	return names
 }
 
-func divideDomain(org protocol.Organisation, domain protocol.Domain, burst float64) []Part {
+func divideDomain(org protocol.Organisation, domain protocol.Domain, burst float64) []Quota {
 	if burst <= 0 {
 		return nil
 	}
@@ -76,19 +76,19 @@
 		weights[i] = 1
 	}
 	bursts := apportion(burst, weights, func(i int) uint64 { return uint64(i) })
-	// Neighbouring slots go to different holders, see Assign.
+	// Adjacent slots have different holders, see Assign.
 	first := int(xxhash.Sum64String(string(org.ID)+"\x00"+string(domain)) % SlotsPerDomain)
-	parts := make([]Part, 0, count)
+	quotas := make([]Quota, 0, count)
 	for i, b := range bursts {
 		key := SlotKey{Domain: domain, Slot: (first + i) % SlotsPerDomain}
-		parts = append(parts, Part{Key: key, Rate: org.Rate * b / org.Burst, Burst: b})
+		quotas = append(quotas, Quota{Key: key, Rate: org.Rate * b / org.Burst, Burst: b})
 	}
-	return parts
+	return quotas
 }
 
-// apportion cuts an amount by weights into whole numbers, by largest
-// remainder, ties by rank. What the amount has beyond a whole number goes to
-// the largest piece.
+// apportion divides an amount by weights into whole numbers, by the largest
+// remainder method. Ties are decided by rank. The fractional part of the amount
+// goes to the largest piece.
 func apportion(amount float64, weights []float64, rank func(int) uint64) []float64 {
 	sum := 0.0
 	for _, w := range weights {
@@ -97,12 +97,12 @@
 	whole := math.Floor(amount)
 	pieces := make([]float64, len(weights))
 	remainders := make([]float64, len(weights))
-	left := whole
+	remaining := whole
 	for i, w := range weights {
 		exact := whole * w / sum
 		pieces[i] = math.Floor(exact)
 		remainders[i] = exact - pieces[i]
-		left -= pieces[i]
+		remaining -= pieces[i]
 	}
 	order := make([]int, len(weights))
 	for i := range order {
@@ -114,9 +114,9 @@
 		}
 		return cmp.Compare(rank(a), rank(b))
 	})
-	for i := 0; left >= 1; i++ {
+	for i := 0; remaining >= 1; i++ {
 		pieces[order[i%len(order)]]++
-		left--
+		remaining--
 	}
 	largest := order[0]
 	for i := range pieces {
--- a/internal/coordination/limiter/endpoint.go
+++ b/internal/coordination/limiter/endpoint.go
@@ -6,25 +6,25 @@
 	"merlintiller/internal/protocol"
 )
 
-// Endpoint is what other instances call by net/rpc.
+// Endpoint is the net/rpc receiver for calls from other instances.
 type Endpoint struct {
 	limiter *Limiter
 }
 
-// Take moves tokens of a held slot to the caller.
+// Take grants tokens of a held slot to the caller.
 func (e *Endpoint) Take(args *TakeArgs, reply *TakeReply) error {
 	l := e.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.authorise(now)
+	l.refreshUsableUntil(now)
 	*reply = l.core.Take(now, *args)
 	stats.Add("gives", 1)
 	return nil
 }
 
-// Promise tells a holder that can't renew its session whether this instance
-// keeps off its slots for now.
+// Promise answers a holder that cannot renew its session: whether this instance
+// promises not to claim the holder's slots for now.
 func (e *Endpoint) Promise(args *PromiseArgs, reply *PromiseReply) error {
 	l := e.limiter
 	l.mu.Lock()
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// Gone tells whether this process no longer uses the slots of a session.
+// Gone reports whether this process does not use the slots of a session any
+// more.
 func (e *Endpoint) Gone(args *GoneArgs, reply *GoneReply) error {
 	l := e.limiter
 	l.mu.Lock()
@@ -44,15 +45,15 @@
 	return nil
 }
 
-// VersionArgs asks which configuration an instance follows.
+// VersionArgs asks for the configuration version that an instance has applied.
 type VersionArgs struct{}
 
-// VersionReply is its answer.
+// VersionReply is the reply to VersionArgs.
 type VersionReply struct {
 	Version protocol.Offset
 }
 
-// Version tells which configuration the slots held here follow.
+// Version returns the configuration version that the slots held here use.
 func (e *Endpoint) Version(_ *VersionArgs, reply *VersionReply) error {
 	l := e.limiter
 	l.mu.Lock()
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// Handover takes in the tokens of a slot that this instance will claim.
+// Handover receives the tokens of slots that this instance will claim, and the
+// plan of a leaving peer.
 func (e *Endpoint) Handover(args *HandoverArgs, _ *HandoverReply) error {
 	l := e.limiter
 	l.mu.Lock()
@@ -70,7 +72,7 @@
 		l.core.ReceiveHandover(time.Now(), slot)
 	}
 	if args.Leaving != 0 {
-		l.claims.Left(time.Now(), args.Leaving, args.Plan)
+		l.claims.PeerLeaving(time.Now(), args.Leaving, args.Plan)
 	}
 	stats.Add("handovers", 1)
 	return nil
--- a/internal/coordination/limiter/fakes_test.go
+++ b/internal/coordination/limiter/fakes_test.go
@@ -15,20 +15,22 @@
 	"merlintiller/internal/state/replica"
 )
 
-// errCut is what a call over a cut link fails with.
-var errCut = errors.New("cut")
+// errUnreachable is the error of operations on a log that is not reachable.
+var errUnreachable = errors.New("log is not reachable")
 
-// fakeLog is one stream that every fakeJournal replays at once, unless cut.
+// fakeLog is a log that every fakeJournal replays immediately, unless it is
+// isolated.
 type fakeLog struct {
 	mu       sync.Mutex
 	frames   []protocol.Frame
 	journals []*fakeJournal
-	// intercept may do things around the append of a record; nil appends.
+	// intercept, if set, is called in place of an append. It may call forward
+	// to append the record.
 	intercept func(by protocol.InstanceID, rec protocol.Record, forward func())
 	sessions  protocol.SessionID
 }
 
-// newSession draws a session id.
+// newSession returns a new session id.
 func (l *fakeLog) newSession() protocol.SessionID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,15 +56,15 @@
 	return l.frames[at:]
 }
 
-// fakeJournal is a coordination.Journal over a fakeLog. The test says when the
-// session may hold and when the log can't be reached.
+// fakeJournal is a coordination.Journal on a fakeLog. The test sets whether the
+// session is valid and whether the log is reachable.
 type fakeJournal struct {
 	log      *fakeLog
 	instance protocol.InstanceID
 	domain   protocol.Domain
 	address  string
-	// writing keeps one record in flight. A channel, since virtual time stands
-	// still while a goroutine waits for a mutex.
+	// writing admits one record at a time. It is a channel because virtual time
+	// does not advance while a goroutine waits for a mutex.
 	writing chan struct{}
 	mu      sync.Mutex
 
@@ -71,11 +73,11 @@
 	verdicts map[protocol.RecordID]coordination.Outcome
 	session  protocol.SessionID
 	seq      uint64
-	cut      bool
-	// ended says that the process is gone.
-	ended   bool
-	mayHold bool
-	changed chan struct{}
+	isolated bool
+	// terminated is true once the process has terminated.
+	terminated bool
+	mayHold    bool
+	changed    chan struct{}
 }
 
 func newFakeJournal(l *fakeLog, instance protocol.InstanceID, domain protocol.Domain, address string) *fakeJournal {
@@ -91,32 +93,32 @@
 	return j
 }
 
-func (j *fakeJournal) gone() bool {
+func (j *fakeJournal) isTerminated() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.ended
+	return j.terminated
 }
 
-// end ends the process.
-func (j *fakeJournal) end() {
+// terminate ends the process.
+func (j *fakeJournal) terminate() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.ended = true
+	j.terminated = true
 }
 
 func (j *fakeJournal) open() {
 	j.submit(protocol.Record{SessionOpen: &protocol.SessionOpen{Instance: j.instance, Domain: j.domain, PeerAddress: j.address}})
 }
 
-// reopen opens another session if the own one has ended.
+// reopen opens a new session if the current one has ended.
 func (j *fakeJournal) reopen() {
 	j.mu.Lock()
-	ended := !j.cut && j.state.Sessions.Ended(j.session)
-	if ended {
+	sessionEnded := !j.isolated && j.state.Sessions.Ended(j.session)
+	if sessionEnded {
 		j.session, j.seq, j.mayHold = j.log.newSession(), 0, true
 	}
 	j.mu.Unlock()
-	if ended {
+	if sessionEnded {
 		j.open()
 	}
 }
@@ -124,14 +126,14 @@
 func (j *fakeJournal) catchUp() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.cut {
+	if j.isolated {
 		return
 	}
 	frames := j.log.from(j.applied)
 	for _, frame := range frames {
 		at := protocol.Offset(j.applied)
-		for i, verdict := range j.state.Apply(at, frame) {
-			j.verdicts[frame.Records[i].ID] = coordination.Outcome{Verdict: verdict, Offset: at, Run: protocol.Completed}
+		for i, decision := range j.state.Apply(at, frame) {
+			j.verdicts[frame.Records[i].ID] = coordination.Outcome{Verdict: decision, Offset: at, Run: protocol.Completed}
 		}
 		j.applied++
 	}
@@ -141,21 +143,21 @@
 	}
 }
 
-func (j *fakeJournal) setCut(cut, mayHold bool) {
+func (j *fakeJournal) setIsolated(isolated, mayHold bool) {
 	j.mu.Lock()
-	j.cut, j.mayHold = cut, mayHold
+	j.isolated, j.mayHold = isolated, mayHold
 	j.mu.Unlock()
 	j.catchUp()
 }
 
-// renew keeps the session open as long as the log can be reached.
+// renew keeps the session open while the log is reachable.
 func (j *fakeJournal) renew(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(2 * time.Second):
-			if j.gone() {
+			if j.isTerminated() {
 				return
 			}
 			j.reopen()
@@ -168,9 +170,9 @@
 	j.writing <- struct{}{}
 	defer func() { <-j.writing }()
 	j.mu.Lock()
-	if j.cut {
+	if j.isolated {
 		j.mu.Unlock()
-		return coordination.Outcome{Run: protocol.NotRun, Err: errCut}
+		return coordination.Outcome{Run: protocol.NotRun, Err: errUnreachable}
 	}
 	j.seq++
 	rec.ID = protocol.RecordID{Session: j.session, Seq: j.seq}
@@ -187,7 +189,7 @@
 	defer j.mu.Unlock()
 	outcome, ok := j.verdicts[rec.ID]
 	if !ok {
-		return coordination.Outcome{Run: protocol.MayHaveRun, Err: errCut}
+		return coordination.Outcome{Run: protocol.MayHaveRun, Err: errUnreachable}
 	}
 	return outcome
 }
@@ -229,40 +231,42 @@
 func (j *fakeJournal) LogUp() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return !j.cut
+	return !j.isolated
 }
 
 func (j *fakeJournal) AppendData(context.Context, []byte) (protocol.Offset, error) {
-	return protocol.NoOffset, errCut
+	return protocol.NoOffset, errUnreachable
 }
 
 func (j *fakeJournal) ReadData(context.Context, protocol.Offset) ([]byte, error) {
-	return nil, errCut
+	return nil, errUnreachable
 }
 
-// fakeNet connects limiters. Cut pairs and stopped instances don't answer.
+// fakeNet connects limiters. Calls to stopped instances and between partitioned
+// domains are not answered.
 type fakeNet struct {
-	mu       sync.Mutex
-	limiters map[protocol.InstanceID]*Limiter
-	down     map[protocol.InstanceID]bool
-	cut      map[[2]protocol.Domain]bool
-	// intercept may do things around the delivery of a call; nil delivers.
+	mu          sync.Mutex
+	limiters    map[protocol.InstanceID]*Limiter
+	down        map[protocol.InstanceID]bool
+	partitioned map[[2]protocol.Domain]bool
+	// intercept, if set, is called in place of the delivery of a call. It may
+	// call deliver.
 	intercept func(ctx context.Context, by protocol.InstanceID, method string, deliver func() error) error
 }
 
 func newFakeNet() *fakeNet {
 	return &fakeNet{
-		limiters: map[protocol.InstanceID]*Limiter{},
-		down:     map[protocol.InstanceID]bool{},
-		cut:      map[[2]protocol.Domain]bool{},
+		limiters:    map[protocol.InstanceID]*Limiter{},
+		down:        map[protocol.InstanceID]bool{},
+		partitioned: map[[2]protocol.Domain]bool{},
 	}
 }
 
-func (n *fakeNet) cutDomains(a, b protocol.Domain) {
+func (n *fakeNet) partitionDomains(a, b protocol.Domain) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]protocol.Domain{a, b}] = true
-	n.cut[[2]protocol.Domain{b, a}] = true
+	n.partitioned[[2]protocol.Domain{a, b}] = true
+	n.partitioned[[2]protocol.Domain{b, a}] = true
 }
 
 func (n *fakeNet) stop(id protocol.InstanceID) {
@@ -271,7 +275,7 @@
 	n.down[id] = true
 }
 
-// fakePeers is the net as one instance sees it.
+// fakePeers implements coordination.Peers for one instance on a fakeNet.
 type fakePeers struct {
 	net    *fakeNet
 	self   protocol.InstanceID
@@ -283,10 +287,10 @@
 func (p *fakePeers) Call(ctx context.Context, to protocol.InstanceID, method string, args, reply any) error {
 	p.net.mu.Lock()
 	l := p.net.limiters[to]
-	gone := l == nil || p.net.down[to] || p.net.down[p.self] || p.net.cut[[2]protocol.Domain{p.domain, l.Domain}]
+	unreachable := l == nil || p.net.down[to] || p.net.down[p.self] || p.net.partitioned[[2]protocol.Domain{p.domain, l.Domain}]
 	intercept := p.net.intercept
 	p.net.mu.Unlock()
-	if gone {
+	if unreachable {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -318,7 +322,7 @@
 	return errors.New("unknown method " + method)
 }
 
-// fakeFleet is a few limiters with their services running.
+// fakeFleet is a set of limiters with running services.
 type fakeFleet struct {
 	t   *testing.T
 	log *fakeLog
@@ -363,8 +367,8 @@
 	return f.all[id].Journal.(*fakeJournal)
 }
 
-// configure publishes a configuration through one instance, again and again
-// until it is accepted, as an operator would.
+// configure publishes a configuration through one instance. It retries every
+// second until the change is accepted, as an operator would.
 func (f *fakeFleet) configure(through protocol.InstanceID, shares map[protocol.Domain]protocol.DomainShare, orgs ...protocol.Organisation) {
 	f.t.Helper()
 	j := f.journal(through)
@@ -379,11 +383,11 @@
 		if j.submit(protocol.Record{FleetChange: change}).Accepted() {
 			return
 		}
-		pass(time.Second)
+		sleep(time.Second)
 	}
 }
 
-// expire ends a session through another instance.
+// expire expires a session through another instance.
 func (f *fakeFleet) expire(through protocol.InstanceID, session protocol.SessionID) {
 	f.t.Helper()
 	j := f.journal(through)
@@ -397,8 +401,9 @@
 	}
 }
 
-// admitted counts how many of a number of requests an instance admits.
-func (f *fakeFleet) admitted(id protocol.InstanceID, org protocol.OrganisationID, requests int) int {
+// countAdmitted sends a number of requests to an instance and returns how many
+// it admits.
+func (f *fakeFleet) countAdmitted(id protocol.InstanceID, org protocol.OrganisationID, requests int) int {
 	f.t.Helper()
 	count := 0
 	for range requests {
@@ -409,10 +414,11 @@
 	return count
 }
 
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
 
-// id checks that an instance exists.
-func (f *fakeFleet) id(name string) protocol.InstanceID {
+// mustExist returns the id of an instance and fails the test if there is no
+// such instance.
+func (f *fakeFleet) mustExist(name string) protocol.InstanceID {
 	f.t.Helper()
 	id := protocol.InstanceID(name)
 	if f.all[id] == nil {
@@ -421,26 +427,27 @@
 	return id
 }
 
-// heldBy are the slots that an instance may use now.
-func (f *fakeFleet) heldBy(id protocol.InstanceID) []SlotKey {
+// usableSlots returns the slots that an instance may use now.
+func (f *fakeFleet) usableSlots(id protocol.InstanceID) []SlotKey {
 	l := f.all[id]
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.authorise(now)
+	l.refreshUsableUntil(now)
 	var keys []SlotKey
 	for slot := range SlotsPerDomain {
 		key := SlotKey{Domain: l.Domain, Slot: slot}
-		if l.core.Holds(now, key) {
+		if l.core.MayUse(now, key) {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// testSettings have a short grace: virtual hours of a fleet take real seconds.
+// testSettings returns settings with a short grace period, because a simulated
+// hour takes seconds of real time.
 func testSettings() Settings {
 	settings := Defaults()
-	settings.Grace = 10 * time.Minute
+	settings.GracePeriod = 10 * time.Minute
 	return settings
 }
--- a/internal/coordination/limiter/handover.go
+++ b/internal/coordination/limiter/handover.go
@@ -7,114 +7,118 @@
 	"merlintiller/internal/protocol"
 )
 
-// Balance is what a slot's bucket of an organisation has left, in tokens.
+// Balance is the number of tokens left in an organisation's bucket.
 type Balance struct {
 	Organisation protocol.OrganisationID
 	Tokens       float64
 }
 
-// SlotBalances are the tokens of one slot.
+// SlotBalances are the tokens left in one slot.
 type SlotBalances struct {
 	Slot SlotKey
-	// Fence is the sender's own fencing number, which tells a second copy.
+	// Fence is the sender's fencing number for the slot, by which the receiver
+	// recognises duplicates.
 	Fence    protocol.Offset
 	Balances []Balance
 }
 
-// HandoverArgs gives the tokens of slots to the instance that will claim them.
-// The sender has debited them and no longer uses the slots.
+// HandoverArgs transfers the tokens of slots to the instance that will claim
+// them. The sender has debited the tokens and no longer uses the slots.
 type HandoverArgs struct {
 	Slots []SlotBalances
-	// Leaving is the sender's session if it is about to close: its mates then
-	// choose the next holders without it. Zero if it stays.
+	// Leaving is the sender's session if it is about to close, so that its
+	// peers choose the next holders without it, or 0.
 	Leaving protocol.SessionID
-	// Plan says who should claim the leaver's slots. Mates that see the
-	// releases at different moments would choose differently, and the tokens
-	// would lie with one while another claims.
+	// Plan names the instances that should claim the leaving instance's slots.
+	// Without it, peers that see the releases at different times would choose
+	// differently, and the tokens could go to one instance while another one
+	// claims the slot.
 	Plan Assignment
 }
 
-// HandoverReply is empty: a lost handover costs the tokens.
+// HandoverReply is empty. If a handover is lost, its tokens are lost.
 type HandoverReply struct{}
 
-// handoverLife is how long handed tokens wait for the claim of their slot.
-const handoverLife = 5 * time.Second
+// handoverLifetime is how long tokens that were handed over are kept until
+// their slot is claimed.
+const handoverLifetime = 5 * time.Second
 
-// handover is what was received for one slot.
+// handover holds the tokens received for one slot.
 type handover struct {
-	fence    protocol.Offset
-	at       time.Time
-	balances map[protocol.OrganisationID]float64
+	fence      protocol.Offset
+	receivedAt time.Time
+	balances   map[protocol.OrganisationID]float64
 }
 
-// handovers are the tokens that wait for the claim of their slot.
+// handovers holds the tokens of slots that are not claimed yet.
 //
-// A copy that arrives after its tokens were used would double them, so a fence
-// is accepted once. The slot may have been held by a third instance meanwhile,
-// which filled it from empty at its rate, beginning a grant's life after its
-// claim; so the handed tokens shrink at that rate after that time, and the sum
-// stays below the burst.
+// A duplicate that arrives after its tokens were used would double them, so
+// each fence is accepted only once. A third instance may have held the slot in
+// the meantime. It filled the slot from empty at its rate, beginning one grant
+// lifetime after its claim. The tokens therefore decrease at that rate from one
+// grant lifetime after their arrival, so that the sum stays below the burst.
 type handovers struct {
-	waiting map[SlotKey]handover
-	newest  map[SlotKey]protocol.Offset
+	pending     map[SlotKey]handover
+	newestFence map[SlotKey]protocol.Offset
 }
 
 func newHandovers() handovers {
-	return handovers{waiting: map[SlotKey]handover{}, newest: map[SlotKey]protocol.Offset{}}
+	return handovers{pending: map[SlotKey]handover{}, newestFence: map[SlotKey]protocol.Offset{}}
 }
 
 func (h *handovers) receive(now time.Time, args SlotBalances) {
-	if newest, ok := h.newest[args.Slot]; ok && args.Fence <= newest {
+	if newest, ok := h.newestFence[args.Slot]; ok && args.Fence <= newest {
 		return
 	}
-	h.newest[args.Slot] = args.Fence
+	h.newestFence[args.Slot] = args.Fence
 	balances := make(map[protocol.OrganisationID]float64, len(args.Balances))
 	for _, b := range args.Balances {
 		balances[b.Organisation] = b.Tokens
 	}
-	h.waiting[args.Slot] = handover{fence: args.Fence, at: now, balances: balances}
+	h.pending[args.Slot] = handover{fence: args.Fence, receivedAt: now, balances: balances}
 }
 
-// claimed returns what waits for a slot that was just won, and forgets it.
-func (h *handovers) claimed(now time.Time, key SlotKey) handover {
-	got := h.waiting[key]
-	delete(h.waiting, key)
-	if now.Sub(got.at) > handoverLife {
+// take removes and returns the tokens for a slot that this instance has
+// claimed.
+func (h *handovers) take(now time.Time, key SlotKey) handover {
+	received := h.pending[key]
+	delete(h.pending, key)
+	if now.Sub(received.receivedAt) > handoverLifetime {
 		return handover{}
 	}
-	return got
+	return received
 }
 
-// CloseSlot stops the use of a slot that is about to be released, and returns what
-// is left in it. A second call returns nothing.
+// CloseSlot stops the use of a slot that is about to be released, and returns
+// the tokens left in it. A second call returns none.
 func (c *Core) CloseSlot(now time.Time, key SlotKey) (SlotBalances, bool) {
-	t, ok := c.held[key]
-	if !ok || t.givenUp {
+	slot, ok := c.held[key]
+	if !ok || slot.closed {
 		return SlotBalances{}, false
 	}
-	args := SlotBalances{Slot: key, Fence: t.fence}
-	if c.Holds(now, key) {
-		args.Balances = c.balances(now, key)
+	args := SlotBalances{Slot: key, Fence: slot.fence}
+	if c.MayUse(now, key) {
+		args.Balances = c.drainBalances(now, key)
 	}
-	t.givenUp = true
-	c.held[key] = t
+	slot.closed = true
+	c.held[key] = slot
 	return args, true
 }
 
-// balances empties the slot's buckets of all organisations, also the ones that
-// nobody used here yet.
-func (c *Core) balances(now time.Time, key SlotKey) []Balance {
+// drainBalances empties the buckets of all organisations in a slot, including
+// organisations that were not used here yet, whose buckets have been filling.
+func (c *Core) drainBalances(now time.Time, key SlotKey) []Balance {
 	var balances []Balance
 	for id, org := range c.fleet.Organisations {
-		if !hasPart(c.generations.parts(org, c.fleet.Domains), key) {
+		if !hasQuota(c.rollout.quotas(org, c.fleet.Domains), key) {
 			continue
 		}
 		a := c.account(now, id)
-		for i := range a.sources {
-			if a.sources[i].part.Key != key {
+		for i := range a.slots {
+			if a.slots[i].quota.Key != key {
 				continue
 			}
-			if b := c.bucketOf(now, a, &a.sources[i]); b.tokens > 0 {
+			if b := c.bucketOf(now, a, &a.slots[i]); b.tokens > 0 {
 				balances = append(balances, Balance{Organisation: id, Tokens: b.tokens})
 				b.tokens = 0
 			}
@@ -123,38 +127,40 @@
 	return balances
 }
 
-func hasPart(parts []Part, key SlotKey) bool {
-	return slices.ContainsFunc(parts, func(p Part) bool { return p.Key == key })
+func hasQuota(quotas []Quota, key SlotKey) bool {
+	return slices.ContainsFunc(quotas, func(q Quota) bool { return q.Key == key })
 }
 
-// ReceiveHandover takes in the tokens of a slot that this instance will claim.
+// ReceiveHandover stores the tokens of a slot that this instance will claim.
 func (c *Core) ReceiveHandover(now time.Time, args SlotBalances) {
 	if _, held := c.held[args.Slot]; held {
-		// Late: the claim was won before, and the slot began empty.
+		// The handover arrived late: the claim was already accepted and the
+		// slot started empty.
 		return
 	}
 	c.handovers.receive(now, args)
 }
 
-// startingTokens are the handed tokens with which a new bucket begins.
-func (t tenure) startingTokens(id protocol.OrganisationID, rate, burst float64, grantLife time.Duration) float64 {
-	filled := rate * max(0, t.wonAt.Sub(t.handed.at)-grantLife).Seconds()
-	return min(burst, max(0, t.handed.balances[id]-filled))
+// initialTokens returns the tokens of a new bucket: those handed over, less
+// what a third instance may have filled in the meantime.
+func (s heldSlot) initialTokens(id protocol.OrganisationID, rate, burst float64, grantLifetime time.Duration) float64 {
+	filled := rate * max(0, s.acquiredAt.Sub(s.handover.receivedAt)-grantLifetime).Seconds()
+	return min(burst, max(0, s.handover.balances[id]-filled))
 }
 
-// GivenUp are the slots that are still to be released.
-func (c *Core) GivenUp() []SlotKey {
+// ClosedSlots returns the slots that are still to be released.
+func (c *Core) ClosedSlots() []SlotKey {
 	var keys []SlotKey
-	for key, t := range c.held {
-		if t.givenUp {
+	for key, slot := range c.held {
+		if slot.closed {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// HeldKeys are the slots that replay gives to this instance.
-func (c *Core) HeldKeys() []SlotKey {
+// HeldSlots returns the slots that this instance holds in the replayed state.
+func (c *Core) HeldSlots() []SlotKey {
 	keys := make([]SlotKey, 0, len(c.held))
 	for key := range c.held {
 		keys = append(keys, key)
--- a/internal/coordination/limiter/leave.go
+++ b/internal/coordination/limiter/leave.go
@@ -10,18 +10,18 @@
 	"merlintiller/internal/protocol"
 )
 
-// Leave gives up all slots, for a graceful shutdown: call it once no request
-// comes in any more, and close the session after it. The services must still
-// run. Tokens go to the mates that will hold the slots; a slot is released in
-// the log, so that anybody may claim it at once.
+// Leave gives up all slots during a graceful shutdown. Call it when no more
+// requests arrive, and close the session afterwards. The services must still
+// run. The tokens go to the peers that will hold the slots, and the leases are
+// released in the log, so that any instance can claim the slots immediately.
 func (l *Limiter) Leave(ctx context.Context) {
-	for mate, args := range l.giveUpAll(time.Now()) {
-		l.handOver(ctx, mate, args)
+	for peer, args := range l.closeAllSlots(time.Now()) {
+		l.handOver(ctx, peer, args)
 	}
 	l.mu.Lock()
-	keys := l.core.GivenUp()
+	keys := l.core.ClosedSlots()
 	l.mu.Unlock()
-	// At once, so that the releases share a frame of the log.
+	// In parallel, so that the releases share one frame of the log.
 	var wait sync.WaitGroup
 	for _, key := range keys {
 		wait.Go(func() { l.submitRelease(ctx, key) })
@@ -29,20 +29,21 @@
 	wait.Wait()
 }
 
-// giveUpAll stops the use of all slots and returns what to tell each mate.
-func (l *Limiter) giveUpAll(now time.Time) map[protocol.InstanceID]*HandoverArgs {
+// closeAllSlots stops the use of all slots and returns the handover message for
+// each peer.
+func (l *Limiter) closeAllSlots(now time.Time) map[protocol.InstanceID]*HandoverArgs {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leaving = true
-	l.authorise(now)
+	l.refreshUsableUntil(now)
 	messages := map[protocol.InstanceID]*HandoverArgs{}
-	mates, plan := l.claims.Leave()
-	for _, mate := range mates {
-		messages[mate] = &HandoverArgs{Leaving: l.session, Plan: plan}
+	peers, plan := l.claims.StartLeaving()
+	for _, peer := range peers {
+		messages[peer] = &HandoverArgs{Leaving: l.session, Plan: plan}
 	}
-	for _, key := range l.core.HeldKeys() {
-		balances, first := l.core.CloseSlot(now, key)
-		if args := messages[plan[key.Slot]]; first && args != nil {
+	for _, key := range l.core.HeldSlots() {
+		balances, open := l.core.CloseSlot(now, key)
+		if args := messages[plan[key.Slot]]; open && args != nil {
 			args.Slots = append(args.Slots, balances)
 		}
 	}
--- a/internal/coordination/limiter/limiter.go
+++ b/internal/coordination/limiter/limiter.go
@@ -19,11 +19,12 @@
 
 var stats = expvar.NewMap("limiter")
 
-// Config wires a Limiter.
+// Config holds the identity and the dependencies of a Limiter.
 type Config struct {
 	Self   protocol.InstanceID
 	Domain protocol.Domain
-	// Address is the own peer address, as the session's open record has it.
+	// Address is this instance's peer address, equal to the one in the record
+	// that opened its session.
 	Address  string
 	Journal  coordination.Journal
 	Peers    coordination.Peers
@@ -31,61 +32,64 @@
 	Logger   log.Logger
 }
 
-// Limiter implements coordination.Limits: it runs the pure Core against the
-// clock, the journal and the other instances.
+// Limiter implements coordination.Limits. It connects Core, which does no I/O,
+// to the clock, the journal and the other instances.
 type Limiter struct {
 	Config
-	agreed *agreed
+	state *stateReader
 
 	mu        sync.Mutex
 	core      *Core
-	claims    *Claims
+	claims    *ClaimPolicy
 	extension *extension
-	// session is the one under which the core's slots are held.
+	// session is the session under which the slots in core are held.
 	session    protocol.SessionID
 	leaving    bool
 	suspension suspension
-	// renewedAt is when the own latest renewal was first seen.
+	// renewedAt is when the latest renewal of this instance's session was first
+	// seen in the replayed state.
 	renewedAt time.Time
 
-	ahead   *ring.Ring[*TakeCall]
-	actions *ring.Ring[ClaimAction]
-	// pending are the slots with an action in the ring.
-	pending map[SlotKey]bool
+	backgroundCalls *ring.Ring[*TakeCall]
+	actions         *ring.Ring[ClaimAction]
+	// pendingActions are the slots that have an action in the actions ring.
+	pendingActions map[SlotKey]bool
 }
 
-// Capacities of the rings between the duties. A drop costs an exchange later.
+// Capacities of the rings between the background services. A dropped entry
+// costs an additional call or a retry later.
 const (
-	aheadCapacity  = 256
-	actionCapacity = 2 * SlotsPerDomain
+	backgroundCapacity = 256
+	actionCapacity     = 2 * SlotsPerDomain
 )
 
-// New returns a limiter that holds nothing yet. Its Services must run.
+// New returns a limiter without slots. The caller must run its Services.
 func New(config Config) *Limiter {
 	return &Limiter{
-		Config:    config,
-		agreed:    newAgreed(config.Journal),
-		core:      NewCore(config.Self, config.Domain, config.Settings),
-		claims:    NewClaims(config.Self, config.Domain, config.Settings),
-		extension: newExtension(config.Settings),
-		ahead:     ring.New[*TakeCall]("limiter.ahead", aheadCapacity),
-		actions:   ring.New[ClaimAction]("limiter.actions", actionCapacity),
-		pending:   map[SlotKey]bool{},
+		Config:          config,
+		state:           newStateReader(config.Journal),
+		core:            NewCore(config.Self, config.Domain, config.Settings),
+		claims:          NewClaimPolicy(config.Self, config.Domain, config.Settings),
+		extension:       newExtension(config.Settings),
+		backgroundCalls: ring.New[*TakeCall]("limiter.ahead", backgroundCapacity),
+		actions:         ring.New[ClaimAction]("limiter.actions", actionCapacity),
+		pendingActions:  map[SlotKey]bool{},
 	}
 }
 
-// Services are the limiter's duties, for the supervisor.
+// Services returns the limiter's background services, to be run by a
+// supervisor.
 func (l *Limiter) Services() []suture.Service {
 	return []suture.Service{
-		&slotService{limiter: l},
+		&reconcileService{limiter: l},
 		&claimService{limiter: l},
 		&promiseService{limiter: l},
-		&fetchService{limiter: l},
-		&settleService{limiter: l},
+		&backgroundCallService{limiter: l},
+		&rolloutService{limiter: l},
 	}
 }
 
-// Endpoint is the net/rpc receiver, to be registered under ReceiverName.
+// Endpoint returns the net/rpc receiver, to be registered under ReceiverName.
 func (l *Limiter) Endpoint() *Endpoint {
 	return &Endpoint{limiter: l}
 }
@@ -96,57 +100,60 @@
 	defer cancel()
 	request := Request{Organisation: org, Tokens: tokens}
 	for {
-		verdict := l.decide(&request)
+		decision := l.decide(&request)
 		switch {
-		case verdict.Granted:
+		case decision.Granted:
 			stats.Add("admitted", 1)
-			l.fetch(verdict.Prefetch)
+			l.callInBackground(decision.Prefetch)
 			return nil
-		case verdict.Unknown:
-			return l.unknown(org)
-		case verdict.Call != nil && ctx.Err() == nil:
-			l.exchange(ctx, verdict.Call)
+		case decision.Unknown:
+			return l.rejectUnknown(org)
+		case decision.Call != nil && ctx.Err() == nil:
+			l.call(ctx, decision.Call)
 		default:
 			stats.Add("refused", 1)
-			for _, back := range verdict.Returns {
-				l.fetch(back)
+			for _, back := range decision.Returns {
+				l.callInBackground(back)
 			}
-			return protocol.Refuse(protocol.CodeRateLimited, verdict.retryAfter(), "organisation %s is above its rate", org)
+			return protocol.Refuse(protocol.CodeRateLimited, decision.retryAfter(), "organisation %s exceeds its rate", org)
 		}
 	}
 }
 
-// unknown refuses an organisation that the core does not know. A configuration
-// is in force for the keys at once and for the core up to changeDebounce later:
-// a caller with a new key must not be told to go away for good meanwhile.
-func (l *Limiter) unknown(org protocol.OrganisationID) *protocol.Refusal {
+// rejectUnknown rejects a request of an organisation that the core does not
+// know. Key checks apply a new configuration immediately, but the core applies
+// it up to changeDebounce later. A caller with a new key must not get a
+// permanent rejection in that interval.
+func (l *Limiter) rejectUnknown(org protocol.OrganisationID) *protocol.Refusal {
 	stats.Add("refused", 1)
 	if _, ok := l.Journal.Fleet().Organisations[org]; ok {
-		return protocol.Refuse(protocol.CodeRateLimited, changeDebounce, "organisation %s came into force just now and has no tokens yet", org)
+		return protocol.Refuse(protocol.CodeRateLimited, changeDebounce, "the configuration of organisation %s is not yet in effect on this instance", org)
 	}
 	return protocol.Refuse(protocol.CodeForbidden, 0, "organisation %s is not configured", org)
 }
 
-// minRetryAfter is told when exchanges ran out of time: tokens may be there.
+// minRetryAfter is the shortest retry delay that a rejection states. It applies
+// if the calls of a decision timed out, because other holders may have tokens.
 const minRetryAfter = 100 * time.Millisecond
 
-func (v Verdict) retryAfter() time.Duration {
-	return max(v.RetryAfter, minRetryAfter)
+func (d Decision) retryAfter() time.Duration {
+	return max(d.RetryAfter, minRetryAfter)
 }
 
-func (l *Limiter) decide(request *Request) Verdict {
+func (l *Limiter) decide(request *Request) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.authorise(now)
+	l.refreshUsableUntil(now)
 	return l.core.Decide(now, request)
 }
 
-// authorise says until when the held slots may be used. It is asked at every
-// decision, because a process that was paused must notice before it grants.
-func (l *Limiter) authorise(now time.Time) {
-	if l.suspension.passed(now) {
-		l.core.forgetPerishable()
+// refreshUsableUntil updates the time until which the held slots may be used.
+// It runs before every decision, because a process that was paused must detect
+// this before it grants tokens.
+func (l *Limiter) refreshUsableUntil(now time.Time) {
+	if l.suspension.detected(now) {
+		l.core.discardTimeLimited()
 		l.extension.lapsed = true
 	}
 	switch {
@@ -154,40 +161,43 @@
 		l.core.SetUsableUntil(time.Time{})
 	case l.Journal.MayHold():
 		l.core.SetUsableUntil(now.Add(1))
-	case l.agreed.ownRenewal(l.session) != l.extension.settled:
-		// The electorate may miss a mate that the journal has read already, or
-		// the session has ended. The next look tells.
+	case l.state.latestRenewal(l.session) != l.extension.coveredRenewal:
+		// Either the set of required peers may lack a peer that the journal has
+		// already read, or the session has ended. The next reconcile finds out
+		// which.
 		l.core.SetUsableUntil(time.Time{})
 	default:
-		l.core.SetUsableUntil(l.extension.until(now))
+		l.core.SetUsableUntil(l.extension.validUntil(now))
 	}
 }
 
-// fetch takes tokens ahead of need in the background.
-func (l *Limiter) fetch(ask *TakeCall) {
-	if ask == nil || l.ahead.Offer(ask) {
+// callInBackground queues a Take call that no request waits for: a prefetch or
+// the return of a fraction.
+func (l *Limiter) callInBackground(call *TakeCall) {
+	if call == nil || l.backgroundCalls.Offer(call) {
 		return
 	}
-	l.answered(ask, TakeReply{}, true)
+	l.handleReply(call, TakeReply{}, true)
 }
 
-// exchange asks a holder and takes in its answer.
-func (l *Limiter) exchange(ctx context.Context, ask *TakeCall) {
+// call sends a Take call to the holder and applies the reply.
+func (l *Limiter) call(ctx context.Context, call *TakeCall) {
 	ctx, cancel := context.WithTimeout(ctx, l.Settings.CallTimeout)
 	defer cancel()
 	var reply TakeReply
-	err := l.Peers.Call(ctx, ask.Holder, ReceiverName+".Take", &ask.Args, &reply)
+	err := l.Peers.Call(ctx, call.Holder, ReceiverName+".Take", &call.Args, &reply)
 	stats.Add("takes", 1)
 	if err != nil {
 		stats.Add("takes_failed", 1)
-		// net/rpc may still be writing to the abandoned reply.
+		// The call was abandoned and net/rpc may still write to its reply, so
+		// the contents are discarded.
 		reply = TakeReply{}
 	}
-	l.answered(ask, reply, err != nil)
+	l.handleReply(call, reply, err != nil)
 }
 
-func (l *Limiter) answered(ask *TakeCall, reply TakeReply, failed bool) {
+func (l *Limiter) handleReply(call *TakeCall, reply TakeReply, failed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.HandleReply(time.Now(), ask, reply, failed)
+	l.core.HandleReply(time.Now(), call, reply, failed)
 }
--- a/internal/coordination/limiter/limiter_test.go
+++ b/internal/coordination/limiter/limiter_test.go
@@ -23,39 +23,39 @@
 	for i := range 12 {
 		orgs = append(orgs, protocol.Organisation{ID: protocol.OrganisationID(fmt.Sprintf("o%d", i)), Rate: 30, Burst: 30})
 	}
-	f.configure("a1", domains("a", "b", "c"), orgs...)
-	pass(10*time.Second + 300*time.Millisecond)
+	f.configure("a1", equalShares("a", "b", "c"), orgs...)
+	sleep(10*time.Second + 300*time.Millisecond)
 	return f
 }
 
-// All callers of an organisation gather at one instance. It holds only a few
-// of the organisation's slots, and a user would see refusals inside the rate
-// if the tokens of the other instances stayed where they are.
-func TestCallersAtOneInstanceGetTheWholeBurst(t *testing.T) {
+// All callers of an organisation use one instance, which holds only a few of
+// the organisation's slots. If the tokens of the other instances did not reach
+// it, callers within their rate would be rejected.
+func TestCallersAtOneInstanceGetTheFullBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
-		require.Equal(t, 30, f.admitted("a1", "o0", 60))
+		require.Equal(t, 30, f.countAdmitted("a1", "o0", 60))
 	})
 }
 
-// A failure domain is cut off from the others. Its callers get the domain's
-// part, at once and without waiting for the other domains' answers each time.
-func TestCutDomainServesItsPart(t *testing.T) {
+// A failure domain is isolated from the others. Its callers get the domain's
+// share without waiting for a timeout of the other domains on every request.
+func TestIsolatedDomainAdmitsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
-		f.net.cutDomains("a", "b")
-		f.net.cutDomains("a", "c")
-		require.Equal(t, 10, f.admitted("a1", "o0", 60))
+		f.net.partitionDomains("a", "b")
+		f.net.partitionDomains("a", "c")
+		require.Equal(t, 10, f.countAdmitted("a1", "o0", 60))
 	})
 }
 
-// An operator adds an organisation, and its first call comes in the same
-// instant. A refusal for good would make its client give up, although the
-// organisation is configured; it is told to come back.
-func TestOrganisationConfiguredJustNowIsToldToComeBack(t *testing.T) {
+// The first call of a new organisation arrives right after its configuration.
+// With a permanent rejection the client would give up although the organisation
+// is configured, so the rejection must state a retry delay.
+func TestNewOrganisationIsRejectedWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
-		f.configure("a1", domains("a", "b", "c"), protocol.Organisation{ID: "new", Rate: 30, Burst: 30})
+		f.configure("a1", equalShares("a", "b", "c"), protocol.Organisation{ID: "new", Rate: 30, Burst: 30})
 		refusal := f.all["b1"].Admit(t.Context(), "new", 1)
 		require.Equal(t, protocol.CodeRateLimited, refusal.Code)
 		require.Positive(t, refusal.RetryAfter)
@@ -64,10 +64,10 @@
 	})
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRejectionStatesRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
-		f.admitted("b1", "o0", 60)
+		f.countAdmitted("b1", "o0", 60)
 		refusal := f.all["b1"].Admit(t.Context(), "o0", 1)
 		require.Equal(t, protocol.CodeRateLimited, refusal.Code)
 		require.Equal(t, protocol.NotRun, refusal.Run)
--- a/internal/coordination/limiter/matrix_test.go
+++ b/internal/coordination/limiter/matrix_test.go
@@ -14,113 +14,116 @@
 	"merlintiller/internal/state/replica"
 )
 
-// cellWorld is a fleet under load beside one exact token bucket. The fault
-// strikes a1 at a step of its, or everybody.
-type cellWorld struct {
+// matrixFleet is a fleet under load, compared with one exact token bucket. A
+// fault occurs when a1 reaches a step, or affects the whole fleet in the
+// background.
+type matrixFleet struct {
 	*fakeFleet
-	mu     sync.Mutex
-	exact  oracle
-	above  error
-	stop   chan struct{}
-	paused map[protocol.InstanceID]bool
-	struck bool
+	mu        sync.Mutex
+	exact     oracle
+	violation error
+	stop      chan struct{}
+	paused    map[protocol.InstanceID]bool
+	injected  bool
 	// org is an organisation of which a1 holds a slot.
 	org protocol.OrganisationID
 }
 
-// The session of a dead or paused instance is expired by its mates after this
-// time; its own hold ends before.
+// Peers expire the session of a terminated, paused or isolated instance after
+// expireTime. The instance itself considers its session invalid earlier, after
+// holdTime.
 const (
 	holdTime   = 6 * time.Second
 	expireTime = 8 * time.Second
 	outage     = 35 * time.Second
 )
 
-func newCellWorld(t *testing.T) *cellWorld {
+func newMatrixFleet(t *testing.T) *matrixFleet {
 	t.Helper()
-	w := &cellWorld{fakeFleet: threeDomains(t), stop: make(chan struct{}), paused: map[protocol.InstanceID]bool{}}
-	w.org = w.organisationOf("a1")
-	w.exact = oracle{rate: 30, burst: 30, level: 30, at: time.Now()}
-	for id := range w.all {
-		go w.load(id)
+	m := &matrixFleet{fakeFleet: threeDomains(t), stop: make(chan struct{}), paused: map[protocol.InstanceID]bool{}}
+	m.org = m.organisationOf("a1")
+	m.exact = oracle{rate: 30, burst: 30, level: 30, at: time.Now()}
+	for id := range m.all {
+		go m.generateLoad(id)
 	}
-	return w
+	return m
 }
 
-// load makes an instance admit as much as it can.
-func (w *cellWorld) load(id protocol.InstanceID) {
+// generateLoad makes an instance admit as many requests as it can.
+func (m *matrixFleet) generateLoad(id protocol.InstanceID) {
 	for {
 		select {
-		case <-w.stop:
+		case <-m.stop:
 			return
 		case <-time.After(150 * time.Millisecond):
-			w.squeeze(id)
+			m.admitUntilRejected(id)
 		}
 	}
 }
 
-func (w *cellWorld) squeeze(id protocol.InstanceID) {
+func (m *matrixFleet) admitUntilRejected(id protocol.InstanceID) {
 	for range 5 {
-		w.mu.Lock()
-		idle := w.paused[id]
-		w.mu.Unlock()
-		if idle || w.all[id].Admit(w.t.Context(), w.org, 1) != nil {
+		m.mu.Lock()
+		idle := m.paused[id]
+		m.mu.Unlock()
+		if idle || m.all[id].Admit(m.t.Context(), m.org, 1) != nil {
 			return
 		}
-		w.mu.Lock()
-		if err := w.exact.admit(time.Now(), 1); err != nil && w.above == nil {
-			w.above = err
+		m.mu.Lock()
+		if err := m.exact.admit(time.Now(), 1); err != nil && m.violation == nil {
+			m.violation = err
 		}
-		w.mu.Unlock()
+		m.mu.Unlock()
 	}
 }
 
-// loosen lets the exact bucket follow a change of rate.
-func (w *cellWorld) loosen(rate, burst float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.exact.level = min(w.exact.burst, w.exact.level+w.exact.rate*time.Since(w.exact.at).Seconds())
-	w.exact.at = time.Now()
-	w.exact.rate, w.exact.burst = rate, burst
+// changeExactRate applies a changed rate and burst to the exact bucket.
+func (m *matrixFleet) changeExactRate(rate, burst float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.exact.level = min(m.exact.burst, m.exact.level+m.exact.rate*time.Since(m.exact.at).Seconds())
+	m.exact.at = time.Now()
+	m.exact.rate, m.exact.burst = rate, burst
 }
 
-// first reports whether this is the first time that the step is reached.
-func (w *cellWorld) first() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	struck := w.struck
-	w.struck = true
-	return !struck
+// firstTime reports whether the step is reached for the first time.
+func (m *matrixFleet) firstTime() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	injected := m.injected
+	m.injected = true
+	return !injected
 }
 
-// freeze stops a1 as a paused process or a dead one, and lets its mates expire
-// its session.
-func (w *cellWorld) freeze(id protocol.InstanceID) {
-	w.net.stop(id)
-	w.mu.Lock()
-	w.paused[id] = true
-	w.mu.Unlock()
-	w.loseLog(id)
+// pause stops an instance, which represents a paused or terminated process, and
+// lets its peers expire its session.
+func (m *matrixFleet) pause(id protocol.InstanceID) {
+	m.net.stop(id)
+	m.mu.Lock()
+	m.paused[id] = true
+	m.mu.Unlock()
+	m.isolateFromLog(id)
 }
 
-// kill ends a process for good.
-func (w *cellWorld) kill(id protocol.InstanceID) {
-	w.journal(id).end()
-	w.freeze(id)
+// kill terminates a process permanently.
+func (m *matrixFleet) kill(id protocol.InstanceID) {
+	m.journal(id).terminate()
+	m.pause(id)
 }
 
-// loseLog cuts an instance off from the log; its session's hold ends in time
-// and its mates expire it.
-func (w *cellWorld) loseLog(id protocol.InstanceID) {
-	j := w.journal(id)
+// isolateFromLog makes the log unreachable for an instance. Its session stops
+// being valid after holdTime, and its peers expire the session after
+// expireTime.
+func (m *matrixFleet) isolateFromLog(id protocol.InstanceID) {
+	j := m.journal(id)
 	session := j.Session()
-	j.setCut(true, true)
-	time.AfterFunc(holdTime, func() { j.setCut(true, false) })
-	time.AfterFunc(expireTime, func() { w.expireIfOpen(session) })
+	j.setIsolated(true, true)
+	time.AfterFunc(holdTime, func() { j.setIsolated(true, false) })
+	time.AfterFunc(expireTime, func() { m.expireIfOpen(session) })
 }
 
-func (w *cellWorld) expireIfOpen(session protocol.SessionID) {
-	j := w.journal("a2")
+func (m *matrixFleet) expireIfOpen(session protocol.SessionID) {
+	j := m.journal("a2")
 	last := protocol.NoOffset
 	j.View(func(s *replica.State) {
 		if info, ok := s.Sessions.Get(session); ok {
@@ -130,221 +133,227 @@
 	j.submit(protocol.Record{SessionExpire: &protocol.SessionExpire{Session: session, LastRenewal: last}})
 }
 
-// organisationOf is an organisation of which an instance holds a slot, so that a
-// fault of that instance matters.
-func (w *cellWorld) organisationOf(id protocol.InstanceID) protocol.OrganisationID {
-	fleet := w.journal(id).Fleet()
-	view := w.all[id].agreed.view(fleet)
+// organisationOf returns an organisation of which an instance holds a slot, so
+// that a fault of this instance has an effect.
+func (m *matrixFleet) organisationOf(id protocol.InstanceID) protocol.OrganisationID {
+	fleet := m.journal(id).Fleet()
+	view := m.all[id].state.view(fleet)
 	for i := range len(fleet.Organisations) {
 		org := protocol.OrganisationID(fmt.Sprintf("o%d", i))
-		for _, part := range Divide(fleet.Organisations[org], fleet.Domains) {
-			if view.Holdings[part.Key].Instance == id {
+		for _, quota := range Divide(fleet.Organisations[org], fleet.Domains) {
+			if view.Leases[quota.Key].Instance == id {
 				return org
 			}
 		}
 	}
-	w.t.Fatal("the instance holds nothing")
+	m.t.Fatal("the instance holds no slot")
 	return ""
 }
 
-// expireDead expires what the outage of the log kept the mates from expiring.
-func (w *cellWorld) expireDead() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, paused := range w.paused {
+// expirePaused expires sessions of paused instances that peers could not expire
+// during an outage of the log.
+func (m *matrixFleet) expirePaused() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for id, paused := range m.paused {
 		if paused {
-			w.expireIfOpen(w.journal(id).Session())
+			m.expireIfOpen(m.journal(id).Session())
 		}
 	}
 }
 
-// thaw lets a paused a1 go on: it may act before it has read what happened.
-func (w *cellWorld) thaw(id protocol.InstanceID) {
-	w.net.mu.Lock()
-	delete(w.net.down, id)
-	w.net.mu.Unlock()
-	w.mu.Lock()
-	w.paused[id] = false
-	w.mu.Unlock()
-	w.squeeze(id)
-	w.journal(id).setCut(false, false)
+// resume continues a paused instance. It may admit requests before it has read
+// what happened in the meantime.
+func (m *matrixFleet) resume(id protocol.InstanceID) {
+	m.net.mu.Lock()
+	delete(m.net.down, id)
+	m.net.mu.Unlock()
+	m.mu.Lock()
+	m.paused[id] = false
+	m.mu.Unlock()
+	m.admitUntilRejected(id)
+	m.journal(id).setIsolated(false, false)
 }
 
-// cellStep is a step of the limiter with what brings it about.
-type cellStep struct {
+// matrixStep is an operation of the limiter and the action that triggers it.
+type matrixStep struct {
 	name string
-	// method is the call, or claim the log record, that the step consists of.
-	method string
-	claim  bool
-	act    func(w *cellWorld)
+	// method is the net/rpc method of the step. claim is true if the step is
+	// the record of a claim in the log instead.
+	method  string
+	claim   bool
+	trigger func(m *matrixFleet)
 }
 
-var cellSteps = []cellStep{
-	{name: "take", method: ReceiverName + ".Take", act: func(*cellWorld) {}},
-	{name: "admit", method: ReceiverName + ".Take", act: func(w *cellWorld) { w.squeeze("a1") }},
-	{name: "transfer", method: ReceiverName + ".Handover", act: func(w *cellWorld) {
-		w.all["a1"].Leave(w.t.Context())
-		w.journal("a1").submit(protocol.Record{SessionClose: &protocol.SessionClose{}})
-		// The process ends. If the log was down, its session is still open.
-		w.kill("a1")
+var matrixSteps = []matrixStep{
+	{name: "take", method: ReceiverName + ".Take", trigger: func(*matrixFleet) {}},
+	{name: "admit", method: ReceiverName + ".Take", trigger: func(m *matrixFleet) { m.admitUntilRejected("a1") }},
+	{name: "transfer", method: ReceiverName + ".Handover", trigger: func(m *matrixFleet) {
+		m.all["a1"].Leave(m.t.Context())
+		m.journal("a1").submit(protocol.Record{SessionClose: &protocol.SessionClose{}})
+		// The process terminates. If the log was unreachable, its session is
+		// still open.
+		m.kill("a1")
 	}},
-	{name: "claim-slot", claim: true, act: func(w *cellWorld) {
-		w.kill("a3")
+	{name: "claim-slot", claim: true, trigger: func(m *matrixFleet) {
+		m.kill("a3")
 	}},
-	{name: "change-rate", method: ReceiverName + ".Version", act: func(w *cellWorld) {
-		shares := domains("a", "b", "c")
+	{name: "change-rate", method: ReceiverName + ".Version", trigger: func(m *matrixFleet) {
+		shares := equalShares("a", "b", "c")
 		shares["a"] = protocol.DomainShare{Domain: "a", Share: 4}
-		w.loosen(45, 45)
-		w.configure("a2", shares, protocol.Organisation{ID: w.org, Rate: 45, Burst: 45})
+		m.changeExactRate(45, 45)
+		m.configure("a2", shares, protocol.Organisation{ID: m.org, Rate: 45, Burst: 45})
 	}},
 }
 
-// strike is what a fault does when a1 reaches the step. forward does the step.
-type strike func(w *cellWorld, forward func() error) error
+// injectFunc injects a fault when a1 reaches the step. forward performs the
+// step.
+type injectFunc func(m *matrixFleet, forward func() error) error
 
-type cellFault struct {
-	name   string
-	story  string
-	strike strike
-	// around strikes at no step of a1 but while it goes on.
-	around func(w *cellWorld)
+type matrixFault struct {
+	name        string
+	description string
+	inject      injectFunc
+	// background is set for faults that do not occur at a step of a1. It runs
+	// while the step is triggered.
+	background func(m *matrixFleet)
 }
 
-var cellFaults = []cellFault{
-	{name: "kill-before", story: "a1 dies just before the step. What it held must come back to its mates, once.",
-		strike: func(w *cellWorld, _ func() error) error {
-			w.kill("a1")
-			return errCut
+var matrixFaults = []matrixFault{
+	{name: "kill-before", description: "a1 terminates just before the step. Its peers must take over its slots and tokens, without duplicates.",
+		inject: func(m *matrixFleet, _ func() error) error {
+			m.kill("a1")
+			return errUnreachable
 		}},
-	{name: "kill-after", story: "a1 dies just after the step took effect. Tokens on their way to it are lost and must not be there twice.",
-		strike: func(w *cellWorld, forward func() error) error {
+	{name: "kill-after", description: "a1 terminates just after the step took effect. Tokens in flight to it are lost and must not be duplicated.",
+		inject: func(m *matrixFleet, forward func() error) error {
 			_ = forward()
-			w.kill("a1")
-			return errCut
+			m.kill("a1")
+			return errUnreachable
 		}},
-	{name: "pause-past-lease", story: "a1 is paused in the step until its session has expired and its slots have new holders. It wakes and grants before it has read anything.",
-		strike: func(w *cellWorld, forward func() error) error {
-			w.freeze("a1")
-			pass(outage)
-			w.thaw("a1")
+	{name: "pause-past-lease", description: "a1 is paused in the step until its session has expired and its slots have new holders. When it resumes, it admits requests before it has read the log.",
+		inject: func(m *matrixFleet, forward func() error) error {
+			m.pause("a1")
+			sleep(outage)
+			m.resume("a1")
 			return forward()
 		}},
-	{name: "log-down", story: "The log is down for everybody, longer than any session holds. Callers must still get their rate, and not more.",
-		around: func(w *cellWorld) {
-			for id := range w.all {
-				w.journal(id).setCut(true, true)
+	{name: "log-down", description: "The log is unreachable for all instances, for longer than any session stays valid. Callers must still get their rate, and not more.",
+		background: func(m *matrixFleet) {
+			for id := range m.all {
+				m.journal(id).setIsolated(true, true)
 			}
-			pass(holdTime)
-			for id := range w.all {
-				w.journal(id).setCut(true, false)
+			sleep(holdTime)
+			for id := range m.all {
+				m.journal(id).setIsolated(true, false)
 			}
-			pass(outage)
-			for id := range w.all {
-				if !w.journal(id).gone() {
-					w.journal(id).setCut(false, true)
+			sleep(outage)
+			for id := range m.all {
+				if !m.journal(id).isTerminated() {
+					m.journal(id).setIsolated(false, true)
 				}
 			}
 		}},
-	{name: "answer-lost", story: "The step takes effect and a1 does not hear of it. It must neither count the tokens nor stop for ever.",
-		strike: func(_ *cellWorld, forward func() error) error {
+	{name: "answer-lost", description: "The step takes effect and its reply to a1 is lost. a1 must neither count the tokens nor stop permanently.",
+		inject: func(_ *matrixFleet, forward func() error) error {
 			_ = forward()
-			return errCut
+			return errUnreachable
 		}},
-	{name: "duplicate", story: "The network delivers the step twice. Its tokens must not be there twice.",
-		strike: func(_ *cellWorld, forward func() error) error {
+	{name: "duplicate", description: "The network delivers the step twice. Its tokens must not be duplicated.",
+		inject: func(_ *matrixFleet, forward func() error) error {
 			_ = forward()
 			return forward()
 		}},
-	{name: "late", story: "The step is held up until the tokens' lives are over, and then its answer comes.",
-		strike: func(_ *cellWorld, forward func() error) error {
-			pass(600 * time.Millisecond)
+	{name: "late", description: "The step is delayed until its tokens have expired, and then its reply arrives.",
+		inject: func(_ *matrixFleet, forward func() error) error {
+			sleep(600 * time.Millisecond)
 			return forward()
 		}},
-	{name: "cut-from-log", story: "a1 alone loses the log. It goes on by promises while its mates want its slots.",
-		strike: func(w *cellWorld, forward func() error) error {
-			w.loseLog("a1")
-			time.AfterFunc(outage, func() { w.journal("a1").setCut(false, false) })
+	{name: "cut-from-log", description: "Only a1 loses the log. It continues on promises while its peers try to claim its slots.",
+		inject: func(m *matrixFleet, forward func() error) error {
+			m.isolateFromLog("a1")
+			time.AfterFunc(outage, func() { m.journal("a1").setIsolated(false, false) })
 			return forward()
 		}},
-	{name: "cut-from-domain", story: "The failure domain a is cut off from the others. Each side has its own part only.",
-		around: func(w *cellWorld) {
-			w.net.cutDomains("a", "b")
-			w.net.cutDomains("a", "c")
-			pass(outage)
-			w.net.mu.Lock()
-			clear(w.net.cut)
-			w.net.mu.Unlock()
+	{name: "cut-from-domain", description: "A network partition isolates failure domain a from the others. Each side may use only its own share.",
+		background: func(m *matrixFleet) {
+			m.net.partitionDomains("a", "b")
+			m.net.partitionDomains("a", "c")
+			sleep(outage)
+			m.net.mu.Lock()
+			clear(m.net.partitioned)
+			m.net.mu.Unlock()
 		}},
-	{name: "operators-racing", story: "Two operators publish another rate from the same version. One of them wins, and no instance may mix the two into more than either.",
-		around: func(w *cellWorld) {
-			w.loosen(45, 45)
+	{name: "operators-racing", description: "Two operators publish another rate based on the same version. No instance may combine the configurations into a higher rate than one of them allows.",
+		background: func(m *matrixFleet) {
+			m.changeExactRate(45, 45)
 			for _, id := range []protocol.InstanceID{"b1", "c1"} {
-				j := w.journal(id)
-				org := protocol.Organisation{ID: w.org, Rate: 36, Burst: 36}
+				j := m.journal(id)
+				org := protocol.Organisation{ID: m.org, Rate: 36, Burst: 36}
 				j.submit(protocol.Record{FleetChange: &protocol.FleetChange{
-					BasedOn: w.journal("b1").Fleet().Version - 1, ChangeID: "race-" + string(id),
+					BasedOn: m.journal("b1").Fleet().Version - 1, ChangeID: "race-" + string(id),
 					Set: []protocol.FleetObject{{Organisation: &org}},
 				}})
 			}
-			w.configure("b1", nil, protocol.Organisation{ID: w.org, Rate: 40, Burst: 40})
-			pass(outage)
+			m.configure("b1", nil, protocol.Organisation{ID: m.org, Rate: 40, Burst: 40})
+			sleep(outage)
 		}},
 }
 
-// arm makes the fault strike when a1 reaches the step.
-func (w *cellWorld) arm(s cellStep, f cellFault) {
-	if f.strike == nil {
+// arm installs the fault so that it occurs when a1 reaches the step.
+func (m *matrixFleet) arm(s matrixStep, f matrixFault) {
+	if f.inject == nil {
 		return
 	}
-	w.net.mu.Lock()
-	w.net.intercept = func(ctx context.Context, by protocol.InstanceID, method string, deliver func() error) error {
-		if s.claim || method != s.method || by != "a1" || !w.first() {
+	m.net.mu.Lock()
+	m.net.intercept = func(ctx context.Context, by protocol.InstanceID, method string, deliver func() error) error {
+		if s.claim || method != s.method || by != "a1" || !m.firstTime() {
 			return deliver()
 		}
-		err := f.strike(w, deliver)
+		err := f.inject(m, deliver)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		return err
 	}
-	w.net.mu.Unlock()
-	w.log.mu.Lock()
-	w.log.intercept = func(by protocol.InstanceID, rec protocol.Record, forward func()) {
-		if !s.claim || rec.LeaseClaim == nil || by != "a1" || !w.first() {
+	m.net.mu.Unlock()
+	m.log.mu.Lock()
+	m.log.intercept = func(by protocol.InstanceID, rec protocol.Record, forward func()) {
+		if !s.claim || rec.LeaseClaim == nil || by != "a1" || !m.firstTime() {
 			forward()
 			return
 		}
-		_ = f.strike(w, func() error {
+		_ = f.inject(m, func() error {
 			forward()
 			return nil
 		})
 	}
-	w.log.mu.Unlock()
+	m.log.mu.Unlock()
 }
 
-func (w *cellWorld) requireWithinRate() {
-	w.t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	require.NoError(w.t, w.above)
+func (m *matrixFleet) requireWithinRate() {
+	m.t.Helper()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	require.NoError(m.t, m.violation)
 }
 
-// requireWhole checks that after all faults the slots have one holder each and
-// callers anywhere get the whole burst.
-func (w *cellWorld) requireWhole() {
-	w.t.Helper()
-	close(w.stop)
-	pass(40 * time.Second)
+// requireRecovered checks that after the faults each slot has one holder and
+// callers at another instance get the full burst.
+func (m *matrixFleet) requireRecovered() {
+	m.t.Helper()
+	close(m.stop)
+	sleep(40 * time.Second)
 	for _, domain := range []string{"a", "b", "c"} {
-		w.requireHeld(domain, SlotsPerDomain)
+		m.requireOneHolderEach(domain, SlotsPerDomain)
 	}
-	burst := w.journal("b1").Fleet().Organisations[w.org].Burst
-	require.InDelta(w.t, burst, w.admitted("b1", w.org, 100), 1)
+	burst := m.journal("b1").Fleet().Organisations[m.org].Burst
+	require.InDelta(m.t, burst, m.countAdmitted("b1", m.org, 100), 1)
 }
 
 func TestMatrixRates(t *testing.T) {
-	for _, s := range cellSteps {
-		for _, f := range cellFaults {
+	for _, s := range matrixSteps {
+		for _, f := range matrixFaults {
 			t.Run(s.name+"/"+f.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { runCell(t, s, f) })
 			})
@@ -357,50 +366,50 @@
 	}
 }
 
-func runCell(t *testing.T, s cellStep, f cellFault) {
+func runCell(t *testing.T, s matrixStep, f matrixFault) {
 	t.Helper()
-	w := newCellWorld(t)
-	pass(time.Second)
-	w.arm(s, f)
-	if f.around != nil {
-		go s.act(w)
-		f.around(w)
+	m := newMatrixFleet(t)
+	sleep(time.Second)
+	m.arm(s, f)
+	if f.background != nil {
+		go s.trigger(m)
+		f.background(m)
 	} else {
-		s.act(w)
+		s.trigger(m)
 	}
-	pass(outage + 5*time.Second)
-	w.expireDead()
-	pass(5 * time.Second)
-	w.requireWithinRate()
-	if f.strike != nil {
-		w.mu.Lock()
-		struck := w.struck
-		w.mu.Unlock()
-		require.True(t, struck, "the fault never struck")
+	sleep(outage + 5*time.Second)
+	m.expirePaused()
+	sleep(5 * time.Second)
+	m.requireWithinRate()
+	if f.inject != nil {
+		m.mu.Lock()
+		injected := m.injected
+		m.mu.Unlock()
+		require.True(t, injected, "the fault was never injected")
 	}
-	w.requireWhole()
-	w.requireWithinRate()
-	t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, f.name, f.story)
+	m.requireRecovered()
+	m.requireWithinRate()
+	t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, f.name, f.description)
 }
 
-// A defect lets mates claim the slots of an expired session at once, while its
-// holder still goes on by their promises. If the cells did not turn red for it,
-// they would prove nothing.
-func TestMatrixSeesSlotsReassignedEarly(t *testing.T) {
+// Verifies that the matrix detects a defect: peers claim the slots of an
+// expired session immediately, while its holder still uses them on their
+// promises. If no test failed because of it, the matrix would prove nothing.
+func TestMatrixDetectsEarlyReassignment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCellWorld(t)
-		w.loseLog("a1")
-		session := w.journal("a1").Session()
-		pass(expireTime)
-		for _, l := range w.all {
+		m := newMatrixFleet(t)
+		m.isolateFromLog("a1")
+		session := m.journal("a1").Session()
+		sleep(expireTime)
+		for _, l := range m.all {
 			l.mu.Lock()
-			l.claims.Gone(session)
+			l.claims.MarkRelinquished(session)
 			l.mu.Unlock()
 		}
-		pass(outage)
-		close(w.stop)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		require.Error(t, w.above)
+		sleep(outage)
+		close(m.stop)
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		require.Error(t, m.violation)
 	})
 }
--- a/internal/coordination/limiter/oracle_test.go
+++ b/internal/coordination/limiter/oracle_test.go
@@ -13,7 +13,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// oracle is one exact token bucket over the whole fleet.
+// oracle is one exact token bucket for the whole fleet.
 type oracle struct {
 	rate, burst, level float64
 	at                 time.Time
@@ -23,336 +23,340 @@
 	o.level = min(o.burst, o.level+o.rate*now.Sub(o.at).Seconds()) - tokens
 	o.at = now
 	if o.level < -1e-6 {
-		return fmt.Errorf("%.3f tokens above rate %v and burst %v", -o.level, o.rate, o.burst)
+		return fmt.Errorf("admitted %.3f tokens more than rate %v and burst %v allow", -o.level, o.rate, o.burst)
 	}
 	return nil
 }
 
-// defect is a deliberate fault in the decisions.
+// defect is a deliberate fault in the limiter's decisions.
 type defect int
 
 const (
-	sound defect = iota
-	takeWithoutDebit
+	noDefect defect = iota
+	takeNotDebited
 	slotStartsFull
 	slotReassignedEarly
-	lentTokensForgotten
-	lifeCountedFromAnswer
-	growthNotHeldBack
+	outstandingIgnored
+	lifetimeFromReply
+	growthNotDelayed
 )
 
-// message is a Take on its way, or its answer on the way back.
+// message is a Take call in flight, or its reply.
 type message struct {
 	at    time.Time
 	from  int
 	to    int
-	ask   *TakeCall
+	call  *TakeCall
 	reply *TakeReply
 }
 
-// trial is a fleet of cores with a lossy net, drifting clocks, slots that change
-// hands and configurations that travel at random speed.
-type trial struct {
-	random *rand.Rand
-	defect defect
-	now    time.Time
-	cores  []*Core
-	drift  []float64
-	net    []message
-	shares map[protocol.Domain]protocol.DomainShare
-	// changing says that configurations change in this trial.
-	changing bool
-	// holder is who uses a slot, and until when.
+// simulation is a fleet of cores with an unreliable network, drifting clocks,
+// slots that change hands and configurations that arrive with random delays.
+type simulation struct {
+	random   *rand.Rand
+	defect   defect
+	now      time.Time
+	cores    []*Core
+	drift    []float64
+	inFlight []message
+	shares   map[protocol.Domain]protocol.DomainShare
+	// configChanges is true if the configuration changes in this simulation.
+	configChanges bool
+	// holder is the index of the core that holds a slot.
 	holder map[SlotKey]int
 	fence  protocol.Offset
 	fleets []*protocol.Fleet
-	// follows is the index of the configuration that a core follows.
-	follows []int
+	// applied is the index of the configuration that each core has applied.
+	applied []int
 	oracle  oracle
 	failure error
 }
 
 const (
-	trialInstances = 6
-	trialSteps     = 300
-	// defectSteps are more: some defects show in rare moments only.
+	simInstances = 6
+	simSteps     = 300
+	// defectSteps is larger than simSteps, because some defects only have an
+	// effect in rare situations.
 	defectSteps = 900
 )
 
-func newTrial(seed uint64, d defect) *trial {
-	t := &trial{
+func newSimulation(seed uint64, d defect) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 1)), defect: d, now: epoch,
-		shares: domains("a", "b", "c"), holder: map[SlotKey]int{},
-		follows: make([]int, trialInstances),
+		shares: equalShares("a", "b", "c"), holder: map[SlotKey]int{},
+		applied: make([]int, simInstances),
 	}
-	t.changing = t.random.IntN(2) == 0
+	s.configChanges = s.random.IntN(2) == 0
 	settings := Defaults()
-	for i := range trialInstances {
+	for i := range simInstances {
 		domain := protocol.Domain('a' + rune(i%3))
-		t.cores = append(t.cores, NewCore(protocol.InstanceID(fmt.Sprint(i)), domain, settings))
-		t.drift = append(t.drift, 1+settings.ClockDrift*(t.random.Float64()-0.5))
+		s.cores = append(s.cores, NewCore(protocol.InstanceID(fmt.Sprint(i)), domain, settings))
+		s.drift = append(s.drift, 1+settings.ClockDrift*(s.random.Float64()-0.5))
 	}
-	org := protocol.Organisation{ID: "o", Rate: 1 + 40*t.random.Float64(), Burst: 1 + 40*t.random.Float64()}
-	t.publish(org)
-	for i := range t.cores {
-		t.follow(i)
+	org := protocol.Organisation{ID: "o", Rate: 1 + 40*s.random.Float64(), Burst: 1 + 40*s.random.Float64()}
+	s.publish(org)
+	for i := range s.cores {
+		s.applyNext(i)
 	}
-	t.settle()
-	t.oracle.level = org.Burst
+	s.confirmRollout()
+	s.oracle.level = org.Burst
 	for slot := range SlotsPerDomain {
 		for d := range 3 {
-			t.assign(SlotKey{Domain: protocol.Domain('a' + rune(d)), Slot: slot}, d+3*(slot%2))
+			s.assign(SlotKey{Domain: protocol.Domain('a' + rune(d)), Slot: slot}, d+3*(slot%2))
 		}
 	}
-	return t
+	return s
 }
 
-// clock is a core's own clock: it runs faster or slower, from another start.
-func (t *trial) clock(i int) time.Time {
-	elapsed := float64(t.now.Sub(epoch)) * t.drift[i]
+// clock returns a core's own clock, which has its own rate and starting point.
+func (s *simulation) clock(i int) time.Time {
+	elapsed := float64(s.now.Sub(epoch)) * s.drift[i]
 	return epoch.Add(time.Duration(i)*time.Hour + time.Duration(elapsed))
 }
 
-func (t *trial) publish(org protocol.Organisation) {
+func (s *simulation) publish(org protocol.Organisation) {
 	fleet := &protocol.Fleet{
-		Version:       protocol.Offset(len(t.fleets)),
+		Version:       protocol.Offset(len(s.fleets)),
 		Organisations: map[protocol.OrganisationID]protocol.Organisation{org.ID: org},
-		Domains:       t.shares,
+		Domains:       s.shares,
 	}
-	t.fleets = append(t.fleets, fleet)
-	t.loosen()
+	s.fleets = append(s.fleets, fleet)
+	s.updateOracle()
 }
 
-func (t *trial) follow(i int) {
-	if t.follows[i]+1 < len(t.fleets) {
-		t.follows[i]++
+func (s *simulation) applyNext(i int) {
+	if s.applied[i]+1 < len(s.fleets) {
+		s.applied[i]++
 	}
-	t.cores[i].Configure(t.clock(i), t.fleets[t.follows[i]], true)
-	if t.defect == growthNotHeldBack {
-		t.cores[i].generations.past = nil
+	s.cores[i].Configure(s.clock(i), s.fleets[s.applied[i]], true)
+	if s.defect == growthNotDelayed {
+		s.cores[i].rollout.superseded = nil
 	}
 }
 
-// loosen sets the oracle to the largest of the configurations in use.
-func (t *trial) loosen() {
-	first := slices.Min(t.follows)
-	t.oracle.level = min(t.oracle.burst, t.oracle.level+t.oracle.rate*t.now.Sub(t.oracle.at).Seconds())
-	t.oracle.at = t.now
-	t.oracle.rate, t.oracle.burst = 0, 0
-	for _, fleet := range t.fleets[first:] {
-		t.oracle.rate = max(t.oracle.rate, fleet.Organisations["o"].Rate)
-		t.oracle.burst = max(t.oracle.burst, fleet.Organisations["o"].Burst)
+// updateOracle sets the oracle to the largest rate and burst of the
+// configurations in use.
+func (s *simulation) updateOracle() {
+	first := slices.Min(s.applied)
+	s.oracle.level = min(s.oracle.burst, s.oracle.level+s.oracle.rate*s.now.Sub(s.oracle.at).Seconds())
+	s.oracle.at = s.now
+	s.oracle.rate, s.oracle.burst = 0, 0
+	for _, fleet := range s.fleets[first:] {
+		s.oracle.rate = max(s.oracle.rate, fleet.Organisations["o"].Rate)
+		s.oracle.burst = max(s.oracle.burst, fleet.Organisations["o"].Burst)
 	}
 }
 
-// settle tells every core what all of them follow, and drops the older
-// configurations from the oracle once what was lent under them has ended.
-func (t *trial) settle() {
-	all := t.fleets[slices.Min(t.follows)].Version
-	for i, core := range t.cores {
-		core.Settle(t.clock(i), all)
+// confirmRollout tells every core the lowest version that all of them have
+// applied. It removes older configurations from the oracle once the tokens
+// granted under them have expired.
+func (s *simulation) confirmRollout() {
+	all := s.fleets[slices.Min(s.applied)].Version
+	for i, core := range s.cores {
+		core.ConfirmVersion(s.clock(i), all)
 	}
-	t.advance(300 * time.Millisecond)
-	t.loosen()
+	s.advance(300 * time.Millisecond)
+	s.updateOracle()
 }
 
-func (t *trial) assign(key SlotKey, to int) {
-	t.fence++
-	t.holder[key] = to
-	core := t.cores[to]
-	core.SetUsableUntil(t.clock(to).Add(24 * time.Hour))
-	core.AddSlot(t.clock(to), key, t.fence)
-	if t.defect == slotStartsFull {
-		core.held[key] = tenure{fence: t.fence, from: t.clock(to).Add(-time.Hour)}
+func (s *simulation) assign(key SlotKey, to int) {
+	s.fence++
+	s.holder[key] = to
+	core := s.cores[to]
+	core.SetUsableUntil(s.clock(to).Add(24 * time.Hour))
+	core.AddSlot(s.clock(to), key, s.fence)
+	if s.defect == slotStartsFull {
+		core.held[key] = heldSlot{fence: s.fence, fillsFrom: s.clock(to).Add(-time.Hour)}
 	}
-	for _, c := range t.cores {
+	for _, c := range s.cores {
 		c.holders[key] = core.self
 	}
 }
 
 // reassign moves a slot to the other instance of its domain.
-func (t *trial) reassign() {
-	parts := Divide(t.fleets[len(t.fleets)-1].Organisations["o"], t.shares)
-	key := parts[t.random.IntN(len(parts))].Key
-	old := t.holder[key]
-	if t.defect != slotReassignedEarly {
-		t.cores[old].RemoveSlot(key)
+func (s *simulation) reassign() {
+	quotas := Divide(s.fleets[len(s.fleets)-1].Organisations["o"], s.shares)
+	key := quotas[s.random.IntN(len(quotas))].Key
+	old := s.holder[key]
+	if s.defect != slotReassignedEarly {
+		s.cores[old].RemoveSlot(key)
 	}
-	t.assign(key, (old+3)%trialInstances)
+	s.assign(key, (old+3)%simInstances)
 }
 
-func (t *trial) advance(d time.Duration) {
-	until := t.now.Add(d)
+func (s *simulation) advance(d time.Duration) {
+	until := s.now.Add(d)
 	for {
 		next := -1
-		for i := range t.net {
-			if !t.net[i].at.After(until) && (next < 0 || t.net[i].at.Before(t.net[next].at)) {
+		for i := range s.inFlight {
+			if !s.inFlight[i].at.After(until) && (next < 0 || s.inFlight[i].at.Before(s.inFlight[next].at)) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		m := t.net[next]
-		t.net = slices.Delete(t.net, next, next+1)
-		t.now = m.at
-		t.deliver(m)
+		m := s.inFlight[next]
+		s.inFlight = slices.Delete(s.inFlight, next, next+1)
+		s.now = m.at
+		s.deliver(m)
 	}
-	t.now = until
+	s.now = until
 }
 
-// send gives a message to the net, which delays it, and may lose or double it.
-func (t *trial) send(m message) {
+// send puts a message on the network, which delays it and may lose or duplicate
+// it.
+func (s *simulation) send(m message) {
 	copies := 1
-	switch t.random.IntN(12) {
+	switch s.random.IntN(12) {
 	case 0:
 		copies = 0
 	case 1:
 		copies = 2
 	}
 	for range copies {
-		m.at = t.now.Add(time.Duration(t.random.ExpFloat64() * float64(5*time.Millisecond)))
-		if t.random.IntN(10) == 0 {
-			m.at = m.at.Add(time.Duration(t.random.IntN(400)) * time.Millisecond)
+		m.at = s.now.Add(time.Duration(s.random.ExpFloat64() * float64(5*time.Millisecond)))
+		if s.random.IntN(10) == 0 {
+			m.at = m.at.Add(time.Duration(s.random.IntN(400)) * time.Millisecond)
 		}
-		t.net = append(t.net, m)
+		s.inFlight = append(s.inFlight, m)
 	}
 }
 
-func (t *trial) deliver(m message) {
+func (s *simulation) deliver(m message) {
 	if m.reply == nil {
-		reply := t.take(m)
-		t.send(message{from: m.to, to: m.from, ask: m.ask, reply: &reply})
+		reply := s.take(m)
+		s.send(message{from: m.to, to: m.from, call: m.call, reply: &reply})
 		return
 	}
-	if m.ask == nil {
+	if m.call == nil {
 		return
 	}
-	ask := *m.ask
-	if t.defect == lifeCountedFromAnswer {
-		ask.Sent = t.clock(m.to)
+	call := *m.call
+	if s.defect == lifetimeFromReply {
+		call.Sent = s.clock(m.to)
 	}
-	// A real exchange hands an answer over once.
-	if m.ask.Holder == "" {
+	// A net/rpc call returns its reply only once.
+	if m.call.Holder == "" {
 		return
 	}
-	m.ask.Holder = ""
-	t.cores[m.to].HandleReply(t.clock(m.to), &ask, *m.reply, false)
-	t.request(m.to, 1)
+	m.call.Holder = ""
+	s.cores[m.to].HandleReply(s.clock(m.to), &call, *m.reply, false)
+	s.request(m.to, 1)
 }
 
-func (t *trial) take(m message) TakeReply {
-	core := t.cores[m.to]
-	reply := core.Take(t.clock(m.to), m.ask.Args)
+func (s *simulation) take(m message) TakeReply {
+	core := s.cores[m.to]
+	reply := core.Take(s.clock(m.to), m.call.Args)
 	a, ok := core.accounts["o"]
 	if !ok {
 		return reply
 	}
-	for i := range a.sources {
-		b := a.sources[i].bucket
-		if b == nil || a.sources[i].part.Key != m.ask.Args.Slot {
+	for i := range a.slots {
+		b := a.slots[i].bucket
+		if b == nil || a.slots[i].quota.Key != m.call.Args.Slot {
 			continue
 		}
-		switch t.defect {
-		case takeWithoutDebit:
+		switch s.defect {
+		case takeNotDebited:
 			b.tokens += reply.Now + reply.Ahead
-		case lentTokensForgotten:
-			b.out, b.outSum = nil, 0
+		case outstandingIgnored:
+			b.outstanding, b.outstandingSum = nil, 0
 		}
 	}
 	return reply
 }
 
-func (t *trial) request(i int, tokens float64) {
+func (s *simulation) request(i int, tokens float64) {
 	r := &Request{Organisation: "o", Tokens: tokens}
-	verdict := t.cores[i].Decide(t.clock(i), r)
-	if verdict.Granted && t.failure == nil {
-		t.failure = t.oracle.admit(t.now, tokens)
+	decision := s.cores[i].Decide(s.clock(i), r)
+	if decision.Granted && s.failure == nil {
+		s.failure = s.oracle.admit(s.now, tokens)
 	}
-	for _, ask := range append(verdict.Returns, verdict.Call, verdict.Prefetch) {
-		if ask == nil {
+	for _, call := range append(decision.Returns, decision.Call, decision.Prefetch) {
+		if call == nil {
 			continue
 		}
-		to := slices.IndexFunc(t.cores, func(c *Core) bool { return c.self == ask.Holder })
-		t.send(message{from: i, to: to, ask: ask})
+		to := slices.IndexFunc(s.cores, func(c *Core) bool { return c.self == call.Holder })
+		s.send(message{from: i, to: to, call: call})
 	}
 }
 
-func (t *trial) step() {
-	switch n := t.random.IntN(1000); {
+func (s *simulation) step() {
+	switch n := s.random.IntN(1000); {
 	case n < 800:
-		t.advance(time.Duration(t.random.ExpFloat64() * float64(15*time.Millisecond)))
-		t.request(t.random.IntN(trialInstances), 1)
+		s.advance(time.Duration(s.random.ExpFloat64() * float64(15*time.Millisecond)))
+		s.request(s.random.IntN(simInstances), 1)
 	case n < 900:
-		for range t.random.IntN(30) {
-			t.request(t.random.IntN(trialInstances), 1)
+		for range s.random.IntN(30) {
+			s.request(s.random.IntN(simInstances), 1)
 		}
 	case n < 970:
-		t.advance(time.Duration(t.random.IntN(2000)) * time.Millisecond)
+		s.advance(time.Duration(s.random.IntN(2000)) * time.Millisecond)
 	case n < 985:
-		t.reassign()
+		s.reassign()
 	case n < 988:
-		if t.changing {
-			t.change()
+		if s.configChanges {
+			s.change()
 		}
 	case n < 992:
-		t.follow(t.random.IntN(trialInstances))
+		s.applyNext(s.random.IntN(simInstances))
 	case n < 993:
-		t.settle()
+		s.confirmRollout()
 	default:
-		t.squeeze()
+		s.drainAll()
 	}
 }
 
 // change publishes another rate or other shares.
-func (t *trial) change() {
-	org := t.fleets[len(t.fleets)-1].Organisations["o"]
-	if t.random.IntN(3) == 0 {
-		org.Rate, org.Burst = 1+40*t.random.Float64(), 1+40*t.random.Float64()
+func (s *simulation) change() {
+	org := s.fleets[len(s.fleets)-1].Organisations["o"]
+	if s.random.IntN(3) == 0 {
+		org.Rate, org.Burst = 1+40*s.random.Float64(), 1+40*s.random.Float64()
 	}
-	t.shares = domains("a", "b", "c")
-	for name, share := range t.shares {
-		share.Share = float64(1 + t.random.IntN(4))
-		t.shares[name] = share
+	s.shares = equalShares("a", "b", "c")
+	for name, share := range s.shares {
+		share.Share = float64(1 + s.random.IntN(4))
+		s.shares[name] = share
 	}
-	t.publish(org)
-	for i := range t.cores {
-		if t.random.IntN(2) == 0 {
-			t.follow(i)
+	s.publish(org)
+	for i := range s.cores {
+		if s.random.IntN(2) == 0 {
+			s.applyNext(i)
 		}
 	}
-	t.squeeze()
+	s.drainAll()
 }
 
-// squeeze lets the buckets fill and then takes all there is, everywhere.
-func (t *trial) squeeze() {
-	t.advance(time.Duration(t.random.IntN(10)) * time.Second)
+// drainAll lets the buckets fill and then takes all tokens at all instances.
+func (s *simulation) drainAll() {
+	s.advance(time.Duration(s.random.IntN(10)) * time.Second)
 	for range 150 {
-		for i := range t.cores {
-			t.request(i, 1)
+		for i := range s.cores {
+			s.request(i, 1)
 		}
-		t.advance(2 * time.Millisecond)
+		s.advance(2 * time.Millisecond)
 	}
 }
 
-func runTrial(seed uint64, d defect, steps int) error {
-	t := newTrial(seed, d)
+func runSimulation(seed uint64, d defect, steps int) error {
+	s := newSimulation(seed, d)
 	for range steps {
-		if t.step(); t.failure != nil {
-			return fmt.Errorf("seed %d: %w", seed, t.failure)
+		if s.step(); s.failure != nil {
+			return fmt.Errorf("seed %d: %w", seed, s.failure)
 		}
 	}
 	return nil
 }
 
-// Messages between instances get lost, doubled and late, clocks drift, slots
-// change hands and rates change while tokens are out. Whatever happens, the
-// fleet must never let through more than one token bucket would, or a user pays
-// for capacity that another organisation takes.
+// Messages between instances are lost, duplicated and delayed, clocks drift,
+// slots change hands and rates change while grants are outstanding. The fleet
+// must never admit more than one exact token bucket would: otherwise an
+// organisation uses capacity that another one pays for.
 func TestFleetNeverAdmitsAboveRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		if err := runTrial(seed, sound, trialSteps); err != nil {
+		if err := runSimulation(seed, noDefect, simSteps); err != nil {
 			rt.Fatal(err)
 		}
 	})
@@ -360,21 +364,21 @@
 
 func TestOracleFindsDefects(t *testing.T) {
 	for name, d := range map[string]defect{
-		"take without debit":       takeWithoutDebit,
-		"slot starts full":         slotStartsFull,
-		"slot reassigned early":    slotReassignedEarly,
-		"lent tokens forgotten":    lentTokensForgotten,
-		"life counted from answer": lifeCountedFromAnswer,
-		"growth not held back":     growthNotHeldBack,
+		"take not debited":      takeNotDebited,
+		"slot starts full":      slotStartsFull,
+		"slot reassigned early": slotReassignedEarly,
+		"outstanding ignored":   outstandingIgnored,
+		"lifetime from reply":   lifetimeFromReply,
+		"growth not delayed":    growthNotDelayed,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(100) {
-				if err := runTrial(seed, d, defectSteps); err != nil {
+				if err := runSimulation(seed, d, defectSteps); err != nil {
 					t.Log(err)
 					return
 				}
 			}
-			require.Fail(t, "the oracle did not notice")
+			require.Fail(t, "the oracle did not detect the defect")
 		})
 	}
 }
--- a/internal/coordination/limiter/pairs_test.go
+++ b/internal/coordination/limiter/pairs_test.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// pairs is the number of seeded pairs of faults.
-const pairs = 12
+// pairCount is the number of pairs of faults, which are chosen with a fixed
+// seed.
+const pairCount = 12
 
-// TestMatrixRatePairs lets a fault strike a1 at a step while another goes on
-// around the whole fleet.
+// TestMatrixRatePairs injects a fault at a step of a1 while another fault
+// affects the whole fleet.
 func TestMatrixRatePairs(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
-	var strikes, arounds []cellFault
-	for _, f := range cellFaults {
-		if f.strike != nil {
-			strikes = append(strikes, f)
+	var injected, background []matrixFault
+	for _, f := range matrixFaults {
+		if f.inject != nil {
+			injected = append(injected, f)
 		} else if f.name != "operators-racing" {
-			arounds = append(arounds, f)
+			background = append(background, f)
 		}
 	}
-	for range pairs {
-		s := cellSteps[random.IntN(len(cellSteps))]
-		one := strikes[random.IntN(len(strikes))]
-		other := arounds[random.IntN(len(arounds))]
+	for range pairCount {
+		s := matrixSteps[random.IntN(len(matrixSteps))]
+		one := injected[random.IntN(len(injected))]
+		other := background[random.IntN(len(background))]
 		name := one.name + "+" + other.name
 		t.Run(s.name+"/"+name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { runPair(t, s, one, other) })
-			t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, name, one.story+" "+other.story)
+			t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, name, one.description+" "+other.description)
 		})
 	}
 }
 
-func runPair(t *testing.T, s cellStep, one, other cellFault) {
+func runPair(t *testing.T, s matrixStep, one, other matrixFault) {
 	t.Helper()
-	w := newCellWorld(t)
-	pass(time.Second)
-	w.arm(s, one)
-	go s.act(w)
-	other.around(w)
-	pass(2 * outage)
-	w.expireDead()
-	pass(5 * time.Second)
-	w.requireWithinRate()
-	w.requireWhole()
-	w.requireWithinRate()
+	m := newMatrixFleet(t)
+	sleep(time.Second)
+	m.arm(s, one)
+	go s.trigger(m)
+	other.background(m)
+	sleep(2 * outage)
+	m.expirePaused()
+	sleep(5 * time.Second)
+	m.requireWithinRate()
+	m.requireRecovered()
+	m.requireWithinRate()
 }
--- a/internal/coordination/limiter/promises.go
+++ b/internal/coordination/limiter/promises.go
@@ -6,18 +6,20 @@
 	"merlintiller/internal/protocol"
 )
 
-// PromiseArgs asks a mate not to claim the slots of a session for a while.
+// PromiseArgs asks a peer to promise not to claim the slots of a session for
+// PromiseDuration.
 type PromiseArgs struct {
 	Session protocol.SessionID
 }
 
-// PromiseReply is the mate's answer.
+// PromiseReply is the reply to PromiseArgs.
 type PromiseReply struct {
-	// Given: the mate claims none of the session's slots for the promise time,
-	// counted by the asker from the moment it sent the request.
+	// Given is true if the peer promises not to claim any of the session's
+	// slots. The caller counts PromiseDuration from the time at which it sent
+	// the request.
 	Given bool
 	// Address is the peer address of the process that answers. A process with
-	// the mate's id at another address does not speak for the mate.
+	// the peer's id at another address cannot promise for the peer.
 	Address string
 }
 
@@ -26,160 +28,170 @@
 	Session protocol.SessionID
 }
 
-// GoneReply is its answer. The process at the instance's address is the only
-// one that can have held slots as that instance, so its word is final.
+// GoneReply is the reply to GoneArgs. Only the process at the instance's
+// address can have held slots as that instance, so its reply is authoritative.
 type GoneReply struct {
+	// Gone is true if the process no longer uses any slot of the session.
 	Gone bool
 	// Address is the peer address of the process that answers.
 	Address string
 }
 
-// promises are this instance's own promises not to claim.
-type promises struct {
-	life time.Duration
-	// memory is how long a refusal is remembered: until no holder may go on by
+// givenPromises records the promises that this instance gave to holders not to
+// claim their slots.
+type givenPromises struct {
+	duration time.Duration
+	// retention is how long a refusal is kept: until no holder can continue on
 	// promises any more.
-	memory time.Duration
-	until  map[protocol.SessionID]time.Time
-	// refused are the sessions whose end this instance has acted upon, with
-	// the time of it. It promises them nothing any more and waits out what it
-	// promised before. A refusal outlives the claim of the session's last slot:
-	// the old holder may ask again, and a promise would let it go on beside the
-	// new one.
+	retention time.Duration
+	until     map[protocol.SessionID]time.Time
+	// refused holds the sessions whose expiry this instance has acted upon,
+	// with the time at which it first did. It gives them no more promises, and
+	// waits until earlier promises have expired before it claims. A refusal is
+	// kept after the session's last slot was claimed: the old holder may ask
+	// again, and with a new promise it would use the slots at the same time as
+	// the new holder.
 	refused map[protocol.SessionID]time.Time
 }
 
-func newPromises(life, memory time.Duration) *promises {
-	return &promises{
-		life:    life,
-		memory:  memory,
-		until:   map[protocol.SessionID]time.Time{},
-		refused: map[protocol.SessionID]time.Time{},
+func newGivenPromises(duration, retention time.Duration) *givenPromises {
+	return &givenPromises{
+		duration:  duration,
+		retention: retention,
+		until:     map[protocol.SessionID]time.Time{},
+		refused:   map[protocol.SessionID]time.Time{},
 	}
 }
 
-// promise answers a holder.
-func (p *promises) promise(now time.Time, session protocol.SessionID) bool {
+// give answers a holder's request for a promise.
+func (p *givenPromises) give(now time.Time, session protocol.SessionID) bool {
 	if _, ok := p.refused[session]; ok {
 		return false
 	}
-	p.until[session] = now.Add(p.life)
+	p.until[session] = now.Add(p.duration)
 	return true
 }
 
-// refuse makes no more promises to a session, and reports whether all that were
-// made have run out.
-func (p *promises) refuse(now time.Time, session protocol.SessionID) bool {
+// refuse stops giving promises to a session, and reports whether all earlier
+// ones have expired.
+func (p *givenPromises) refuse(now time.Time, session protocol.SessionID) bool {
 	if _, ok := p.refused[session]; !ok {
 		p.refused[session] = now
 	}
 	return !now.Before(p.until[session])
 }
 
-// forget drops what can't matter any more.
-func (p *promises) forget(now time.Time) {
+// prune removes expired promises and refusals older than the retention.
+func (p *givenPromises) prune(now time.Time) {
 	for session, until := range p.until {
 		if now.After(until) {
 			delete(p.until, session)
 		}
 	}
 	for session, at := range p.refused {
-		if now.Sub(at) > p.memory {
+		if now.Sub(at) > p.retention {
 			delete(p.refused, session)
 		}
 	}
 }
 
-// extension is the holder's side: how long its slots may be used although its
-// session could not be renewed.
+// extension is the holder's side of promises. It decides how long the holder
+// may use its slots although it could not renew its session.
 //
-// The argument: a slot has one user at a time. While the session may hold, no
-// other instance can have read that it expired. After that only instances of
-// the slot's failure domain claim it (Claims), and each is of one of two kinds.
-// Either its session opened before a record that the holder has surely read
-// back: then it is in the holder's electorate, the holder needs its promise,
-// and it claims only after it has refused and waited out every promise. Or it
-// is not: then it claims only on the word of the process at the holder's
-// address that the session is gone, or when the grace has passed since it read
-// that the session expired. The holder stops a grace after its session could
-// last hold, which is earlier, for nobody reads an expiry before.
+// A slot has only one user at a time, for the following reasons. While the
+// holder's session may be valid, no other instance can have read that it
+// expired. After that, only instances of the slot's failure domain claim the
+// slot (ClaimPolicy). There are two cases:
 //
-// An extension that ran out once stays over until the session holds by itself
-// again: a mate that claimed may since have been replaced by a process that
-// knows nothing of it and would promise again.
+//   - The claiming instance opened its session before a record that the holder
+//     must have read back. Then it is one of the holder's required peers. The
+//     holder needs its promise, and it claims only after it has stopped giving
+//     promises and all earlier ones have expired.
+//   - Otherwise it claims only if the process at the holder's address confirms
+//     that it no longer uses the session's slots, or once the grace period has
+//     passed since it read that the session expired. The holder stops using its
+//     slots one grace period after its session was last valid. That is earlier,
+//     because no instance reads the expiry before that time.
+//
+// An extension that has lapsed remains lapsed until the session is valid again.
+// A peer that claimed slots may since have been replaced by a process that
+// knows nothing of the claim and would give a new promise.
 type extension struct {
 	settings Settings
 	session  protocol.SessionID
-	// heldAt is when the session could last hold by itself.
-	heldAt time.Time
-	// electorate are the mates whose promise is needed. It only grows until
-	// the session holds by itself again.
-	electorate map[mate]bool
-	// settled is the own renewal up to which the electorate is complete.
-	settled protocol.Offset
-	// promised is, for each mate, the time its promise ends.
-	promised map[mate]time.Time
-	lapsed   bool
-}
-
-// mate is an instance at an address.
-type mate struct {
+	// lastHeldAt is when the session was last valid by itself.
+	lastHeldAt time.Time
+	// requiredPeers are the peers whose promise is needed. Peers are only added
+	// to it until the session is valid again.
+	requiredPeers map[peer]bool
+	// coveredRenewal is the renewal of this session up to which requiredPeers
+	// is complete.
+	coveredRenewal protocol.Offset
+	// promisedUntil is when the promise of each peer expires.
+	promisedUntil map[peer]time.Time
+	lapsed        bool
+}
+
+// peer is an instance at an address. Another process of the same instance at
+// another address is a different peer.
+type peer struct {
 	instance protocol.InstanceID
 	address  string
 }
 
 func newExtension(settings Settings) *extension {
 	return &extension{
-		settings: settings,
-		promised: map[mate]time.Time{},
-		settled:  protocol.NoOffset,
-		lapsed:   true,
+		settings:       settings,
+		promisedUntil:  map[peer]time.Time{},
+		coveredRenewal: protocol.NoOffset,
+		lapsed:         true,
 	}
 }
 
-// renewed notes that the session holds by itself now.
-func (e *extension) renewed(now time.Time, session protocol.SessionID) {
+// reset records that the session is valid now, so that no promises are needed.
+func (e *extension) reset(now time.Time, session protocol.SessionID) {
 	if session != e.session {
-		clear(e.promised)
+		clear(e.promisedUntil)
 	}
 	e.session = session
-	e.heldAt = now
-	e.electorate = map[mate]bool{}
+	e.lastHeldAt = now
+	e.requiredPeers = map[peer]bool{}
 	e.lapsed = false
 }
 
-// seen adds the mates whose session opened before what this one has read back.
-// renewed is the own latest renewal in the same view.
-func (e *extension) seen(mates []Member, renewed, readBack protocol.Offset) {
-	e.settled = renewed
-	if e.electorate == nil {
+// addRequired adds the peers whose sessions opened before the record at
+// readBack, which this instance has read back. renewed is the session's latest
+// renewal in the same view.
+func (e *extension) addRequired(members []Member, renewed, readBack protocol.Offset) {
+	e.coveredRenewal = renewed
+	if e.requiredPeers == nil {
 		return
 	}
-	for _, m := range mates {
+	for _, m := range members {
 		if m.Session != e.session && m.Opened < readBack {
-			e.electorate[mate{instance: m.Instance, address: m.Address}] = true
+			e.requiredPeers[peer{instance: m.Instance, address: m.Address}] = true
 		}
 	}
 }
 
-// promise notes a mate's promise to a request that was sent at a time. holding
-// says that the session still holds by itself.
-func (e *extension) promise(now time.Time, from mate, sent time.Time, holding bool) {
-	if !holding && !now.Before(e.until(now)) {
+// recordPromise records a peer's promise to a request sent at the given time.
+// holding is true if the session is still valid.
+func (e *extension) recordPromise(now time.Time, from peer, sent time.Time, holding bool) {
+	if !holding && !now.Before(e.validUntil(now)) {
 		return
 	}
-	e.promised[from] = sent.Add(e.settings.shorter(e.settings.Promise))
+	e.promisedUntil[from] = sent.Add(e.settings.trimForDrift(e.settings.PromiseDuration))
 }
 
-// until is the time until which the slots may be used by promises alone. It is
-// zero if a promise is missing or ran out.
-func (e *extension) until(now time.Time) time.Time {
+// validUntil returns the time until which the slots may be used on promises
+// alone. It is zero if a promise is missing or has expired.
+func (e *extension) validUntil(now time.Time) time.Time {
 	if e.lapsed {
 		return time.Time{}
 	}
-	end := e.heldAt.Add(e.settings.shorter(e.settings.Grace))
-	for m := range e.electorate {
-		if promised := e.promised[m]; promised.Before(end) {
+	end := e.lastHeldAt.Add(e.settings.trimForDrift(e.settings.GracePeriod))
+	for p := range e.requiredPeers {
+		if promised := e.promisedUntil[p]; promised.Before(end) {
 			end = promised
 		}
 	}
--- a/internal/coordination/limiter/services.go
+++ b/internal/coordination/limiter/services.go
@@ -12,33 +12,36 @@
 )
 
 const (
-	// slotInterval is how often the slots are looked at besides every change.
-	slotInterval = 500 * time.Millisecond
-	// changeDebounce bounds how often changes make the slots be looked at.
+	// reconcileInterval is how long reconcileService waits for a change in the
+	// journal before it runs reconcile anyway. It is also the interval at which
+	// promiseService checks whether promises are needed.
+	reconcileInterval = 500 * time.Millisecond
+	// changeDebounce is the shortest time between two runs of reconcile.
 	changeDebounce = 200 * time.Millisecond
-	// submitTimeout bounds the wait for the fate of a claim. Its fate is seen
-	// in the replayed state anyway.
+	// submitTimeout limits the wait for the outcome of a claim. The outcome is
+	// also visible in the replayed state.
 	submitTimeout = 5 * time.Second
-	// promiseRefresh is the part of a promise's life after which it is asked
-	// for anew.
-	promiseRefresh = 4
+	// promiseRefreshDivisor determines when a promise is requested again: once
+	// 1/promiseRefreshDivisor of its duration has passed.
+	promiseRefreshDivisor = 4
 )
 
-// slotService follows what is agreed: configuration, holders, own slots.
-type slotService struct{ limiter *Limiter }
+// reconcileService applies the replayed state to the core: the configuration,
+// the holders and this instance's slots.
+type reconcileService struct{ limiter *Limiter }
 
-// String names the service for the supervisor.
-func (s *slotService) String() string { return "limiter-slots" }
+// String returns the name that the supervisor logs.
+func (s *reconcileService) String() string { return "limiter-slots" }
 
 // Serve implements suture.Service.
-func (s *slotService) Serve(ctx context.Context) error {
+func (s *reconcileService) Serve(ctx context.Context) error {
 	for {
 		changed := s.limiter.Journal.Changed()
-		s.limiter.look(time.Now())
+		s.limiter.reconcile(time.Now())
 		if !wait.For(ctx, changeDebounce) {
 			return ctx.Err()
 		}
-		timer := time.NewTimer(slotInterval)
+		timer := time.NewTimer(reconcileInterval)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -48,80 +51,83 @@
 	}
 }
 
-// look brings the core to what replay says now.
-func (l *Limiter) look(now time.Time) {
+// reconcile applies the current replayed state to the core and queues the
+// claims and releases that follow from it.
+func (l *Limiter) reconcile(now time.Time) {
 	session := l.Journal.Session()
 	mayHold := l.Journal.MayHold()
-	view := l.agreed.view(l.Journal.Fleet())
-	// Read after the view: whoever holds a slot follows at least the
-	// configuration that precedes its claim, which settling relies on.
+	view := l.state.view(l.Journal.Fleet())
+	// Read after the view, so that the configuration is not older than any
+	// claim in the view: checkRollout relies on every holder having applied at
+	// least the configuration that precedes its claim.
 	fleet := l.Journal.Fleet()
 
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.authorise(now)
-	l.core.Configure(now, fleet, l.agreed.direct(l.core.Version(), fleet.Version))
+	l.refreshUsableUntil(now)
+	l.core.Configure(now, fleet, l.state.consecutive(l.core.Version(), fleet.Version))
 	l.core.SetHolders(view.holders())
-	l.followSlots(now, session, view)
-	l.followRenewal(now, session, mayHold, view)
-	l.core.Tidy(now)
+	l.updateSlots(now, session, view)
+	l.updateExtension(now, session, mayHold, view)
+	l.core.EvictIdle(now)
 	if l.leaving {
 		return
 	}
-	for _, key := range l.core.GivenUp() {
-		l.offer(ClaimAction{Key: key, Release: true})
+	for _, key := range l.core.ClosedSlots() {
+		l.enqueue(ClaimAction{Key: key, Release: true})
 	}
-	for _, action := range l.claims.Step(now, session, view) {
-		l.offer(action)
+	for _, action := range l.claims.NextActions(now, session, view) {
+		l.enqueue(action)
 	}
 }
 
-// offer queues an action unless one for the slot waits already. The caller
-// holds the lock.
-func (l *Limiter) offer(action ClaimAction) {
-	if !l.pending[action.Key] {
-		l.pending[action.Key] = l.actions.Offer(action)
+// enqueue queues an action unless an action for the same slot is already
+// queued. The caller holds l.mu.
+func (l *Limiter) enqueue(action ClaimAction) {
+	if !l.pendingActions[action.Key] {
+		l.pendingActions[action.Key] = l.actions.Offer(action)
 	}
 }
 
-// followRenewal brings the extension to what replay says of the own session.
-func (l *Limiter) followRenewal(now time.Time, session protocol.SessionID, mayHold bool, view View) {
-	renewed := view.renewed(session)
-	if renewed != l.extension.settled {
+// updateExtension applies the replayed state of this instance's session to the
+// extension.
+func (l *Limiter) updateExtension(now time.Time, session protocol.SessionID, mayHold bool, view View) {
+	renewed := view.latestRenewal(session)
+	if renewed != l.extension.coveredRenewal {
 		l.renewedAt = now
 	}
 	if mayHold {
-		l.extension.renewed(now, session)
+		l.extension.reset(now, session)
 	}
 	if renewed != protocol.NoOffset {
-		l.extension.seen(view.mates(l.Domain), renewed, view.readBack(session))
+		l.extension.addRequired(view.membersIn(l.Domain), renewed, view.lastReadBack(session))
 	}
 }
 
-// followSlots takes up the slots that replay gives to the own session, and
-// drops all others.
-func (l *Limiter) followSlots(now time.Time, session protocol.SessionID, view View) {
+// updateSlots adds the slots that this instance's session holds in the replayed
+// state, and removes all others.
+func (l *Limiter) updateSlots(now time.Time, session protocol.SessionID, view View) {
 	if session != l.session {
-		l.core.DropAll()
+		l.core.RemoveAllSlots()
 		l.session = session
 	}
-	for key, h := range view.Holdings {
-		if session != 0 && h.Session == session && !h.Ended {
-			l.core.AddSlot(now, key, h.Fence)
+	for key, lease := range view.Leases {
+		if session != 0 && lease.Session == session && !lease.Ended {
+			l.core.AddSlot(now, key, lease.Fence)
 		} else {
 			l.core.RemoveSlot(key)
 		}
 	}
-	l.core.Keep(func(key SlotKey) bool {
-		h, ok := view.Holdings[key]
-		return ok && h.Session == session && !h.Ended
+	l.core.RetainSlots(func(key SlotKey) bool {
+		lease, ok := view.Leases[key]
+		return ok && lease.Session == session && !lease.Ended
 	})
 }
 
 // claimService submits claims and releases, one at a time.
 type claimService struct{ limiter *Limiter }
 
-// String names the service for the supervisor.
+// String returns the name that the supervisor logs.
 func (s *claimService) String() string { return "limiter-claims" }
 
 // Serve implements suture.Service.
@@ -131,19 +137,19 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		s.limiter.act(ctx, action)
+		s.limiter.perform(ctx, action)
 	}
 }
 
-func (l *Limiter) act(ctx context.Context, action ClaimAction) {
-	defer l.acted(action.Key)
+func (l *Limiter) perform(ctx context.Context, action ClaimAction) {
+	defer l.finishAction(action.Key)
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	switch {
 	case action.Release:
 		l.release(ctx, action.Key)
-	case action.AskGone != "":
-		l.askGone(ctx, action)
+	case action.ConfirmWith != "":
+		l.confirmRelinquished(ctx, action)
 	default:
 		l.submit(ctx, protocol.Record{LeaseClaim: &protocol.LeaseClaim{
 			Resource: action.Key.Resource(),
@@ -152,10 +158,10 @@
 	}
 }
 
-func (l *Limiter) acted(key SlotKey) {
+func (l *Limiter) finishAction(key SlotKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.pending, key)
+	delete(l.pendingActions, key)
 }
 
 func (l *Limiter) submit(ctx context.Context, rec protocol.Record) {
@@ -169,16 +175,17 @@
 	}
 }
 
-// release gives a slot up and hands its tokens over. The core stops using it
-// before the record is sent: whoever reads the record may claim at once.
+// release hands over a slot's tokens and releases its lease. The core stops
+// using the slot before the record is submitted, because any instance that
+// reads the record may claim the slot immediately.
 func (l *Limiter) release(ctx context.Context, key SlotKey) {
 	l.mu.Lock()
 	now := time.Now()
-	l.authorise(now)
-	balances, first := l.core.CloseSlot(now, key)
+	l.refreshUsableUntil(now)
+	balances, open := l.core.CloseSlot(now, key)
 	successor := l.claims.Successor(key)
 	l.mu.Unlock()
-	if first && successor != "" {
+	if open && successor != "" {
 		l.handOver(ctx, successor, &HandoverArgs{Slots: []SlotBalances{balances}})
 	}
 	l.submitRelease(ctx, key)
@@ -188,71 +195,73 @@
 	l.submit(ctx, protocol.Record{LeaseRelease: &protocol.LeaseRelease{Resource: key.Resource()}})
 }
 
-func (l *Limiter) askGone(ctx context.Context, action ClaimAction) {
+func (l *Limiter) confirmRelinquished(ctx context.Context, action ClaimAction) {
 	ctx, cancel := context.WithTimeout(ctx, l.Settings.ExchangeTimeout)
 	defer cancel()
 	var reply GoneReply
 	args := &GoneArgs{Session: action.Session}
-	err := l.Peers.Call(ctx, action.AskGone, ReceiverName+".Gone", args, &reply)
+	err := l.Peers.Call(ctx, action.ConfirmWith, ReceiverName+".Gone", args, &reply)
 	if err != nil || !reply.Gone || reply.Address != action.Address {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.claims.Gone(action.Session)
+	l.claims.MarkRelinquished(action.Session)
 }
 
-// promiseService asks the mates for promises while the session can't be
+// promiseService requests promises from peers while the session cannot be
 // renewed.
 type promiseService struct{ limiter *Limiter }
 
-// String names the service for the supervisor.
+// String returns the name that the supervisor logs.
 func (s *promiseService) String() string { return "limiter-promises" }
 
 // Serve implements suture.Service.
 func (s *promiseService) Serve(ctx context.Context) error {
-	for wait.For(ctx, slotInterval) {
-		s.limiter.askPromises(ctx)
+	for wait.For(ctx, reconcileInterval) {
+		s.limiter.requestPromises(ctx)
 	}
 	return ctx.Err()
 }
 
-func (l *Limiter) askPromises(ctx context.Context) {
+func (l *Limiter) requestPromises(ctx context.Context) {
 	session := l.Journal.Session()
-	if session == 0 || (l.Journal.LogUp() && !l.renewalLate(time.Now())) {
+	if session == 0 || (l.Journal.LogUp() && !l.renewalOverdue(time.Now())) {
 		return
 	}
-	// At once: a mate that does not answer must not use up the time in which
-	// the others could.
+	// The requests run in parallel, so that a peer that does not answer does
+	// not use up the time for the others.
 	var wait sync.WaitGroup
-	for _, m := range l.promisesWanted(time.Now()) {
-		wait.Go(func() { l.askPromise(ctx, session, m) })
+	for _, p := range l.expiringPromises(time.Now()) {
+		wait.Go(func() { l.requestPromise(ctx, session, p) })
 	}
 	wait.Wait()
 }
 
-// renewalLate reports whether the own session was not renewed for a while.
-func (l *Limiter) renewalLate(now time.Time) bool {
+// renewalOverdue reports whether the latest renewal of this instance's session
+// is older than MaxRenewalAge.
+func (l *Limiter) renewalOverdue(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.renewedAt) > l.Settings.MaxRenewalAge
 }
 
-// promisesWanted are the mates whose promise ends soon.
-func (l *Limiter) promisesWanted(now time.Time) []mate {
+// expiringPromises returns the required peers that have given no promise or
+// whose promise is due for a refresh.
+func (l *Limiter) expiringPromises(now time.Time) []peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	soon := now.Add(l.Settings.Promise - l.Settings.Promise/promiseRefresh)
-	var wanted []mate
-	for m := range l.extension.electorate {
-		if l.extension.promised[m].Before(soon) {
-			wanted = append(wanted, m)
+	refreshBefore := now.Add(l.Settings.PromiseDuration - l.Settings.PromiseDuration/promiseRefreshDivisor)
+	var expiring []peer
+	for p := range l.extension.requiredPeers {
+		if l.extension.promisedUntil[p].Before(refreshBefore) {
+			expiring = append(expiring, p)
 		}
 	}
-	return wanted
+	return expiring
 }
 
-func (l *Limiter) askPromise(ctx context.Context, session protocol.SessionID, from mate) {
+func (l *Limiter) requestPromise(ctx context.Context, session protocol.SessionID, from peer) {
 	ctx, cancel := context.WithTimeout(ctx, l.Settings.ExchangeTimeout)
 	defer cancel()
 	sent := time.Now()
@@ -264,23 +273,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.extension.session == session {
-		l.extension.promise(time.Now(), from, sent, l.Journal.MayHold())
+		l.extension.recordPromise(time.Now(), from, sent, l.Journal.MayHold())
 	}
 }
 
-// fetchService takes tokens ahead of need.
-type fetchService struct{ limiter *Limiter }
+// backgroundCallService sends the calls that no request waits for.
+type backgroundCallService struct{ limiter *Limiter }
 
-// String names the service for the supervisor.
-func (s *fetchService) String() string { return "limiter-fetch" }
+// String returns the name that the supervisor logs.
+func (s *backgroundCallService) String() string { return "limiter-fetch" }
 
 // Serve implements suture.Service.
-func (s *fetchService) Serve(ctx context.Context) error {
+func (s *backgroundCallService) Serve(ctx context.Context) error {
 	for {
-		ask, err := s.limiter.ahead.Take(ctx)
+		call, err := s.limiter.backgroundCalls.Take(ctx)
 		if err != nil {
 			return ctx.Err()
 		}
-		s.limiter.exchange(ctx, ask)
+		s.limiter.call(ctx, call)
 	}
 }
--- a/internal/coordination/limiter/settings.go
+++ b/internal/coordination/limiter/settings.go
@@ -2,96 +2,112 @@
 
 import "time"
 
-// SlotsPerDomain is the number of slots that a failure domain's part of the
-// rates is cut into. It is no setting: instances that counted differently would
-// hand out the same tokens twice. At 85 instances a domain each organisation
-// sits on at most MaxSlots of them, so a death costs a third of the part.
+// SlotsPerDomain is the number of slots in each failure domain. It is not a
+// setting, because instances with different values would grant the same tokens
+// twice. With 85 instances in a domain, each organisation's slots are on at
+// most MaxSlots instances, so the loss of one instance costs about a third of
+// the organisation's quota in that domain.
 const SlotsPerDomain = 32
 
-// MaxSlots bounds the slots one organisation uses in one failure domain. Like
-// SlotsPerDomain it must be equal everywhere.
+// MaxSlots is the largest number of slots that one organisation uses in a
+// failure domain. Like SlotsPerDomain, it must be equal on all instances.
 const MaxSlots = 3
 
-// MinSlotBurst is the least burst for which a domain's part is cut further.
-// Slots grant whole tokens, so a cut below it would strand most of the burst in
-// fractions. It must be equal everywhere.
+// MinSlotBurst is the smallest burst of a slot when a domain's burst is divided
+// among several slots. Grants are whole tokens, so with smaller slots most of
+// the burst would remain unused as fractions. It must be equal on all
+// instances.
 const MinSlotBurst = 4
 
-// Settings are the policy constants of the limiter.
+// Settings holds the policy constants of the limiter.
 type Settings struct {
-	// GrantLife is how long an instance may use tokens it took ahead of need.
-	// Longer means fewer exchanges and more tokens lying where nobody asks.
-	GrantLife time.Duration `yaml:"grant_life"`
-	// ExchangeTimeout bounds the exchanges of one decision, and the life of
-	// tokens taken for it. A few round trips inside a region fit well.
+	// GrantLifetime is how long an instance may use prefetched tokens. A longer
+	// lifetime needs fewer calls but leaves more tokens at instances that do
+	// not use them.
+	GrantLifetime time.Duration `yaml:"grant_life"`
+	// ExchangeTimeout limits the total time of the calls for one decision, and
+	// the lifetime of tokens taken for it. It should cover a few round trips
+	// inside a region.
 	ExchangeTimeout time.Duration `yaml:"exchange_timeout"`
-	// CallTimeout bounds one exchange, so that a holder that hangs leaves time
-	// to ask another one.
+	// CallTimeout limits one call, so that a holder that hangs leaves time to
+	// ask another one.
 	CallTimeout time.Duration `yaml:"ask_timeout"`
-	// Ahead is the time of forecast use that an instance takes ahead of need.
-	Ahead time.Duration `yaml:"ahead"`
-	// Asks bounds the exchanges of one decision: enough for the slots of the
-	// own domain and of two others, and to put a token together.
-	Asks int `yaml:"asks"`
-	// OwnBonus is how much fuller, as a part of its burst, another failure
-	// domain's slot must be than one of the own domain to be asked first: a
-	// hop between domains is paid only to keep slots from losing refill.
-	OwnBonus float64 `yaml:"own_bonus"`
-	// NearlyFull is the part of its burst from which a slot is asked although
-	// there are tokens here: what it has is about to be lost.
+	// PrefetchWindow is the period of forecast use for which an instance
+	// prefetches tokens.
+	PrefetchWindow time.Duration `yaml:"ahead"`
+	// MaxCalls limits the number of calls for one decision. It must be enough
+	// to ask the slots of the local domain and of two others, and to collect
+	// one token from fractions.
+	MaxCalls int `yaml:"asks"`
+	// LocalBonus is how much fuller, as a fraction of its burst, a slot in
+	// another failure domain must be than a local slot to be asked first. A
+	// call to another domain only pays off if it saves a slot from losing
+	// refill.
+	LocalBonus float64 `yaml:"own_bonus"`
+	// NearlyFull is the level, as a fraction of its burst, from which a slot is
+	// asked although local tokens are available, because its refill is about to
+	// be lost.
 	NearlyFull float64 `yaml:"nearly_full"`
-	// PeerBackoff is how long a holder that did not answer is left alone, so
-	// that a cut domain costs one timeout a second and not one a request.
+	// PeerBackoff is how long a holder that did not answer is not asked again,
+	// so that an unreachable domain costs one timeout per second and not one
+	// per request.
 	PeerBackoff time.Duration `yaml:"peer_backoff"`
-	// Promise is how long a mate's promise not to claim lasts. It bridges the
-	// replacement of a mate during an outage of the log, and it delays a
-	// takeover only if the holder had lost the log before it died.
-	Promise time.Duration `yaml:"promise"`
-	// MaxRenewalAge is the age of the own latest renewal from which promises are
-	// asked for. It must leave time to ask before the session's hold ends.
+	// PromiseDuration is how long a peer's promise not to claim slots is valid.
+	// Promises cover the replacement of a peer during an outage of the log.
+	// They delay a takeover only if the holder lost the log before it
+	// terminated.
+	PromiseDuration time.Duration `yaml:"promise"`
+	// MaxRenewalAge is the age of this instance's latest session renewal from
+	// which it requests promises. It must leave enough time to request them
+	// before the session's hold ends.
 	MaxRenewalAge time.Duration `yaml:"renewal_late"`
-	// Grace is how long a holder may go on by promises after it last held its
-	// session, and how long an instance that the holder can't know waits
-	// before it claims. It must outlast the platform's outages; it is paid
-	// only when all instances of a domain are lost for good at once.
-	Grace time.Duration `yaml:"grace"`
-	// ClockDrift bounds the relative error of a monotonic clock.
+	// GracePeriod is how long a holder may continue on promises after its
+	// session was last valid, and how long an instance that is unknown to the
+	// holder waits before it claims a slot. It must be longer than any outage
+	// of the platform. The wait occurs only if all instances of a domain are
+	// lost permanently at once.
+	GracePeriod time.Duration `yaml:"grace"`
+	// ClockDrift is the largest relative error of a monotonic clock.
 	ClockDrift float64 `yaml:"clock_drift"`
-	// Idle is how long an unused organisation is kept in memory. Dropping one
-	// forgets its tokens, so it must exceed the usual pauses of a caller.
-	Idle time.Duration `yaml:"idle"`
+	// IdleTimeout is how long an unused organisation is kept in memory. Its
+	// tokens are discarded with it, so the timeout must exceed the usual pauses
+	// of a caller.
+	IdleTimeout time.Duration `yaml:"idle"`
 }
 
 // Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
-		GrantLife:       250 * time.Millisecond,
+		GrantLifetime:   250 * time.Millisecond,
 		ExchangeTimeout: 50 * time.Millisecond,
-		CallTimeout:      20 * time.Millisecond,
-		Ahead:           100 * time.Millisecond,
-		Asks:            12,
-		OwnBonus:        0.1,
+		CallTimeout:     20 * time.Millisecond,
+		PrefetchWindow:  100 * time.Millisecond,
+		MaxCalls:        12,
+		LocalBonus:      0.1,
 		NearlyFull:      0.75,
 		PeerBackoff:     time.Second,
-		Promise:         30 * time.Second,
-		MaxRenewalAge:     3 * time.Second,
-		Grace:           4 * time.Hour,
+		PromiseDuration: 30 * time.Second,
+		MaxRenewalAge:   3 * time.Second,
+		GracePeriod:     4 * time.Hour,
 		ClockDrift:      0.0005,
-		Idle:            10 * time.Minute,
+		IdleTimeout:     10 * time.Minute,
 	}
 }
 
-// longer stretches a duration so that it has passed on every clock.
-func (s Settings) longer(d time.Duration) time.Duration {
+// padForDrift lengthens a duration so that, once it has elapsed here, the
+// original duration has elapsed on every instance's clock.
+func (s Settings) padForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + s.ClockDrift))
 }
 
-// shorter cuts a duration so that it has not passed on any clock.
-func (s Settings) shorter(d time.Duration) time.Duration {
+// trimForDrift shortens a duration so that, when it has elapsed here, the
+// original duration has not yet elapsed on any instance's clock.
+func (s Settings) trimForDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) / (1 + s.ClockDrift))
 }
 
-// slower is a rate that is not above the given one on any clock.
-func (s Settings) slower(rate float64) float64 {
+// rateForDrift lowers a rate so that it does not exceed the given one on any
+// instance's clock.
+func (s Settings) rateForDrift(rate float64) float64 {
 	return rate / (1 + s.ClockDrift)
 }
--- a/internal/coordination/limiter/suspension.go
+++ b/internal/coordination/limiter/suspension.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// suspensionSlack is the difference between wall and monotonic clock that one
-// look may find without a suspension. Adjusting the wall clock by slewing stays
-// far below it within the half second between two looks.
-const suspensionSlack = 100 * time.Millisecond
+// suspensionThreshold is the difference between the progress of the wall clock
+// and of the monotonic clock from which a suspension is assumed. Slewing of the
+// wall clock stays far below it in the half second between two checks.
+const suspensionThreshold = 100 * time.Millisecond
 
-// suspension notices that the machine was suspended: the monotonic clock stood
-// still, so tokens and promises seem younger than they are and would be used
-// after their end. The wall clock shows it. A wall clock that was set forward
-// looks the same, which costs the tokens at hand.
+// suspension detects that the machine was suspended. The monotonic clock stops
+// during a suspension, so grants and promises seem younger than they are and
+// would be used after their expiry. The wall clock continues. If the wall clock
+// is set forward, this is also taken for a suspension, which costs the granted
+// tokens at hand.
 type suspension struct {
 	last time.Time
 }
 
-// passed reports whether there was a suspension since the last call.
-func (s *suspension) passed(now time.Time) bool {
+// detected reports whether the machine was suspended since the last call.
+func (s *suspension) detected(now time.Time) bool {
 	last := s.last
 	s.last = now
-	return !last.IsZero() && stoodStill(now.Round(0).Sub(last.Round(0)), now.Sub(last))
+	return !last.IsZero() && clockPaused(now.Round(0).Sub(last.Round(0)), now.Sub(last))
 }
 
-// stoodStill compares what the two clocks say has passed.
-func stoodStill(wall, monotonic time.Duration) bool {
-	return wall-monotonic > suspensionSlack
+// clockPaused reports whether the wall clock advanced more than the monotonic
+// clock, beyond the threshold.
+func clockPaused(wall, monotonic time.Duration) bool {
+	return wall-monotonic > suspensionThreshold
 }
 
-// forgetPerishable drops what may be older than it seems.
-func (c *Core) forgetPerishable() {
+// discardTimeLimited discards grants and pending handovers, which may be older
+// than their timestamps indicate.
+func (c *Core) discardTimeLimited() {
 	for _, a := range c.accounts {
 		a.grants = nil
 	}
-	clear(c.handovers.waiting)
+	clear(c.handovers.pending)
 }
--- a/internal/coordination/limiter/tenure_test.go
+++ b/internal/coordination/limiter/tenure_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holdersOf counts the instances that may use each slot of a domain now.
-func (f *fakeFleet) holdersOf(domain string) map[SlotKey]int {
+// countHolders returns how many instances may use each slot of a domain now.
+func (f *fakeFleet) countHolders(domain string) map[SlotKey]int {
 	count := map[SlotKey]int{}
 	for _, l := range f.all {
 		f.net.mu.Lock()
@@ -20,10 +20,10 @@
 		}
 		l.mu.Lock()
 		now := time.Now()
-		l.authorise(now)
+		l.refreshUsableUntil(now)
 		for slot := range SlotsPerDomain {
 			key := SlotKey{Domain: l.Domain, Slot: slot}
-			if string(l.Domain) == domain && l.core.Holds(now, key) {
+			if string(l.Domain) == domain && l.core.MayUse(now, key) {
 				count[key]++
 			}
 		}
@@ -32,152 +32,154 @@
 	return count
 }
 
-func (f *fakeFleet) requireHeld(domain string, slots int) {
+func (f *fakeFleet) requireOneHolderEach(domain string, slots int) {
 	f.t.Helper()
-	held := f.holdersOf(domain)
+	held := f.countHolders(domain)
 	require.Len(f.t, held, slots)
 	for key, count := range held {
 		require.Equal(f.t, 1, count, "slot %v", key)
 	}
 }
 
-// An instance dies and its session expires in the log. Until its mates claim
-// its slots, an organisation misses their part of its rate.
-func TestMatesClaimTheSlotsOfADeadInstance(t *testing.T) {
+// An instance terminates and its session expires in the log. Until its peers
+// claim its slots, organisations lack the rate of these slots.
+func TestPeersClaimSlotsOfTerminatedInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
 		f.net.stop("a1")
-		f.journal("a1").setCut(true, false)
+		f.journal("a1").setIsolated(true, false)
 		f.expire("a2", 1)
-		pass(2 * time.Second)
-		f.requireHeld("a", SlotsPerDomain)
+		sleep(2 * time.Second)
+		f.requireOneHolderEach("a", SlotsPerDomain)
 	})
 }
 
-// A whole failure domain loses the log for an hour. Its sessions expire, seen
-// by the others. If its instances stopped granting, all its callers would be
-// refused for the hour.
-func TestDomainWithoutTheLogGoesOnByPromises(t *testing.T) {
+// All instances of a failure domain lose the log for an hour, and other
+// instances expire their sessions. If the instances stopped granting tokens,
+// all callers of the domain would be rejected for the hour.
+func TestDomainWithoutLogKeepsAdmittingOnPromises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
 		for _, id := range []string{"a1", "a2", "a3"} {
-			f.journal(f.id(id)).setCut(true, true)
+			f.journal(f.mustExist(id)).setIsolated(true, true)
 		}
-		pass(5 * time.Second)
+		sleep(5 * time.Second)
 		for _, id := range []string{"a1", "a2", "a3"} {
-			f.journal(f.id(id)).setCut(true, false)
+			f.journal(f.mustExist(id)).setIsolated(true, false)
 		}
 		f.expire("b1", 1)
 		f.expire("b1", 2)
 		f.expire("b1", 3)
-		pass(5 * time.Minute)
-		f.requireHeld("a", SlotsPerDomain)
-		require.Equal(t, 30, f.admitted("a1", "o0", 60))
+		sleep(5 * time.Minute)
+		f.requireOneHolderEach("a", SlotsPerDomain)
+		require.Equal(t, 30, f.countAdmitted("a1", "o0", 60))
 	})
 }
 
-// An instance alone loses the log, its session expires, and a mate that sees
-// the log wants its slots. Both would grant the same tokens if the mate
-// claimed while its promise still stands.
-func TestMateClaimsOnlyAfterItsPromiseRanOut(t *testing.T) {
+// One instance loses the log, its session expires, and a peer with access to
+// the log is to claim its slots. Both would grant the same tokens if the peer
+// claimed before its promise had expired.
+func TestPeerClaimsOnlyAfterItsPromiseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := threeDomains(t)
-		f.journal("a1").setCut(true, true)
-		pass(5 * time.Second)
-		f.journal("a1").setCut(true, false)
-		held := len(f.holdersOf("a"))
+		f.journal("a1").setIsolated(true, true)
+		sleep(5 * time.Second)
+		f.journal("a1").setIsolated(true, false)
+		held := len(f.countHolders("a"))
 		require.Equal(t, SlotsPerDomain, held)
 		f.expire("a2", 1)
 		for range 400 {
-			for key, count := range f.holdersOf("a") {
+			for key, count := range f.countHolders("a") {
 				require.LessOrEqual(t, count, 1, "slot %v", key)
 			}
-			pass(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 		}
-		require.Empty(t, f.heldBy("a1"))
-		f.requireHeld("a", SlotsPerDomain)
+		require.Empty(t, f.usableSlots("a1"))
+		f.requireOneHolderEach("a", SlotsPerDomain)
 	})
 }
 
-// A holder that is cut off from the log can't know an instance that started
-// later. Without a proof that the holder is gone, the newcomer must not claim.
-func TestNewcomerDoesNotClaimFromAHolderThatCannotKnowIt(t *testing.T) {
+// A holder that is isolated from the log cannot know an instance that started
+// later. Such an instance must not claim until it is confirmed that the holder
+// has stopped, or the grace period has passed.
+func TestUnknownInstanceDoesNotClaimFromLiveHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(t)
 		f.start("a1", "a")
-		f.configure("a1", domains("a"))
-		pass(10 * time.Second)
-		f.journal("a1").setCut(true, false)
+		f.configure("a1", equalShares("a"))
+		sleep(10 * time.Second)
+		f.journal("a1").setIsolated(true, false)
 		f.start("a2", "a")
 		f.start("b1", "b")
-		pass(time.Second)
+		sleep(time.Second)
 		f.expire("b1", 1)
-		pass(5 * time.Minute)
-		f.requireHeld("a", SlotsPerDomain)
-		require.Len(t, f.heldBy("a1"), SlotsPerDomain)
-		pass(10 * time.Minute)
-		require.Len(t, f.heldBy("a2"), SlotsPerDomain)
-		f.requireHeld("a", SlotsPerDomain)
+		sleep(5 * time.Minute)
+		f.requireOneHolderEach("a", SlotsPerDomain)
+		require.Len(t, f.usableSlots("a1"), SlotsPerDomain)
+		sleep(10 * time.Minute)
+		require.Len(t, f.usableSlots("a2"), SlotsPerDomain)
+		f.requireOneHolderEach("a", SlotsPerDomain)
 	})
 }
 
 // All instances of a domain are replaced at once, at their old addresses. The
-// word of the new process there that the old session is gone is enough: no
-// organisation waits for the grace.
-func TestReplacementAtTheSameAddressClaimsAtOnce(t *testing.T) {
+// new process at an address can confirm that the old session is no longer used,
+// so no organisation has to wait for the grace period.
+func TestReplacementAtTheSameAddressClaimsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(t)
 		f.start("a1", "a")
 		f.start("b1", "b")
-		f.configure("a1", domains("a"))
-		pass(10 * time.Second)
-		f.journal("a1").setCut(true, false)
+		f.configure("a1", equalShares("a"))
+		sleep(10 * time.Second)
+		f.journal("a1").setIsolated(true, false)
 		f.start("a1", "a")
-		pass(time.Second)
+		sleep(time.Second)
 		f.expire("b1", 1)
-		pass(3 * time.Second)
-		require.Len(t, f.heldBy("a1"), SlotsPerDomain)
+		sleep(3 * time.Second)
+		require.Len(t, f.usableSlots("a1"), SlotsPerDomain)
 	})
 }
 
-// A domain loses power. Its only instance is back after its session has expired,
-// under the same address, and has never seen the old session open. Its slots
-// must not rest for hours.
-func TestReplacementAfterTheExpiryClaimsAtOnce(t *testing.T) {
+// A domain loses power. Its only instance returns at the same address after its
+// session has expired, so it has never seen the old session open. Its slots
+// must not stay unused for the grace period of hours.
+func TestReplacementAfterExpiryClaimsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(t)
 		f.start("a1", "a")
 		f.start("b1", "b")
-		f.configure("a1", domains("a"))
-		pass(10 * time.Second)
+		f.configure("a1", equalShares("a"))
+		sleep(10 * time.Second)
 		f.net.stop("a1")
-		f.journal("a1").end()
-		f.journal("a1").setCut(true, false)
-		pass(time.Second)
+		f.journal("a1").terminate()
+		f.journal("a1").setIsolated(true, false)
+		sleep(time.Second)
 		f.expire("b1", 1)
-		pass(time.Minute)
+		sleep(time.Minute)
 		f.start("a1", "a")
-		pass(5 * time.Second)
-		require.Len(t, f.heldBy("a1"), SlotsPerDomain)
+		sleep(5 * time.Second)
+		require.Len(t, f.usableSlots("a1"), SlotsPerDomain)
 	})
 }
 
-// A replacement starts elsewhere under the id of an instance that is cut off and
-// goes on. It can't speak for the old process, and must not claim its slots.
-func TestReplacementElsewhereDoesNotClaim(t *testing.T) {
+// A replacement starts at another address with the id of an isolated instance
+// that is still running. It cannot confirm anything for the old process, and
+// must not claim the old process's slots.
+func TestReplacementAtAnotherAddressDoesNotClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet(t)
 		old := f.start("a1", "a")
 		f.start("b1", "b")
-		f.configure("a1", domains("a"))
-		pass(10 * time.Second)
-		f.journal("a1").setCut(true, false)
+		f.configure("a1", equalShares("a"))
+		sleep(10 * time.Second)
+		f.journal("a1").setIsolated(true, false)
 		f.startAt("a1", "a", "elsewhere")
-		pass(time.Second)
+		sleep(time.Second)
 		f.expire("b1", 1)
-		pass(time.Minute)
-		require.Empty(t, f.heldBy("a1"), "the replacement")
+		sleep(time.Minute)
+		require.Empty(t, f.usableSlots("a1"), "the replacement")
 		f.all["a1"] = old
-		require.Len(t, f.heldBy("a1"), SlotsPerDomain, "the old process")
+		require.Len(t, f.usableSlots("a1"), SlotsPerDomain, "the old process")
 	})
 }
--- a/internal/coordination/limiter/view.go
+++ b/internal/coordination/limiter/view.go
@@ -4,21 +4,21 @@
 	"merlintiller/internal/protocol"
 )
 
-// Holding is what replay says of a slot's lease.
-type Holding struct {
+// SlotLease is the state of a slot's lease in the replayed log.
+type SlotLease struct {
 	Session  protocol.SessionID
 	Instance protocol.InstanceID
-	// Address is the holder's peer address. Only the process there can say
-	// that the holder is gone.
+	// Address is the holder's peer address. Only the process at this address
+	// can confirm that the holder no longer uses the slot.
 	Address string
-	// Fence is the offset of the claim that won the slot.
+	// Fence is the offset of the accepted claim.
 	Fence protocol.Offset
-	// Ended says that the session expired. A session that closed, or released
-	// the slot, leaves no holding.
+	// Ended is true if the session expired. If the session closed or released
+	// the slot, there is no SlotLease.
 	Ended bool
-	// Settled is the offset of a record of the session that the holder surely
-	// read back: an earlier renewal than its last, or its claim.
-	Settled protocol.Offset
+	// ReadBack is the offset of a record of the session that the holder must
+	// have read back: the renewal before its latest one, or the claim.
+	ReadBack protocol.Offset
 }
 
 // Member is an open session of an instance.
@@ -26,34 +26,37 @@
 	Instance protocol.InstanceID
 	Session  protocol.SessionID
 	Domain   protocol.Domain
-	// Address is where the process answers other instances.
+	// Address is the peer address of the process.
 	Address string
 	// Opened is the offset of the record that opened the session.
 	Opened protocol.Offset
-	// Renewed is the offset of its latest renewal, or of the open record.
+	// Renewed is the offset of the session's latest renewal, or of its open
+	// record if it was never renewed.
 	Renewed protocol.Offset
 }
 
-// View is what replay says of the slots, as of one position in the stream.
+// View is a snapshot of the slots and sessions at one position of the replayed
+// log.
 type View struct {
-	Holdings map[SlotKey]Holding
-	// Members are all open sessions, the own one included.
+	Leases map[SlotKey]SlotLease
+	// Members are all open sessions, including that of this instance.
 	Members []Member
 }
 
-// mates are the members of a failure domain.
-func (v View) mates(domain protocol.Domain) []Member {
-	var mates []Member
+// membersIn returns the open sessions of a failure domain.
+func (v View) membersIn(domain protocol.Domain) []Member {
+	var members []Member
 	for _, m := range v.Members {
 		if m.Domain == domain {
-			mates = append(mates, m)
+			members = append(members, m)
 		}
 	}
-	return mates
+	return members
 }
 
-// renewed is the latest renewal of a session, NoOffset if it is not open.
-func (v View) renewed(session protocol.SessionID) protocol.Offset {
+// latestRenewal returns the offset of a session's latest renewal, or NoOffset
+// if the session is not open.
+func (v View) latestRenewal(session protocol.SessionID) protocol.Offset {
 	for _, m := range v.Members {
 		if m.Session == session {
 			return m.Renewed
@@ -62,34 +65,35 @@
 	return protocol.NoOffset
 }
 
-// readBack is the latest record that an open session surely knows to be its
-// own: its latest renewal or the claim of a slot it holds.
-func (v View) readBack(session protocol.SessionID) protocol.Offset {
-	latest := v.renewed(session)
-	for _, h := range v.Holdings {
-		if h.Session == session {
-			latest = max(latest, h.Fence)
+// lastReadBack returns the latest record that an open session must have read
+// back itself: its latest renewal or the claim of a slot that it holds.
+func (v View) lastReadBack(session protocol.SessionID) protocol.Offset {
+	latest := v.latestRenewal(session)
+	for _, lease := range v.Leases {
+		if lease.Session == session {
+			latest = max(latest, lease.Fence)
 		}
 	}
 	return latest
 }
 
-// holders says whom to ask for each slot: also the holder whose session ended,
-// which may still hold by its mates' promises.
+// holders returns the instance to ask for each slot. This includes holders
+// whose session expired, because they may continue on their peers' promises.
 func (v View) holders() map[SlotKey]protocol.InstanceID {
-	holders := make(map[SlotKey]protocol.InstanceID, len(v.Holdings))
-	for key, h := range v.Holdings {
-		holders[key] = h.Instance
+	holders := make(map[SlotKey]protocol.InstanceID, len(v.Leases))
+	for key, lease := range v.Leases {
+		holders[key] = lease.Instance
 	}
 	return holders
 }
 
-// holdersIn are the holders of a domain's slots whose session is open.
-func (v View) holdersIn(domain protocol.Domain) Assignment {
+// openHoldersIn returns the holders of a domain's slots whose sessions are
+// open.
+func (v View) openHoldersIn(domain protocol.Domain) Assignment {
 	var held Assignment
 	for slot := range held {
-		if h, ok := v.Holdings[SlotKey{Domain: domain, Slot: slot}]; ok && !h.Ended {
-			held[slot] = h.Instance
+		if lease, ok := v.Leases[SlotKey{Domain: domain, Slot: slot}]; ok && !lease.Ended {
+			held[slot] = lease.Instance
 		}
 	}
 	return held
