--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -24,8 +24,8 @@
 	storeAway = 1200 * time.Millisecond
 )
 
-// Desk takes the calls of batch jobs at any instance.
-type Desk struct {
+// JobService takes the calls of batch jobs at any instance.
+type JobService struct {
 	opts   *Options
 	keeper *Keeper
 	runner *Runner
@@ -37,13 +37,13 @@
 }
 
 // NewDesk returns a desk.
-func NewDesk(opts *Options, keeper *Keeper, runner *Runner) *Desk {
-	return &Desk{opts: opts, keeper: keeper, runner: runner, copies: map[int]*holding{}}
+func NewDesk(opts *Options, keeper *Keeper, runner *Runner) *JobService {
+	return &JobService{opts: opts, keeper: keeper, runner: runner, copies: map[int]*holding{}}
 }
 
 // known asks the holder whether a job is there already, as after a repeat. The
 // answer saves writing the job once more; without one it is written.
-func (d *Desk) known(ctx context.Context, job string) bool {
+func (d *JobService) known(ctx context.Context, job string) bool {
 	number := d.opts.partitionOf(job).Number
 	if h, ok := d.keeper.holding(number); ok {
 		return h.known(job) == Done
@@ -56,7 +56,7 @@
 }
 
 // ask calls the holder of a partition.
-func (d *Desk) ask(ctx context.Context, number int, method string, args, reply any) bool {
+func (d *JobService) ask(ctx context.Context, number int, method string, args, reply any) bool {
 	holder, ok := d.opts.Peers.Holder(number)
 	if !ok {
 		return false
@@ -71,7 +71,7 @@
 
 // elsewhere asks instances that the store answers, one after the other, until
 // one has done what is asked.
-func (d *Desk) elsewhere(ctx context.Context, ask func(ctx context.Context, address string) bool) {
+func (d *JobService) elsewhere(ctx context.Context, ask func(ctx context.Context, address string) bool) {
 	asked := 0
 	for _, p := range d.opts.Peers.Peers() {
 		if p.State != mesh.Up || p.Beat.Leaving || p.Beat.StoreAge >= storeAway {
@@ -92,7 +92,7 @@
 
 // Results gives results of a job: from the holder of its partition, else from the
 // store, else through an instance that the store answers.
-func (d *Desk) Results(ctx context.Context, call ResultsCall) ResultsReply {
+func (d *JobService) Results(ctx context.Context, call ResultsCall) ResultsReply {
 	number := d.opts.partitionOf(call.Job).Number
 	if h, ok := d.keeper.holding(number); ok {
 		if reply := h.results(ctx, call); reply.Verdict == Done {
@@ -111,7 +111,7 @@
 
 // throughOthers has instances that the store answers read what could not be read
 // here, until one of them has.
-func throughOthers[R any](ctx context.Context, d *Desk, method string, call any, reply *R, verdict func(*R) Verdict) {
+func throughOthers[R any](ctx context.Context, d *JobService, method string, call any, reply *R, verdict func(*R) Verdict) {
 	d.elsewhere(ctx, func(ctx context.Context, address string) bool {
 		var theirs R
 		if d.opts.Caller.Call(ctx, address, method, call, &theirs) == nil {
@@ -122,7 +122,7 @@
 }
 
 // resultsHere gives results as the store has them now.
-func (d *Desk) resultsHere(ctx context.Context, call ResultsCall) ResultsReply {
+func (d *JobService) resultsHere(ctx context.Context, call ResultsCall) ResultsReply {
 	h, err := d.fresh(ctx, d.opts.partitionOf(call.Job).Number)
 	if err != nil {
 		return ResultsReply{Verdict: NotDone}
@@ -130,7 +130,7 @@
 	return h.results(ctx, call)
 }
 
-func (d *Desk) askResults(ctx context.Context, number int, call ResultsCall) (ResultsReply, bool) {
+func (d *JobService) askResults(ctx context.Context, number int, call ResultsCall) (ResultsReply, bool) {
 	holder, ok := d.opts.Peers.Holder(number)
 	if !ok {
 		return ResultsReply{}, false
@@ -143,7 +143,7 @@
 }
 
 // Body gives the body of an item that is not listed yet.
-func (d *Desk) Body(ctx context.Context, call BodyCall) BodyReply {
+func (d *JobService) Body(ctx context.Context, call BodyCall) BodyReply {
 	number := d.opts.partitionOf(call.Job).Number
 	var reply BodyReply
 	if h, ok := d.keeper.holding(number); ok {
@@ -162,7 +162,7 @@
 }
 
 // bodyHere gives an item's body as the store has it now.
-func (d *Desk) bodyHere(ctx context.Context, call BodyCall) BodyReply {
+func (d *JobService) bodyHere(ctx context.Context, call BodyCall) BodyReply {
 	h, err := d.fresh(ctx, d.opts.partitionOf(call.Job).Number)
 	if err != nil {
 		return BodyReply{Verdict: NotDone}
@@ -171,7 +171,7 @@
 }
 
 // End ends a job, here or through an instance that the store answers.
-func (d *Desk) End(ctx context.Context, call JobCall) Verdict {
+func (d *JobService) End(ctx context.Context, call JobCall) Verdict {
 	verdict := NotDone
 	if d.opts.StoreAge() < storeAway {
 		verdict = d.endHere(ctx, call)
@@ -196,7 +196,7 @@
 
 // endHere writes the mark that ends a job. The mark is written once: a repeat
 // finds it.
-func (d *Desk) endHere(ctx context.Context, call JobCall) Verdict {
+func (d *JobService) endHere(ctx context.Context, call JobCall) Verdict {
 	h, err := d.fresh(ctx, d.opts.partitionOf(call.Job).Number)
 	if err != nil {
 		return NotDone
@@ -213,7 +213,7 @@
 
 // fresh gives a partition as the store has it now. Nobody may say that a job
 // does not exist by what it knew before.
-func (d *Desk) fresh(ctx context.Context, number int) (*holding, error) {
+func (d *JobService) fresh(ctx context.Context, number int) (*holding, error) {
 	h, held := d.keeper.holding(number)
 	if !held {
 		h = d.copy(number)
@@ -221,7 +221,7 @@
 	return h, h.ready(ctx, freshTimeout)
 }
 
-func (d *Desk) copy(number int) *holding {
+func (d *JobService) copy(number int) *holding {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h := d.copies[number]
@@ -234,7 +234,7 @@
 
 // Yield gives the slot of a batch item back that a broker gave to an instance. It
 // says whether the instance was reached.
-func (d *Desk) Yield(instance string, number uint64) bool {
+func (d *JobService) Yield(instance string, number uint64) bool {
 	for _, p := range d.opts.Peers.Peers() {
 		if p.Name != instance {
 			continue
--- a/internal/coordination/routed/batchjobs/orphans.go
+++ b/internal/coordination/routed/batchjobs/orphans.go
@@ -47,7 +47,7 @@
 
 // Orphans gives those of some runs that nobody reads, as the holders of the items say
 // that are heard.
-func (d *Desk) Orphans(ctx context.Context, runs []broker.TargetRun) []broker.TargetRun {
+func (d *JobService) Orphans(ctx context.Context, runs []broker.TargetRun) []broker.TargetRun {
 	ctx, cancel := context.WithTimeout(ctx, orphansTimeout)
 	defer cancel()
 	out := d.runner.Orphans(time.Now(), runs)
--- a/internal/coordination/routed/batchjobs/rpc.go
+++ b/internal/coordination/routed/batchjobs/rpc.go
@@ -27,10 +27,10 @@
 )
 
 // Receiver answers other instances. It is registered under ReceiverName.
-type Receiver struct{ desk *Desk }
+type Receiver struct{ desk *JobService }
 
 // Receiver returns the net/rpc receiver of short calls.
-func (d *Desk) Receiver() *Receiver { return &Receiver{desk: d} }
+func (d *JobService) Receiver() *Receiver { return &Receiver{desk: d} }
 
 // Known says whether a job is there.
 func (r *Receiver) Known(args *JobCall, reply *JobReply) error {
@@ -113,10 +113,10 @@
 }
 
 // Waiter answers calls that may wait. It is registered under WaiterName.
-type Waiter struct{ desk *Desk }
+type Waiter struct{ desk *JobService }
 
 // Waiter returns the net/rpc receiver of calls that wait.
-func (d *Desk) Waiter() *Waiter { return &Waiter{desk: d} }
+func (d *JobService) Waiter() *Waiter { return &Waiter{desk: d} }
 
 // Results gives results of a job.
 func (w *Waiter) Results(args *ResultsCall, reply *ResultsReply) error {
--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -33,7 +33,7 @@
 )
 
 // Submit has a job kept. Done means that it lasts.
-func (d *Desk) Submit(ctx context.Context, job *jobs.Job) Verdict {
+func (d *JobService) Submit(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := d.submit(ctx, job)
 	switch verdict {
 	case Done:
@@ -55,7 +55,7 @@
 // What goes wrong without the second way: the store turns some instances away
 // and serves the others. A caller whose attempts meet two of those has its job
 // refused, or waits for a store that does not answer, though the store is there.
-func (d *Desk) submit(ctx context.Context, job *jobs.Job) Verdict {
+func (d *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
 	if d.known(ctx, job.ID) {
 		return Done
 	}
@@ -100,7 +100,7 @@
 
 // write appends a job's records. A job may be written twice: the second time
 // changes nothing.
-func (d *Desk) write(ctx context.Context, job *jobs.Job) Verdict {
+func (d *JobService) write(ctx context.Context, job *jobs.Job) Verdict {
 	records, err := jobs.EncodeJob(job, d.opts.RecordBytes)
 	if err != nil {
 		_ = level.Warn(d.opts.Logger).Log("event", "job_not_encoded", "job", job.ID, "err", err)
@@ -111,7 +111,7 @@
 
 // append writes records in as many calls as the store's bound wants, the last of
 // which makes them count.
-func (d *Desk) append(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+func (d *JobService) append(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	for len(records) > 0 {
 		n, size := 0, 0
 		for n < len(records) {
@@ -133,7 +133,7 @@
 const recordHead = 8
 
 // appendOnce repeats one append a few times until it is answered or ctx ends.
-func (d *Desk) appendOnce(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+func (d *JobService) appendOnce(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	verdict := NotDone
 	for try := 0; ; try++ {
 		_, err := d.opts.Log.Append(ctx, p, records, external.AnyEnd)
@@ -156,7 +156,7 @@
 }
 
 // handOver has another instance write a job, one that the store answers.
-func (d *Desk) handOver(ctx context.Context, job *jobs.Job) Verdict {
+func (d *JobService) handOver(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := NotDone
 	d.elsewhere(ctx, func(ctx context.Context, address string) bool {
 		var reply JobReply
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -60,7 +60,7 @@
 	calls   *peer.Client
 	keeper  *batchjobs.Keeper
 	runner  *batchjobs.Runner
-	desk    *batchjobs.Desk
+	desk    *batchjobs.JobService
 	front   *front.Front
 
 	isolation *isolation
