--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -36,8 +36,8 @@
 	copies map[int]*holding
 }
 
-// NewDesk returns a desk.
-func NewDesk(opts *Options, keeper *Keeper, runner *Runner) *JobService {
+// NewJobService returns a desk.
+func NewJobService(opts *Options, keeper *Keeper, runner *Runner) *JobService {
 	return &JobService{opts: opts, keeper: keeper, runner: runner, copies: map[int]*holding{}}
 }
 
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -164,7 +164,7 @@
 	}
 	d.runner = batchjobs.NewRunner(opts)
 	d.keeper = batchjobs.NewKeeper(opts, d.runner)
-	d.desk = batchjobs.NewDesk(opts, d.keeper, d.runner)
+	d.desk = batchjobs.NewJobService(opts, d.keeper, d.runner)
 }
 
 func (d *Daemon) joinFront() {
