--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -27,7 +27,7 @@
 // JobService takes the calls of batch jobs at any instance.
 type JobService struct {
 	opts   *Options
-	keeper *Keeper
+	keeper *PartitionOwner
 	runner *Runner
 
 	mu sync.Mutex
@@ -37,7 +37,7 @@
 }
 
 // NewJobService returns a desk.
-func NewJobService(opts *Options, keeper *Keeper, runner *Runner) *JobService {
+func NewJobService(opts *Options, keeper *PartitionOwner, runner *Runner) *JobService {
 	return &JobService{opts: opts, keeper: keeper, runner: runner, copies: map[int]*holding{}}
 }
 
--- a/internal/coordination/routed/batchjobs/holding_test.go
+++ b/internal/coordination/routed/batchjobs/holding_test.go
@@ -212,7 +212,7 @@
 func TestFreshReadGoesOnToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlace(t, 2)
-		d := NewJobService(p.opts, &Keeper{opts: p.opts, held: map[int]*held{}}, nil)
+		d := NewJobService(p.opts, &PartitionOwner{opts: p.opts, held: map[int]*held{}}, nil)
 		require.Equal(t, Done, d.resultsHere(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
 		p.store.MostRead = 3
 		for n := range 10 {
--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -20,9 +20,9 @@
 	patience  = 1500 * time.Millisecond
 )
 
-// Keeper holds partitions of jobs for as long as the group deals them to this
+// PartitionOwner holds partitions of jobs for as long as the group deals them to this
 // instance. It is a duty.
-type Keeper struct {
+type PartitionOwner struct {
 	opts   *Options
 	runner *Runner
 
@@ -41,17 +41,17 @@
 }
 
 // NewKeeper returns a keeper that holds nothing.
-func NewKeeper(opts *Options, runner *Runner) *Keeper {
-	k := &Keeper{opts: opts, runner: runner, held: map[int]*held{}}
+func NewKeeper(opts *Options, runner *Runner) *PartitionOwner {
+	k := &PartitionOwner{opts: opts, runner: runner, held: map[int]*held{}}
 	runner.local = k.holding
 	return k
 }
 
 // String names the duty.
-func (k *Keeper) String() string { return "jobs-keeper" }
+func (k *PartitionOwner) String() string { return "jobs-keeper" }
 
 // Serve stays in the group until ctx ends.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *PartitionOwner) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(joinEvery)
 	defer ticker.Stop()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (k *Keeper) member() external.Member {
+func (k *PartitionOwner) member() external.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return external.Member{
@@ -74,7 +74,7 @@
 	}
 }
 
-func (k *Keeper) join(ctx context.Context) {
+func (k *PartitionOwner) join(ctx context.Context) {
 	k.mu.Lock()
 	leaving := k.leaving
 	k.mu.Unlock()
@@ -109,7 +109,7 @@
 // What goes wrong without it: the store turns only this instance away and deals
 // its partitions to others. Both would run the items, and this one would not hear
 // of the end of a job.
-func (k *Keeper) giveWay() {
+func (k *PartitionOwner) giveWay() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number := range k.held {
@@ -122,7 +122,7 @@
 }
 
 // keep starts holding what is new and ends holding what is not listed.
-func (k *Keeper) keep(ctx context.Context, partitions []external.Partition) {
+func (k *PartitionOwner) keep(ctx context.Context, partitions []external.Partition) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	listed := map[int]bool{}
@@ -143,7 +143,7 @@
 }
 
 // end ends the holding of a partition. It needs the lock.
-func (k *Keeper) end(number int) {
+func (k *PartitionOwner) end(number int) {
 	h := k.held[number]
 	h.stop()
 	k.runner.drop(h.holding)
@@ -151,7 +151,7 @@
 	k.hasLost = true
 }
 
-func (k *Keeper) start(ctx context.Context, p external.Partition) {
+func (k *PartitionOwner) start(ctx context.Context, p external.Partition) {
 	ctx, stop := context.WithCancel(ctx)
 	h := newHolding(k.opts, p, k.runner.refresh)
 	h.onPart, h.pieces = k.runner.partCame, k.runner.unkept
@@ -160,7 +160,7 @@
 }
 
 // Holding gives the partitions held and the generation in which they were dealt.
-func (k *Keeper) Holding() (partitions []int, generation int64) {
+func (k *PartitionOwner) Holding() (partitions []int, generation int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number := range k.held {
@@ -171,14 +171,14 @@
 }
 
 // HasLost says whether a partition went to another instance in this life.
-func (k *Keeper) HasLost() bool {
+func (k *PartitionOwner) HasLost() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hasLost
 }
 
 // holding gives a partition that is held here.
-func (k *Keeper) holding(number int) (*holding, bool) {
+func (k *PartitionOwner) holding(number int) (*holding, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h := k.held[number]
@@ -189,7 +189,7 @@
 }
 
 // Leave gives all partitions to the others.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *PartitionOwner) Leave(ctx context.Context) {
 	k.mu.Lock()
 	k.leaving = true
 	k.mu.Unlock()
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -58,7 +58,7 @@
 	mesh    *mesh.Mesh
 	peers   *peer.Server
 	calls   *peer.Client
-	keeper  *batchjobs.Keeper
+	keeper  *batchjobs.PartitionOwner
 	runner  *batchjobs.Runner
 	desk    *batchjobs.JobService
 	front   *front.Front
