--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -40,8 +40,8 @@
 	stop context.CancelFunc
 }
 
-// NewKeeper returns a keeper that holds nothing.
-func NewKeeper(opts *Options, runner *Runner) *PartitionOwner {
+// NewPartitionOwner returns a keeper that holds nothing.
+func NewPartitionOwner(opts *Options, runner *Runner) *PartitionOwner {
 	k := &PartitionOwner{opts: opts, runner: runner, held: map[int]*held{}}
 	runner.local = k.holding
 	return k
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -163,7 +163,7 @@
 		Targets: d.targets, Placer: d.slots, Logger: d.logger,
 	}
 	d.runner = batchjobs.NewRunner(opts)
-	d.keeper = batchjobs.NewKeeper(opts, d.runner)
+	d.keeper = batchjobs.NewPartitionOwner(opts, d.runner)
 	d.desk = batchjobs.NewJobService(opts, d.keeper, d.runner)
 }
 
