--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -159,8 +159,8 @@
 	go h.serve(ctx)
 }
 
-// Holding gives the partitions held and the generation in which they were dealt.
-func (k *PartitionOwner) Holding() (partitions []int, generation int64) {
+// Owned gives the partitions held and the generation in which they were dealt.
+func (k *PartitionOwner) Owned() (partitions []int, generation int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number := range k.held {
--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -182,7 +182,7 @@
 		cut := w.nodes[0]
 		cut.door.Set(sharedstore.Fault{Silent: true})
 		pass(4 * time.Second)
-		held, _ := cut.daemon.keeper.Holding()
+		held, _ := cut.daemon.keeper.Owned()
 		require.Empty(t, held, "others hold them by now")
 		for _, id := range ids {
 			w.requireWhole(id, w.nodes[2].allResults(id, 25*time.Second), 250)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -25,7 +25,7 @@
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
-	beat.Partitions, beat.Generation = l.keeper.Holding()
+	beat.Partitions, beat.Generation = l.keeper.Owned()
 	beat.HasLost = l.keeper.HasLost()
 	beat.Claims = l.runner.Claims()
 }
