--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -170,8 +170,8 @@
 	return partitions, k.generation
 }
 
-// HasLost says whether a partition went to another instance in this life.
-func (k *PartitionOwner) HasLost() bool {
+// HasLostPartition says whether a partition went to another instance in this life.
+func (k *PartitionOwner) HasLostPartition() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.hasLost
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -26,7 +26,7 @@
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
 	beat.Partitions, beat.Generation = l.keeper.Owned()
-	beat.HasLost = l.keeper.HasLost()
+	beat.HasLost = l.keeper.HasLostPartition()
 	beat.Claims = l.runner.Claims()
 }
 
