--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -230,9 +230,9 @@
 	}
 }
 
-// Leave ends all runs and hands what they have to the holders of their
+// Shutdown ends all runs and hands what they have to the holders of their
 // partitions. It comes after the partitions were given up.
-func (r *Runner) Leave(ctx context.Context) {
+func (r *Runner) Shutdown(ctx context.Context) {
 	r.mu.Lock()
 	r.leaving = true
 	for _, t := range r.tasks {
--- a/internal/daemon/routed/leave.go
+++ b/internal/daemon/routed/leave.go
@@ -35,7 +35,7 @@
 	// go on sending until the end, and the last request would be cut by it; so
 	// idle connections are closed now, and the others after their request.
 	err := d.front.Finish(ctx)
-	d.step(ctx, handOverStep, "items", d.runner.Leave)
+	d.step(ctx, handOverStep, "items", d.runner.Shutdown)
 	d.step(ctx, storeStep, "withdraw", func(ctx context.Context) {
 		if err := d.withdraw(ctx); err != nil {
 			_ = level.Warn(d.logger).Log("event", "withdraw_failed", "err", err)
