--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -13,8 +13,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once for each attempt of the caller.
-	Once Kind = "once"
+	// AtMostOnce requests run at most once for each attempt of the caller.
+	AtMostOnce Kind = "once"
 	// Stream requests are answered by a stream of events. They run at most
 	// once, unless the route is resumable.
 	Stream Kind = "stream"
