--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -40,7 +40,7 @@
 	// Priority is the rank of its requests; 0 is the highest.
 	Priority int
 	// Split divides the requests among services by weight.
-	Split []Weighted
+	Split []WeightedService
 	// MaxAttempts bounds the targets that one attempt of a caller runs at.
 	MaxAttempts int
 	// Public requests need no key.
@@ -60,8 +60,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Weighted is a service with its share of a route's requests.
-type Weighted struct {
+// WeightedService is a service with its share of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
--- a/internal/state/route/table_test.go
+++ b/internal/state/route/table_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	r := Route{Split: []Weighted{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
+	r := Route{Split: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 10_000 {
 		service, ok := r.Choose(fmt.Sprint("request-", i))
@@ -35,7 +35,7 @@
 	require.InDelta(t, 9_000, counts["a"], 200)
 	require.InDelta(t, 1_000, counts["b"], 200)
 	require.Zero(t, counts["c"])
-	_, ok := (&Route{Split: []Weighted{{Service: "a"}}}).Choose("x")
+	_, ok := (&Route{Split: []WeightedService{{Service: "a"}}}).Choose("x")
 	require.False(t, ok)
 }
 
