--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -155,7 +155,7 @@
 
 // waiting says how long the request may wait for a place.
 func (c *call) waiting() placement.Patience {
-	onTime := c.Began.Add(c.Route.Objective - answerTime)
+	onTime := c.Began.Add(c.Route.LatencyObjective - answerTime)
 	if c.begun {
 		// A stream that goes on must do so before its pause is too long.
 		onTime = time.Now().Add(c.gapLimit())
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -52,7 +52,7 @@
 	}
 	limit := c.gapLimit()
 	if !c.begun {
-		limit = max(firstLeast, time.Duration(firstShare*float64(c.Route.Objective)))
+		limit = max(firstLeast, time.Duration(firstShare*float64(c.Route.LatencyObjective)))
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -32,9 +32,9 @@
 	// Timeout is the longest time that the operator wants a request kept
 	// waiting.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to a stream's first event, within
+	// LatencyObjective is the time to the answer, or to a stream's first event, within
 	// which it is on time.
-	Objective time.Duration
+	LatencyObjective time.Duration
 	// Gap is the longest pause between two events of a stream that is on time.
 	Gap time.Duration
 	// Priority is the rank of its requests; 0 is the highest.
