--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -146,8 +146,8 @@
 const timeLeft = 5 * time.Second
 
 var (
-	onceRoute  = route.Route{Kind: route.Stream, LatencyObjective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 1}
-	againRoute = route.Route{Kind: route.Stream, Resumable: true, LatencyObjective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 2}
+	onceRoute  = route.Route{Kind: route.Stream, LatencyObjective: 300 * time.Millisecond, GapObjective: 600 * time.Millisecond, MaxAttempts: 1}
+	againRoute = route.Route{Kind: route.Stream, Resumable: true, LatencyObjective: 300 * time.Millisecond, GapObjective: 600 * time.Millisecond, MaxAttempts: 2}
 )
 
 // serve has a request served by targets that follow a script.
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -61,7 +61,7 @@
 }
 
 func (c *call) gapLimit() time.Duration {
-	return max(gapLeast, time.Duration(gapShare*float64(c.Route.Gap)))
+	return max(gapLeast, time.Duration(gapShare*float64(c.Route.GapObjective)))
 }
 
 // late is called when nothing came for too long.
--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -35,8 +35,8 @@
 	// LatencyObjective is the time to the answer, or to a stream's first event, within
 	// which it is on time.
 	LatencyObjective time.Duration
-	// Gap is the longest pause between two events of a stream that is on time.
-	Gap time.Duration
+	// GapObjective is the longest pause between two events of a stream that is on time.
+	GapObjective time.Duration
 	// Priority is the rank of its requests; 0 is the highest.
 	Priority int
 	// Split divides the requests among services by weight.
