--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -52,8 +52,8 @@
 // Limits are the bounds on what callers send.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Guarded says that requests of routes that are not public need a key.
-func (t *Table) Guarded() bool { return len(t.config.Organisations) > 0 }
+// RequiresKey says that requests of routes that are not public need a key.
+func (t *Table) RequiresKey() bool { return len(t.config.Organisations) > 0 }
 
 // Organisations are all organisations.
 func (t *Table) Organisations() []Organisation { return t.config.Organisations }
--- a/internal/state/route/table_test.go
+++ b/internal/state/route/table_test.go
@@ -46,6 +46,6 @@
 	require.Equal(t, "one", caller.Name)
 	_, ok = table.Caller("")
 	require.False(t, ok)
-	require.True(t, table.Guarded())
-	require.False(t, NewTable(Config{}).Guarded())
+	require.True(t, table.RequiresKey())
+	require.False(t, NewTable(Config{}).RequiresKey())
 }
--- a/internal/transport/front/visit.go
+++ b/internal/transport/front/visit.go
@@ -73,7 +73,7 @@
 		v.organisation = caller
 		return true
 	}
-	if public || !v.table.Guarded() {
+	if public || !v.table.RequiresKey() {
 		return true
 	}
 	v.refuse(http.StatusUnauthorized, 0, "unknown_key")
