--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -103,7 +103,7 @@
 		cutOff: d.mesh.CutOff, storeAge: d.view.StoreAge, logger: d.logger,
 		takesJobs: func() bool {
 			table := d.view.Table()
-			return table != nil && table.TakesJobs()
+			return table != nil && table.HasAnyBatchRoute()
 		},
 	}
 	d.joinFront()
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -76,8 +76,8 @@
 	return slices.ContainsFunc(t.byHost[hostKey(host)], func(r *Route) bool { return r.Kind == Batch })
 }
 
-// TakesJobs says that any host has a route that takes jobs.
-func (t *Table) TakesJobs() bool {
+// HasAnyBatchRoute says that any host has a route that takes jobs.
+func (t *Table) HasAnyBatchRoute() bool {
 	return slices.ContainsFunc(t.config.Routes, func(r Route) bool { return r.Kind == Batch })
 }
 
