--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -71,8 +71,8 @@
 	return nil, false
 }
 
-// HasBatch says that a host has a route that takes jobs.
-func (t *Table) HasBatch(host string) bool {
+// HasBatchRoute says that a host has a route that takes jobs.
+func (t *Table) HasBatchRoute(host string) bool {
 	return slices.ContainsFunc(t.byHost[hostKey(host)], func(r *Route) bool { return r.Kind == Batch })
 }
 
--- a/internal/transport/front/visit.go
+++ b/internal/transport/front/visit.go
@@ -43,7 +43,7 @@
 		v.refuse(http.StatusServiceUnavailable, noConfigRetry, "no_config")
 		return
 	}
-	if call, ok := f.opts.Codec.DecodeJobCall(v.r); ok && v.table.HasBatch(v.r.Host) {
+	if call, ok := f.opts.Codec.DecodeJobCall(v.r); ok && v.table.HasBatchRoute(v.r.Host) {
 		v.jobCall(call)
 		return
 	}
