--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -81,8 +81,8 @@
 	return slices.ContainsFunc(t.config.Routes, func(r Route) bool { return r.Kind == Batch })
 }
 
-// Caller gives the organisation that a secret belongs to.
-func (t *Table) Caller(secret string) (*Organisation, bool) {
+// OrganisationBySecret gives the organisation that a secret belongs to.
+func (t *Table) OrganisationBySecret(secret string) (*Organisation, bool) {
 	o, ok := t.bySecret[secret]
 	return o, ok
 }
--- a/internal/state/route/table_test.go
+++ b/internal/state/route/table_test.go
@@ -41,10 +41,10 @@
 
 func TestCallersAreFoundBySecret(t *testing.T) {
 	table := NewTable(Config{Organisations: []Organisation{{Name: "one", Secrets: []string{"s1", "s2"}}, {Name: "two"}}})
-	caller, ok := table.Caller("s2")
+	caller, ok := table.OrganisationBySecret("s2")
 	require.True(t, ok)
 	require.Equal(t, "one", caller.Name)
-	_, ok = table.Caller("")
+	_, ok = table.OrganisationBySecret("")
 	require.False(t, ok)
 	require.True(t, table.RequiresKey())
 	require.False(t, NewTable(Config{}).RequiresKey())
--- a/internal/transport/front/visit.go
+++ b/internal/transport/front/visit.go
@@ -69,7 +69,7 @@
 
 // authenticate finds the caller's organisation.
 func (v *visit) authenticate(public bool) bool {
-	if caller, ok := v.table.Caller(v.request.Secret); ok {
+	if caller, ok := v.table.OrganisationBySecret(v.request.Secret); ok {
 		v.organisation = caller
 		return true
 	}
