--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -171,7 +171,7 @@
 }
 
 // End ends a job, here or through an instance that the store answers.
-func (d *JobService) End(ctx context.Context, call JobCall) Verdict {
+func (d *JobService) Cancel(ctx context.Context, call JobCall) Verdict {
 	verdict := NotDone
 	if d.opts.StoreAge() < storeAway {
 		verdict = d.endHere(ctx, call)
--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -93,7 +93,7 @@
 		v.answer(http.StatusOK, reply.Body, "application/octet-stream")
 		v.log("answered", http.StatusOK, "item")
 	case exchange.JobEnd:
-		v.settle(v.opts.Desk.End(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
+		v.settle(v.opts.Desk.Cancel(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
 	}
 }
 
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -64,7 +64,7 @@
 	Submit(ctx context.Context, job *jobs.Job) batchjobs.Verdict
 	Results(ctx context.Context, call batchjobs.ResultsCall) batchjobs.ResultsReply
 	Body(ctx context.Context, call batchjobs.BodyCall) batchjobs.BodyReply
-	End(ctx context.Context, call batchjobs.JobCall) batchjobs.Verdict
+	Cancel(ctx context.Context, call batchjobs.JobCall) batchjobs.Verdict
 }
 
 // Options make a Front.
