--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -21,7 +21,7 @@
 // ones would get late behind them, one after the other.
 func (r *Runner) sort(now time.Time) {
 	for _, t := range r.waiting {
-		t.late = now.Add(r.pace.left(t.events)).After(t.job.Due)
+		t.late = now.Add(r.pace.left(t.events)).After(t.job.Deadline)
 	}
 	slices.SortStableFunc(r.waiting, func(a, b *task) int {
 		if a.late != b.late {
@@ -30,7 +30,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(a.job.Due.Compare(b.job.Due), cmp.Compare(a.id.job, b.id.job))
+		return cmp.Or(a.job.Deadline.Compare(b.job.Deadline), cmp.Compare(a.id.job, b.id.job))
 	})
 }
 
@@ -44,7 +44,7 @@
 	}
 	left := r.pace.left(t.events)
 	return broker.Item{
-		Service: service, Due: t.job.Due, BeginBy: t.job.Due.Add(-left),
+		Service: service, Due: t.job.Deadline, BeginBy: t.job.Deadline.Add(-left),
 		Lasts: time.Duration(lastsMost * float64(left)),
 	}, true
 }
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -23,9 +23,10 @@
 	// ConfigVersion is the configuration under which it was taken.
 	ConfigVersion int64
 	Submitted     time.Time
-	// Due is when all results are due, GiveUp from when on an item may be given
-	// up.
-	Due, GiveUp time.Time
+	// Deadline is when all results are due.
+	Deadline time.Time `cbor:"Due"`
+	// GiveUp is from when on an item may be given up.
+	GiveUp time.Time `cbor:"GiveUp"`
 	Items       []Item
 }
 
