--- a/internal/coordination/routed/batchjobs/runner_test.go
+++ b/internal/coordination/routed/batchjobs/runner_test.go
@@ -76,7 +76,7 @@
 // that it was given up while it could still be done.
 func TestItemIsNotGivenUpByAClockThatIsAhead(t *testing.T) {
 	now := time.Unix(1_000, 0)
-	item := &task{openItem: openItem{job: jobs.Job{GiveUp: now.Add(-clockMargin / 2)}}}
+	item := &task{openItem: openItem{job: jobs.Job{ExpiresAt: now.Add(-clockMargin / 2)}}}
 	table := route.NewTable(route.Config{})
 	require.NotEqual(t, "expired", item.hopeless(now, table))
 	require.Equal(t, "expired", item.hopeless(now.Add(clockMargin), table))
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -77,11 +77,11 @@
 const clockMargin = 10 * time.Second
 
 // expires is when the item's time is over by anybody's clock.
-func (t *task) expires() time.Time { return t.job.GiveUp.Add(clockMargin) }
+func (t *task) expires() time.Time { return t.job.ExpiresAt.Add(clockMargin) }
 
 // hopeless says why an item can't be done any more.
 func (t *task) hopeless(now time.Time, table *route.Table) string {
-	if !t.job.GiveUp.IsZero() && now.After(t.expires()) {
+	if !t.job.ExpiresAt.IsZero() && now.After(t.expires()) {
 		return "expired"
 	}
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
@@ -222,7 +222,7 @@
 		header.Set(name, value)
 	}
 	most := longestRun
-	if !t.job.GiveUp.IsZero() {
+	if !t.job.ExpiresAt.IsZero() {
 		most = min(most, time.Until(t.expires()))
 	}
 	return &exchange.Dispatch{
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -25,8 +25,8 @@
 	Submitted     time.Time
 	// Deadline is when all results are due.
 	Deadline time.Time `cbor:"Due"`
-	// GiveUp is from when on an item may be given up.
-	GiveUp time.Time `cbor:"GiveUp"`
+	// ExpiresAt is from when on an item may be given up.
+	ExpiresAt time.Time `cbor:"GiveUp"`
 	Items       []Item
 }
 
--- a/internal/state/jobs/partition.go
+++ b/internal/state/jobs/partition.go
@@ -178,7 +178,7 @@
 	job := &Listed{
 		Job: Job{
 			ID: id, Organisation: h.Organisation, Host: h.Host, Prefix: h.Prefix, ConfigVersion: h.ConfigVersion,
-			Submitted: fromMillis(h.Submitted), Deadline: fromMillis(h.Due), GiveUp: fromMillis(h.GiveUp),
+			Submitted: fromMillis(h.Submitted), Deadline: fromMillis(h.Due), ExpiresAt: fromMillis(h.GiveUp),
 		},
 		Ended:     p.ended[id],
 		done:      map[string]bool{},
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -76,7 +76,7 @@
 	}
 	value, err := cbor.Marshal(head{
 		Organisation: job.Organisation, Host: job.Host, Prefix: job.Prefix, ConfigVersion: job.ConfigVersion,
-		Submitted: job.Submitted.UnixMilli(), Due: job.Deadline.UnixMilli(), GiveUp: job.GiveUp.UnixMilli(),
+		Submitted: job.Submitted.UnixMilli(), Due: job.Deadline.UnixMilli(), GiveUp: job.ExpiresAt.UnixMilli(),
 		Parts: len(records),
 	})
 	if err != nil {
