--- a/internal/coordination/routed/batchjobs/answer.go
+++ b/internal/coordination/routed/batchjobs/answer.go
@@ -6,16 +6,16 @@
 )
 
 // results waits for results of a job and gives them.
-func (h *holding) results(ctx context.Context, call ResultsCall) ResultsReply {
+func (p *partitionReplica) results(ctx context.Context, call ResultsCall) ResultsReply {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait)
 	defer cancel()
 	for {
-		found, changed := h.job(call.Job)
+		found, changed := p.job(call.Job)
 		if !found.known || found.organisation != call.Organisation {
-			return ResultsReply{Verdict: h.absent(found, call.Job, call.Organisation)}
+			return ResultsReply{Verdict: p.notFound(found, call.Job, call.Organisation)}
 		}
 		if len(found.results) > call.After || !found.open() || call.Wait <= 0 {
-			return page(&found, call.After)
+			return resultsPage(&found, call.After)
 		}
 		select {
 		case <-changed:
@@ -26,22 +26,22 @@
 }
 
 // absent is the verdict on a job that is not there.
-func (h *holding) absent(found snapshot, job, organisation string) Verdict {
+func (p *partitionReplica) notFound(found jobSnapshot, job, organisation string) Verdict {
 	if !found.loaded {
 		return NotDone
 	}
-	h.missing(job, organisation)
+	p.logNotFound(job, organisation)
 	return Missing
 }
 
 // page gives the results from a position on, at least one if there is one, and
 // no more than fit into an answer.
-func page(s *snapshot, after int) ResultsReply {
+func resultsPage(s *jobSnapshot, after int) ResultsReply {
 	reply := ResultsReply{Verdict: Done, Total: s.total}
 	size := 0
 	for position := min(after, len(s.results)); position < len(s.results); position++ {
 		size += len(s.results[position].Text)
-		if len(reply.Results) > 0 && size > pageBytes {
+		if len(reply.Results) > 0 && size > maxPageBytes {
 			break
 		}
 		reply.Results = append(reply.Results, s.results[position])
@@ -50,15 +50,15 @@
 }
 
 // body gives the body of an item that is not listed.
-func (h *holding) body(call BodyCall) BodyReply {
-	found, _ := h.job(call.Job)
+func (p *partitionReplica) body(call BodyCall) BodyReply {
+	found, _ := p.job(call.Job)
 	if !found.known || found.organisation != call.Organisation {
-		return BodyReply{Verdict: h.absent(found, call.Job, call.Organisation)}
+		return BodyReply{Verdict: p.notFound(found, call.Job, call.Organisation)}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	l, known := h.state.Job(call.Job)
-	if !known || l.Ended || l.Done(call.Item) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	l, known := p.state.Job(call.Job)
+	if !known || l.Cancelled || l.HasResult(call.Item) {
 		return BodyReply{Verdict: Missing}
 	}
 	item, _, ok := l.Item(call.Item)
@@ -69,8 +69,8 @@
 }
 
 // known says whether a job is there.
-func (h *holding) known(job string) Verdict {
-	found, _ := h.job(job)
+func (p *partitionReplica) lookUp(job string) Verdict {
+	found, _ := p.job(job)
 	switch {
 	case found.known:
 		return Done
@@ -82,8 +82,8 @@
 }
 
 // ready reads all that is new, and everything at first.
-func (h *holding) ready(ctx context.Context, within time.Duration) error {
+func (p *partitionReplica) catchUp(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	return h.readToEnd(ctx)
+	return p.readToEnd(ctx)
 }
--- a/internal/coordination/routed/batchjobs/calls.go
+++ b/internal/coordination/routed/batchjobs/calls.go
@@ -75,7 +75,7 @@
 }
 
 // ResultOf is a result on its way to the holder of its partition.
-type ResultOf jobs.Result
+type ItemResult jobs.Result
 
 // YieldCall asks for the slot back that was given under a number.
 type YieldCall struct {
--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -7,7 +7,7 @@
 )
 
 // claimsFresh is how long a look at the claims counts.
-const claimsFresh = 50 * time.Millisecond
+const claimsMaxAge = 50 * time.Millisecond
 
 // Claims gives the items that run here though their partition is held elsewhere.
 func (r *Runner) Claims() []mesh.Claim {
@@ -15,7 +15,7 @@
 	defer r.mu.Unlock()
 	var claims []mesh.Claim
 	for id, t := range r.tasks {
-		if t.home == nil {
+		if t.replica == nil {
 			claims = append(claims, mesh.Claim{Job: id.job, Item: id.item})
 		}
 	}
@@ -26,14 +26,14 @@
 }
 
 // readClaims takes over what other instances say that they run.
-func (r *Runner) readClaims(now time.Time) {
-	if now.Sub(r.claimedAt) < claimsFresh {
+func (r *Runner) refreshClaims(now time.Time) {
+	if now.Sub(r.claimsReadAt) < claimsMaxAge {
 		return
 	}
-	r.claimedAt = now
-	r.claimed = map[itemID]bool{}
+	r.claimsReadAt = now
+	r.claimedByPeers = map[itemID]bool{}
 	for _, c := range r.opts.Peers.Claimed() {
-		r.claimed[itemID{c.Job, c.Item}] = true
+		r.claimedByPeers[itemID{c.Job, c.Item}] = true
 	}
 }
 
@@ -43,7 +43,7 @@
 // The load it answers: all instances were killed and start again. Nobody can run
 // anything, and items that are due within seconds would wait for claims that nobody
 // makes, beside targets that are idle.
-func (r *Runner) takeOver(now, held time.Time) (begin, claims time.Time) {
+func (r *Runner) inheritedItemTimes(now, held time.Time) (begin, claims time.Time) {
 	for _, p := range r.opts.Peers.Peers() {
 		if p.State != mesh.Up {
 			continue
@@ -52,5 +52,5 @@
 			return held.Add(claimWait), held.Add(claimWait)
 		}
 	}
-	return held.Add(startWait), held
+	return held.Add(restartClaimWait), held
 }
--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -13,19 +13,19 @@
 const (
 	// deliverEvery is how often a holder is looked for, deliverFor how long.
 	// After that the item is run again by whoever holds its partition.
-	deliverEvery = 200 * time.Millisecond
-	deliverFor   = 10 * time.Second
+	deliveryRetryInterval = 200 * time.Millisecond
+	deliveryTimeout       = 10 * time.Second
 )
 
 // Part is the output of an item that is not whole.
-type Part struct {
+type PartialOutput struct {
 	Job, Item string
 	Text      string
 	Events    int
 	// Position is the last event of it.
 	Position int
 	// Worked is the time that runs have taken so far.
-	Worked time.Duration
+	RunTime time.Duration `cbor:"Worked"`
 	// Failures are the runs that targets ended as failed.
 	Failures int
 }
@@ -33,20 +33,20 @@
 // FinishCall tells the holder of a partition that an item was done elsewhere.
 type FinishCall struct {
 	Job    string
-	Result ResultOf
+	Result ItemResult
 }
 
 // delivers counts a result that will be delivered. The item stays claimed until
 // it is. It needs the lock.
-func (r *Runner) delivers(f finished) {
-	r.handing.Add(1)
+func (r *Runner) startDelivery(f finishedItem) {
+	r.handOvers.Add(1)
 	r.delivering[itemID{f.job, f.result.Item}] = true
 }
 
 // deliver tells the holder of a partition of a result, which delivers has counted.
-func (r *Runner) deliver(f finished) {
-	call := FinishCall{Job: f.job, Result: ResultOf(f.result)}
-	r.toHolder(f.job, f.result.Item, methodFinish, &call, func(h *holding) { h.finish(f) })
+func (r *Runner) deliverResult(f finishedItem) {
+	call := FinishCall{Job: f.job, Result: ItemResult(f.result)}
+	r.sendToOwner(f.job, f.result.Item, methodFinish, &call, func(p *partitionReplica) { p.addResult(f) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.delivering, itemID{f.job, f.result.Item})
@@ -54,39 +54,39 @@
 
 // deliverPart hands the output of an item that is not whole to the holder. The
 // caller has counted it in handing.
-func (r *Runner) deliverPart(p Part) {
-	r.toHolder(p.Job, p.Item, methodHandBack, &p, func(h *holding) { h.takeBack(p) })
+func (r *Runner) deliverPartialOutput(output PartialOutput) {
+	r.sendToOwner(output.Job, output.Item, methodHandBack, &output, func(p *partitionReplica) { p.addPartialOutput(output) })
 }
 
 // toHolder calls whoever holds the partition of a job, as soon as that is known.
-func (r *Runner) toHolder(job, item, method string, args any, here func(*holding)) {
-	defer r.handing.Add(-1)
+func (r *Runner) sendToOwner(job, item, method string, args any, local func(*partitionReplica)) {
+	defer r.handOvers.Add(-1)
 	r.mu.Lock()
 	ctx := r.ctx
 	r.mu.Unlock()
 	number := r.opts.partitionOf(job).Number
-	ctx, cancel := context.WithTimeout(ctx, deliverFor)
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if h, ok := r.local(number); ok {
-			here(h)
+		if p, ok := r.replicaOf(number); ok {
+			local(p)
 			return
 		}
-		if r.callHolder(ctx, number, method, args) {
+		if r.callOwner(ctx, number, method, args) {
 			_ = level.Info(r.opts.Logger).Log("event", "item_handed_over", "item", item, "job", job, "call", method)
 			return
 		}
-		wait.For(ctx, deliverEvery)
+		wait.For(ctx, deliveryRetryInterval)
 	}
 	_ = level.Warn(r.opts.Logger).Log("event", "item_not_handed_over", "item", item, "job", job, "call", method)
 }
 
-func (r *Runner) callHolder(ctx context.Context, number int, method string, args any) bool {
+func (r *Runner) callOwner(ctx context.Context, number int, method string, args any) bool {
 	holder, ok := r.opts.Peers.Holder(number)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var reply JobReply
 	err := r.opts.Caller.Call(ctx, holder.Address, method, args, &reply)
@@ -94,10 +94,10 @@
 }
 
 // part is what a task has of its output.
-func (t *task) part() Part {
-	return Part{
+func (t *task) partialOutput() PartialOutput {
+	return PartialOutput{
 		Job: t.id.job, Item: t.id.item, Text: t.text.String(),
-		Events: t.events, Position: t.position, Worked: t.worked, Failures: t.failures,
+		Events: t.events, Position: t.position, RunTime: t.runTime, Failures: t.failures,
 	}
 }
 
@@ -107,57 +107,57 @@
 // What goes wrong without the failures: partitions are dealt anew again and again, as
 // in a rolling stop. Each new holder would try an item that always fails as often as
 // its route allows, and the item would be at targets for as long as that goes on.
-func (t *task) adopt(p Part, ok bool) {
-	if ok && p.Failures > t.failures {
-		t.failures = p.Failures
-		t.output.failed(t.failures)
+func (t *task) adopt(output PartialOutput, ok bool) {
+	if ok && output.Failures > t.failures {
+		t.failures = output.Failures
+		t.output.resetAfterFailure(t.failures)
 		t.text.Reset()
-		t.events, t.position, t.worked = 0, exchange.FromStart, 0
+		t.events, t.position, t.runTime = 0, exchange.FromStart, 0
 	}
-	if !ok || p.Events <= t.events {
+	if !ok || output.Events <= t.events {
 		return
 	}
 	t.text.Reset()
-	t.text.WriteString(p.Text)
-	t.events, t.position, t.worked = p.Events, p.Position, p.Worked
-	t.output.begin()
-	t.output.add(p.Text, p.Events, p.Position)
+	t.text.WriteString(output.Text)
+	t.events, t.position, t.runTime = output.Events, output.Position, output.RunTime
+	t.output.reset()
+	t.output.add(output.Text, output.Events, output.Position)
 }
 
 // takeBack keeps what another instance has of an item's output until the item is
 // run. It is lost with this instance, which costs the work and nothing else.
-func (h *holding) takeBack(p Part) {
-	id := itemID{p.Job, p.Item}
-	h.mu.Lock()
-	h.parts[id] = p
-	h.mu.Unlock()
-	if h.onPart != nil {
-		h.onPart(id, p)
+func (p *partitionReplica) addPartialOutput(output PartialOutput) {
+	id := itemID{output.Job, output.Item}
+	p.mu.Lock()
+	p.partialOutputs[id] = output
+	p.mu.Unlock()
+	if p.onPartialOutput != nil {
+		p.onPartialOutput(id, output)
 	}
 }
 
-func (h *holding) handedBack(id itemID) (Part, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	p, ok := h.parts[id]
-	delete(h.parts, id)
-	return p, ok
+func (p *partitionReplica) takePartialOutput(id itemID) (PartialOutput, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	output, ok := p.partialOutputs[id]
+	delete(p.partialOutputs, id)
+	return output, ok
 }
 
 // takeFinished empties the list of results that are still to be listed.
-func (h *holding) takeFinished() []finished {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	taken := h.finished
-	h.finished = nil
+func (p *partitionReplica) takeUnpublished() []finishedItem {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	taken := p.unpublished
+	p.unpublished = nil
 	return taken
 }
 
 // partCame takes over the output of an item that waits here.
-func (r *Runner) partCame(id itemID, p Part) {
+func (r *Runner) adoptPartialOutput(id itemID, output PartialOutput) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tasks[id]; t != nil && t.cancel == nil {
-		t.adopt(p, true)
+		t.adopt(output, true)
 	}
 }
--- a/internal/coordination/routed/batchjobs/orphans.go
+++ b/internal/coordination/routed/batchjobs/orphans.go
@@ -11,13 +11,13 @@
 
 // orphansTimeout bounds the question which runs nobody listens to. What is not
 // answered is asked again soon.
-const orphansTimeout = 150 * time.Millisecond
+const orphansCallTimeout = 150 * time.Millisecond
 
 // RunsCall asks which of some runs are of items of the holder's that nobody reads.
-type RunsCall struct{ Runs []broker.TargetRun }
+type OrphansCall struct{ Runs []broker.TargetRun }
 
 // RunsReply names them.
-type RunsReply struct{ Runs []broker.TargetRun }
+type OrphansReply struct{ Runs []broker.TargetRun }
 
 // Orphans gives those of some runs whose items are to be run or run elsewhere: the
 // instance that began these runs is gone, and no other one says that it reads them.
@@ -29,11 +29,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readClaims(now)
+	r.refreshClaims(now)
 	var out []broker.TargetRun
 	for _, t := range r.tasks {
 		found := named[t.id.item]
-		if len(found) == 0 || !t.inherited || t.home == nil || r.claimed[t.id] || now.Before(t.claimsUntil) {
+		if len(found) == 0 || !t.mayRunElsewhere || t.replica == nil || r.claimedByPeers[t.id] || now.Before(t.claimsUntil) {
 			continue
 		}
 		for _, run := range found {
@@ -47,19 +47,19 @@
 
 // Orphans gives those of some runs that nobody reads, as the holders of the items say
 // that are heard.
-func (d *JobService) Orphans(ctx context.Context, runs []broker.TargetRun) []broker.TargetRun {
-	ctx, cancel := context.WithTimeout(ctx, orphansTimeout)
+func (s *JobService) Orphans(ctx context.Context, runs []broker.TargetRun) []broker.TargetRun {
+	ctx, cancel := context.WithTimeout(ctx, orphansCallTimeout)
 	defer cancel()
-	out := d.runner.Orphans(time.Now(), runs)
+	out := s.runner.Orphans(time.Now(), runs)
 	var mu sync.Mutex
 	var asked sync.WaitGroup
-	for _, p := range d.opts.Peers.Peers() {
+	for _, p := range s.opts.Peers.Peers() {
 		if p.State != mesh.Up || len(p.Beat.Partitions) == 0 {
 			continue
 		}
 		asked.Go(func() {
-			var reply RunsReply
-			if d.opts.Caller.Call(ctx, p.Address, methodOrphans, &RunsCall{Runs: runs}, &reply) != nil {
+			var reply OrphansReply
+			if s.opts.Caller.Call(ctx, p.Address, methodOrphans, &OrphansCall{Runs: runs}, &reply) != nil {
 				// It is asked again as long as the runs go on.
 				return
 			}
@@ -73,7 +73,7 @@
 }
 
 // Orphans gives the runs that nobody reads.
-func (r *Receiver) Orphans(args *RunsCall, reply *RunsReply) error {
-	reply.Runs = r.desk.runner.Orphans(time.Now(), args.Runs)
+func (r *Receiver) Orphans(args *OrphansCall, reply *OrphansReply) error {
+	reply.Runs = r.service.runner.Orphans(time.Now(), args.Runs)
 	return nil
 }
--- a/internal/coordination/routed/batchjobs/listing.go
+++ b/internal/coordination/routed/batchjobs/publish.go
@@ -15,57 +15,57 @@
 
 // listingPause lets results gather, so that one append lists several. Callers
 // read twice a second.
-const listingPause = 100 * time.Millisecond
+const publishDelay = 100 * time.Millisecond
 
 var (
-	itemsListed   = metrics.NewCounter(`batch_items_listed_total`)
-	listConflicts = metrics.NewCounter(`batch_listing_conflicts_total`)
+	itemsPublished   = metrics.NewCounter(`batch_items_listed_total`)
+	publishConflicts = metrics.NewCounter(`batch_listing_conflicts_total`)
 )
 
 // list writes finished results, and drops jobs that nobody may read any more,
 // until ctx ends.
-func (h *holding) list(ctx context.Context) {
-	retry := retryFirst
-	dropping := time.NewTicker(dropEvery)
+func (p *partitionReplica) publishLoop(ctx context.Context) {
+	retry := minRetryDelay
+	dropping := time.NewTicker(retentionInterval)
 	defer dropping.Stop()
 	for {
 		select {
-		case <-h.wake:
+		case <-p.publishNow:
 		case <-dropping.C:
-			if err := h.drop(ctx); err != nil {
-				_ = level.Warn(h.logger).Log("event", "jobs_not_dropped", "err", err)
+			if err := p.removeExpired(ctx); err != nil {
+				_ = level.Warn(p.logger).Log("event", "jobs_not_dropped", "err", err)
 			}
 			continue
 		case <-ctx.Done():
 			return
 		}
-		wait.For(ctx, listingPause)
+		wait.For(ctx, publishDelay)
 		for ctx.Err() == nil {
-			left, err := h.listOnce(ctx)
+			left, err := p.publishOnce(ctx)
 			if err == nil {
-				retry = retryFirst
+				retry = minRetryDelay
 				if !left {
 					break
 				}
 				continue
 			}
-			_ = level.Warn(h.logger).Log("event", "results_append_failed", "retry_ms", retry.Milliseconds(), "err", err)
+			_ = level.Warn(p.logger).Log("event", "results_append_failed", "retry_ms", retry.Milliseconds(), "err", err)
 			wait.For(ctx, retry)
-			retry = min(2*retry, retryMost)
+			retry = min(2*retry, maxRetryDelay)
 		}
 	}
 }
 
 // wakeListing asks for results that wait to be listed now.
-func (h *holding) wakeListing() {
+func (p *partitionReplica) wakePublisher() {
 	select {
-	case h.wake <- struct{}{}:
+	case p.publishNow <- struct{}{}:
 	default:
 	}
 }
 
 // batch is what one append lists.
-type batch struct {
+type publishBatch struct {
 	records []external.KeyedRecord
 	// next is where the partition must end.
 	next  int64
@@ -77,71 +77,71 @@
 // What goes wrong without the condition: this instance was paused, its partition
 // was dealt to another one, and both list a result at the same position. A
 // caller that reads twice sees two contents there.
-func (h *holding) listOnce(ctx context.Context) (left bool, err error) {
-	b, err := h.next()
+func (p *partitionReplica) publishOnce(ctx context.Context) (left bool, err error) {
+	b, err := p.nextBatch()
 	if err != nil {
 		return false, err
 	}
 	if b.count == 0 {
 		return false, nil
 	}
-	end, err := h.opts.Log.Append(ctx, h.partition, b.records, b.next)
+	end, err := p.opts.Log.Append(ctx, p.partition, b.records, b.next)
 	var moved *external.MovedError
 	switch {
 	case errors.As(err, &moved):
-		listConflicts.Inc()
-		_ = level.Info(h.logger).Log("event", "results_append_moved", "expected", b.next, "end", moved.End)
-		return true, h.readToEnd(ctx)
+		publishConflicts.Inc()
+		_ = level.Info(p.logger).Log("event", "results_append_moved", "expected", b.next, "end", moved.End)
+		return true, p.readToEnd(ctx)
 	case errors.Is(err, external.ErrUnavailable):
 		// It may have been done, or be done later. Reading shows the first;
 		// the condition prevents the second once anything else is appended.
-		return true, errors.Join(err, h.readToEnd(ctx))
+		return true, errors.Join(err, p.readToEnd(ctx))
 	case err != nil:
 		return true, err
 	}
-	h.opts.StoreAnswered()
+	p.opts.StoreAnswered()
 	for i := range b.records {
 		b.records[i].Offset = b.next + int64(i)
 	}
-	h.apply(external.KeyedPage{Records: b.records, Next: end, End: end})
-	itemsListed.Add(b.count)
-	_ = level.Info(h.logger).Log("event", "results_listed", "results", b.count, "end", end)
+	p.apply(external.KeyedPage{Records: b.records, Next: end, End: end})
+	itemsPublished.Add(b.count)
+	_ = level.Info(p.logger).Log("event", "results_listed", "results", b.count, "end", end)
 	return true, nil
 }
 
 // next gathers results that are not listed yet, with their positions.
-func (h *holding) next() (batch, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	b := batch{next: h.state.Next()}
-	if !h.loaded {
+func (p *partitionReplica) nextBatch() (publishBatch, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	b := publishBatch{next: p.state.Next()}
+	if !p.loaded {
 		return b, nil
 	}
-	kept := h.finished[:0]
+	kept := p.unpublished[:0]
 	positions := map[string]int{}
 	size := 0
-	for _, f := range h.finished {
-		l, known := h.state.Job(f.job)
-		if !known || l.Ended || l.Done(f.result.Item) {
+	for _, f := range p.unpublished {
+		l, known := p.state.Job(f.job)
+		if !known || l.Cancelled || l.HasResult(f.result.Item) {
 			continue
 		}
 		kept = append(kept, f)
 		size += len(f.result.Text)
-		if b.count > 0 && size > h.opts.CallBytes/2 {
+		if b.count > 0 && size > p.opts.CallBytes/2 {
 			continue
 		}
 		position := len(l.Results) + positions[f.job]
-		records, err := jobs.EncodeResult(f.job, position, f.result, h.opts.RecordBytes)
+		records, err := jobs.EncodeResult(f.job, position, f.result, p.opts.RecordBytes)
 		if err != nil {
 			return b, err
 		}
 		positions[f.job]++
 		if _, place, ok := l.Item(f.result.Item); ok {
-			records = append(records, l.DropProgress(place)...)
+			records = append(records, l.EncodeProgressRemoval(place)...)
 		}
 		b.records = append(b.records, records...)
 		b.count++
 	}
-	h.finished = kept
+	p.unpublished = kept
 	return b, nil
 }
--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -11,7 +11,7 @@
 
 // lastsMost is how much longer than usual a target may be busy with an item.
 // Lengths of items differ by a quarter.
-const lastsMost = 1.5
+const maxRuntimeFactor = 1.5
 
 // sort puts the items first that are due first, and behind them those that can't
 // be done in time.
@@ -19,9 +19,9 @@
 // The load it answers: for some seconds there are more items than slots. By due
 // time alone, the items that are late already would take the slots, and the next
 // ones would get late behind them, one after the other.
-func (r *Runner) sort(now time.Time) {
+func (r *Runner) sortWaiting(now time.Time) {
 	for _, t := range r.waiting {
-		t.late = now.Add(r.pace.left(t.events)).After(t.job.Deadline)
+		t.late = now.Add(r.estimate.remaining(t.events)).After(t.job.Deadline)
 	}
 	slices.SortStableFunc(r.waiting, func(a, b *task) int {
 		if a.late != b.late {
@@ -38,33 +38,33 @@
 func (r *Runner) mostUrgent(now time.Time) (broker.Item, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t, service := r.first(now, "")
+	t, service := r.firstRunnable(now, "")
 	if t == nil {
 		return broker.Item{}, false
 	}
-	left := r.pace.left(t.events)
+	left := r.estimate.remaining(t.events)
 	return broker.Item{
 		Service: service, Due: t.job.Deadline, BeginBy: t.job.Deadline.Add(-left),
-		Lasts: time.Duration(lastsMost * float64(left)),
+		Lasts: time.Duration(maxRuntimeFactor * float64(left)),
 	}, true
 }
 
 // first gives the waiting item that should begin first, of one service or of all.
 // Items that can't be done any more are given up on the way. It needs the lock.
-func (r *Runner) first(now time.Time, of string) (*task, string) {
+func (r *Runner) firstRunnable(now time.Time, of string) (*task, string) {
 	table := r.opts.Table()
-	if r.leaving || table == nil || len(r.waiting) == 0 {
+	if r.shuttingDown || table == nil || len(r.waiting) == 0 {
 		return nil, ""
 	}
-	r.sort(now)
-	r.readClaims(now)
+	r.sortWaiting(now)
+	r.refreshClaims(now)
 	for _, t := range slices.Clone(r.waiting) {
-		if now.Before(t.notBefore) || r.claimed[t.id] {
+		if now.Before(t.notBefore) || r.claimedByPeers[t.id] {
 			continue
 		}
-		if reason := t.hopeless(now, table); reason != "" {
-			t.giveUp(reason)
-			r.unqueue(t)
+		if reason := t.failureReason(now, table); reason != "" {
+			t.fail(reason)
+			r.dequeue(t)
 			continue
 		}
 		if service, ok := t.service(table); ok && (of == "" || of == service) {
@@ -75,19 +75,19 @@
 }
 
 // begin begins the item that is the most urgent one now at a target.
-func (r *Runner) begin(service string, choice placement.Choice) {
+func (r *Runner) startItem(service string, choice placement.Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t, _ := r.first(time.Now(), service)
+	t, _ := r.firstRunnable(time.Now(), service)
 	if t == nil {
 		go r.opts.Placer.Done(choice, placement.Left)
 		return
 	}
-	r.unqueue(t)
-	r.runs(t, choice)
+	r.dequeue(t)
+	r.startRun(t, choice)
 }
 
-func (r *Runner) unqueue(t *task) {
+func (r *Runner) dequeue(t *task) {
 	r.waiting = slices.DeleteFunc(r.waiting, func(w *task) bool { return w == t })
 }
 
@@ -99,11 +99,11 @@
 	if t.ended {
 		return
 	}
-	if t.home == nil || r.leaving {
-		r.handBack(t)
+	if t.replica == nil || r.shuttingDown {
+		r.handOver(t)
 		return
 	}
 	t.notBefore = time.Now().Add(pause)
 	r.waiting = append(r.waiting, t)
-	r.poke()
+	r.notifyChange()
 }
--- a/internal/coordination/routed/batchjobs/holding.go
+++ b/internal/coordination/routed/batchjobs/replica.go
@@ -19,111 +19,111 @@
 const (
 	// tailWait is how long one read waits for new jobs. A watch that hears
 	// nothing is noticed when it ends.
-	tailWait = 2 * time.Second
+	readWait = 2 * time.Second
 	// retryFirst and retryMost bound the wait after a failed call to the store.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	// pageBytes bounds the results of one answer to a caller.
-	pageBytes = 1 << 20
+	maxPageBytes = 1 << 20
 )
 
 // holding is the jobs of one partition as this instance keeps them.
-type holding struct {
+type partitionReplica struct {
 	opts      *Options
 	partition external.Partition
 	logger    log.Logger
 	// onChange is told that jobs came or ended.
-	onChange func(*holding)
+	onChange func(*partitionReplica)
 
 	mu      sync.Mutex
 	state   *jobs.Partition
 	loaded  bool
 	changed chan struct{}
 	// held is when the holding began.
-	held time.Time
+	acquiredAt time.Time
 	// dropped says that the holding has ended. The runner's lock guards it.
-	dropped bool
+	released bool
 	// onPart is told of output that another instance handed back; parts keeps
 	// it until the item is taken up.
-	onPart func(itemID, Part)
-	parts  map[itemID]Part
+	onPartialOutput func(itemID, PartialOutput)
+	partialOutputs  map[itemID]PartialOutput
 	// pieces gives what came out of items that run here since it was kept last.
-	pieces func(*holding) []unkept
+	unstored func(*partitionReplica) []unstoredSegment
 	// keepNow asks for keeping what came out at once.
-	keepNow chan struct{}
+	storeNow chan struct{}
 	// finished are results that are still to be listed.
-	finished []finished
-	wake     chan struct{}
+	unpublished []finishedItem
+	publishNow  chan struct{}
 }
 
 // finished is an item with its end.
-type finished struct {
+type finishedItem struct {
 	job    string
 	result jobs.Result
 }
 
-func newHolding(opts *Options, p external.Partition, onChange func(*holding)) *holding {
-	return &holding{
+func newPartitionReplica(opts *Options, p external.Partition, onChange func(*partitionReplica)) *partitionReplica {
+	return &partitionReplica{
 		opts: opts, partition: p, onChange: onChange,
-		logger:  log.With(opts.Logger, "partition", p.Number),
-		state:   jobs.NewPartition(),
-		changed: make(chan struct{}),
-		wake:    make(chan struct{}, 1),
-		keepNow: make(chan struct{}, 1),
-		held:    time.Now(),
-		parts:   map[itemID]Part{},
+		logger:         log.With(opts.Logger, "partition", p.Number),
+		state:          jobs.NewPartition(),
+		changed:        make(chan struct{}),
+		publishNow:     make(chan struct{}, 1),
+		storeNow:       make(chan struct{}, 1),
+		acquiredAt:     time.Now(),
+		partialOutputs: map[itemID]PartialOutput{},
 	}
 }
 
 // serve loads the partition, follows it and lists results until ctx ends.
-func (h *holding) serve(ctx context.Context) {
+func (p *partitionReplica) serve(ctx context.Context) {
 	var duties sync.WaitGroup
-	duties.Go(func() { h.follow(ctx) })
-	duties.Go(func() { h.list(ctx) })
-	duties.Go(func() { h.keepProgress(ctx) })
+	duties.Go(func() { p.follow(ctx) })
+	duties.Go(func() { p.publishLoop(ctx) })
+	duties.Go(func() { p.storeProgressLoop(ctx) })
 	duties.Wait()
 }
 
 // follow keeps the state up to date.
-func (h *holding) follow(ctx context.Context) {
-	retry := retryFirst
+func (p *partitionReplica) follow(ctx context.Context) {
+	retry := minRetryDelay
 	for ctx.Err() == nil {
-		_, err := h.read(ctx, tailWait)
+		_, err := p.read(ctx, readWait)
 		if err == nil {
-			retry = retryFirst
+			retry = minRetryDelay
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		_ = level.Warn(h.logger).Log("event", "jobs_read_failed", "retry_ms", retry.Milliseconds(), "err", err)
+		_ = level.Warn(p.logger).Log("event", "jobs_read_failed", "retry_ms", retry.Milliseconds(), "err", err)
 		wait.For(ctx, retry)
-		retry = min(2*retry, retryMost)
+		retry = min(2*retry, maxRetryDelay)
 	}
 }
 
 // read takes over what is new, and everything if nothing is known or what is
 // next has left the store's history. It says whether there was more than one
 // answer of the store holds, or may have been.
-func (h *holding) read(ctx context.Context, wait time.Duration) (more bool, err error) {
-	h.mu.Lock()
-	loaded, next := h.loaded, h.state.Next()
-	h.mu.Unlock()
+func (p *partitionReplica) read(ctx context.Context, wait time.Duration) (more bool, err error) {
+	p.mu.Lock()
+	loaded, next := p.loaded, p.state.Next()
+	p.mu.Unlock()
 	if !loaded {
-		return true, h.load(ctx)
+		return true, p.load(ctx)
 	}
-	page, err := h.opts.Log.Read(ctx, h.partition, next, wait)
+	page, err := p.opts.Log.Read(ctx, p.partition, next, wait)
 	if errors.Is(err, external.ErrTrimmed) {
-		return true, h.load(ctx)
+		return true, p.load(ctx)
 	}
 	if err != nil {
 		return false, err
 	}
-	h.opts.StoreAnswered()
+	p.opts.StoreAnswered()
 	if page.Next == next && next < page.End {
 		return false, fmt.Errorf("%w: nothing read at %d before the end at %d", external.ErrUnavailable, next, page.End)
 	}
-	h.apply(page)
+	p.apply(page)
 	return page.Next < page.End, nil
 }
 
@@ -132,9 +132,9 @@
 // What goes wrong with a single read: one answer holds a megabyte at most, and the
 // newest records of all keys come in pages that are no snapshot. A job behind that
 // would be taken for one that does not exist, and its caller told so.
-func (h *holding) readToEnd(ctx context.Context) error {
+func (p *partitionReplica) readToEnd(ctx context.Context) error {
 	for {
-		more, err := h.read(ctx, 0)
+		more, err := p.read(ctx, 0)
 		if err != nil || !more {
 			return err
 		}
@@ -147,116 +147,116 @@
 // elsewhere. The result reaches the new holder before the store has given it the
 // partition, when there is no job to list it in. Nothing else asks for listing it,
 // and the item counts as done here: it is neither listed nor run again.
-func (h *holding) load(ctx context.Context) error {
-	page, err := h.opts.Log.Newest(ctx, h.partition)
+func (p *partitionReplica) load(ctx context.Context) error {
+	page, err := p.opts.Log.Newest(ctx, p.partition)
 	if err != nil {
 		return err
 	}
-	h.opts.StoreAnswered()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.loaded && page.Next <= h.state.Next() {
+	p.opts.StoreAnswered()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.loaded && page.Next <= p.state.Next() {
 		return nil
 	}
 	state := jobs.NewPartition()
 	if err := state.Load(page); err != nil {
-		_ = level.Error(h.logger).Log("event", "job_records_unreadable", "err", err)
+		_ = level.Error(p.logger).Log("event", "job_records_unreadable", "err", err)
 	}
-	h.state = state
-	h.loaded = true
-	_ = level.Info(h.logger).Log("event", "jobs_loaded", "jobs", len(state.Jobs()), "next", state.Next())
-	h.tell()
-	h.wakeListing()
+	p.state = state
+	p.loaded = true
+	_ = level.Info(p.logger).Log("event", "jobs_loaded", "jobs", len(state.Jobs()), "next", state.Next())
+	p.notifyChange()
+	p.wakePublisher()
 	return nil
 }
 
-func (h *holding) apply(page external.KeyedPage) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if page.Next <= h.state.Next() {
+func (p *partitionReplica) apply(page external.KeyedPage) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if page.Next <= p.state.Next() {
 		return
 	}
-	if err := h.state.Apply(page); err != nil {
-		_ = level.Error(h.logger).Log("event", "job_records_unreadable", "err", err)
+	if err := p.state.Apply(page); err != nil {
+		_ = level.Error(p.logger).Log("event", "job_records_unreadable", "err", err)
 	}
-	h.tell()
+	p.notifyChange()
 }
 
 // tell wakes those who wait for a change. It needs the lock.
-func (h *holding) tell() {
-	close(h.changed)
-	h.changed = make(chan struct{})
-	if h.onChange != nil {
-		go h.onChange(h)
+func (p *partitionReplica) notifyChange() {
+	close(p.changed)
+	p.changed = make(chan struct{})
+	if p.onChange != nil {
+		go p.onChange(p)
 	}
 }
 
 // job gives a job as of now, and what is closed at the next change.
-func (h *holding) job(id string) (found snapshot, changed <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	found.loaded = h.loaded
-	if l, ok := h.state.Job(id); ok {
+func (p *partitionReplica) job(id string) (found jobSnapshot, changed <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	found.loaded = p.loaded
+	if l, ok := p.state.Job(id); ok {
 		found.known = true
 		found.organisation = l.Organisation
 		found.total = len(l.Items)
 		found.results = l.Results[:len(l.Results):len(l.Results)]
-		found.ended = l.Ended
+		found.cancelled = l.Cancelled
 	}
-	return found, h.changed
+	return found, p.changed
 }
 
 // missing logs that a job is not there, with what that was decided by.
-func (h *holding) missing(job, organisation string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	_, known := h.state.Job(job)
-	_ = level.Info(h.logger).Log("event", "job_not_found", "job", job, "organisation", organisation,
-		"of_another", known, "jobs", len(h.state.Jobs()), "next", h.state.Next())
+func (p *partitionReplica) logNotFound(job, organisation string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	_, known := p.state.Job(job)
+	_ = level.Info(p.logger).Log("event", "job_not_found", "job", job, "organisation", organisation,
+		"of_another", known, "jobs", len(p.state.Jobs()), "next", p.state.Next())
 }
 
 // snapshot is a job as it was at one moment. Results that are listed never
 // change, so that they may be shared.
-type snapshot struct {
+type jobSnapshot struct {
 	loaded, known bool
 	organisation  string
 	total         int
 	results       []jobs.Result
-	ended         bool
+	cancelled         bool
 }
 
 // open says that results are still to come.
-func (s *snapshot) open() bool { return !s.ended && len(s.results) < s.total }
+func (s *jobSnapshot) open() bool { return !s.cancelled && len(s.results) < s.total }
 
 // open gives the items that are to be run, and since when the partition is held.
-func (h *holding) open() ([]openItem, time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.loaded {
-		return nil, h.held
+func (p *partitionReplica) openItems() ([]openItem, time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.loaded {
+		return nil, p.acquiredAt
 	}
-	pending := make(map[itemID]bool, len(h.finished))
-	for _, f := range h.finished {
+	pending := make(map[itemID]bool, len(p.unpublished))
+	for _, f := range p.unpublished {
 		pending[itemID{f.job, f.result.Item}] = true
 	}
 	var out []openItem
-	for _, l := range h.state.Jobs() {
+	for _, l := range p.state.Jobs() {
 		if !l.Open() {
 			continue
 		}
 		for i := range l.Items {
 			id := itemID{l.ID, l.Items[i].ID}
-			if !l.Done(id.item) && !pending[id] {
+			if !l.HasResult(id.item) && !pending[id] {
 				kept, _ := l.Progress(i)
-				out = append(out, openItem{id: id, item: l.Items[i], job: jobOf(l), place: i, kept: kept})
+				out = append(out, openItem{id: id, item: l.Items[i], job: withoutItems(l), index: i, progress: kept})
 			}
 		}
 	}
-	return out, h.held
+	return out, p.acquiredAt
 }
 
 // jobOf is the job without its items.
-func jobOf(l *jobs.Listed) jobs.Job {
+func withoutItems(l *jobs.JobState) jobs.Job {
 	job := l.Job
 	job.Items = nil
 	return job
@@ -264,14 +264,14 @@
 
 // finish has a result listed. An item that was run twice may finish twice; the
 // first result counts, as long as it waits here and once it is listed.
-func (h *holding) finish(f finished) {
-	h.mu.Lock()
-	waits := slices.ContainsFunc(h.finished, func(other finished) bool {
+func (p *partitionReplica) addResult(f finishedItem) {
+	p.mu.Lock()
+	waits := slices.ContainsFunc(p.unpublished, func(other finishedItem) bool {
 		return other.job == f.job && other.result.Item == f.result.Item
 	})
 	if !waits {
-		h.finished = append(h.finished, f)
+		p.unpublished = append(p.unpublished, f)
 	}
-	h.mu.Unlock()
-	h.wakeListing()
+	p.mu.Unlock()
+	p.wakePublisher()
 }
--- a/internal/coordination/routed/batchjobs/holding_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -18,7 +18,7 @@
 )
 
 // place is a partition in a store, with a job of some items.
-type place struct {
+type testPartition struct {
 	t     *testing.T
 	store *sharedstore.Direct
 	opts  *Options
@@ -27,14 +27,14 @@
 
 const jobID = "job"
 
-func newPlace(t *testing.T, items int) *place {
-	p := &place{
+func newTestPartition(t *testing.T, items int) *testPartition {
+	p := &testPartition{
 		t: t, store: &sharedstore.Direct{Store: sharedstore.New(1)},
 		at: external.Partition{Topic: "keyed.jobs"},
 	}
 	p.opts = &Options{
 		Topic: p.at.Topic, Partitions: 1, RecordBytes: 64 << 10, CallBytes: 256 << 10,
-		Log: p.store, StoreAnswered: func() {}, Peers: nobody{}, Logger: log.NewNopLogger(),
+		Log: p.store, StoreAnswered: func() {}, Peers: noPeers{}, Logger: log.NewNopLogger(),
 	}
 	job := &jobs.Job{ID: jobID, Organisation: "o", Submitted: time.Now()}
 	for i := range items {
@@ -48,21 +48,21 @@
 }
 
 // nobody is a fleet without other instances.
-type nobody struct{}
+type noPeers struct{}
 
-func (nobody) Peers() []mesh.Peer           { return nil }
-func (nobody) Holder(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
-func (nobody) Claimed() []mesh.Claim        { return nil }
+func (noPeers) Peers() []mesh.Peer           { return nil }
+func (noPeers) Holder(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
+func (noPeers) Claimed() []mesh.Claim        { return nil }
 
 // hold begins to hold the partition.
-func (p *place) hold() *holding {
-	h := newHolding(p.opts, p.at, nil)
-	go h.serve(p.t.Context())
-	return h
+func (p *testPartition) own() *partitionReplica {
+	replica := newPartitionReplica(p.opts, p.at, nil)
+	go replica.serve(p.t.Context())
+	return replica
 }
 
 // listed reads the job as a newcomer finds it.
-func (p *place) listed() *jobs.Listed {
+func (p *testPartition) publishedJob() *jobs.JobState {
 	page, err := p.store.Newest(p.t.Context(), p.at)
 	require.NoError(p.t, err)
 	state := jobs.NewPartition()
@@ -72,65 +72,65 @@
 	return l
 }
 
-func (p *place) requireEachOnce(items int) {
+func (p *testPartition) requireEachPublishedOnce(items int) {
 	p.t.Helper()
 	seen := map[string]bool{}
-	for position, r := range p.listed().Results {
+	for position, r := range p.publishedJob().Results {
 		require.False(p.t, seen[r.Item], "%s stands at a second position, %d", r.Item, position)
 		seen[r.Item] = true
 	}
 	require.Len(p.t, seen, items)
 }
 
-func done(item int, text string) finished {
-	return finished{job: jobID, result: jobs.Result{Item: fmt.Sprint("item-", item), Outcome: jobs.Succeeded, Text: text}}
+func succeeded(item int, text string) finishedItem {
+	return finishedItem{job: jobID, result: jobs.Result{Item: fmt.Sprint("item-", item), Outcome: jobs.Succeeded, Text: text}}
 }
 
 // An item was run by two instances, after its partition was dealt anew, and both
 // results reach the holder at the same moment. A caller that reads the job finds
 // the item twice, and the office bills two reports.
-func TestItemThatFinishesTwiceIsListedOnce(t *testing.T) {
+func TestItemThatFinishesTwiceIsPublishedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlace(t, 2)
-		h := p.hold()
-		h.finish(done(0, "one"))
-		h.finish(done(0, "other"))
-		h.finish(done(1, "two"))
-		pass(time.Second)
-		h.finish(done(0, "late"))
-		pass(time.Second)
-		p.requireEachOnce(2)
-		require.Equal(t, "one", p.listed().Results[0].Text)
+		p := newTestPartition(t, 2)
+		replica := p.own()
+		replica.addResult(succeeded(0, "one"))
+		replica.addResult(succeeded(0, "other"))
+		replica.addResult(succeeded(1, "two"))
+		sleep(time.Second)
+		replica.addResult(succeeded(0, "late"))
+		sleep(time.Second)
+		p.requireEachPublishedOnce(2)
+		require.Equal(t, "one", p.publishedJob().Results[0].Text)
 	})
 }
 
 // A holder was paused while its partition went to another one. Both list results
 // of the same items. What stands at a position must not change, and no item may
 // get a second one.
-func TestTwoHoldersListEachItemOnce(t *testing.T) {
+func TestTwoOwnersPublishEachItemOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const items = 20
-		p := newPlace(t, items)
-		one, other := p.hold(), p.hold()
+		p := newTestPartition(t, items)
+		one, other := p.own(), p.own()
 		for i := range items {
-			one.finish(done(i, "one"))
-			other.finish(done(items-1-i, "other"))
-			pass(37 * time.Millisecond)
+			one.addResult(succeeded(i, "one"))
+			other.addResult(succeeded(items-1-i, "other"))
+			sleep(37 * time.Millisecond)
 		}
-		pass(2 * time.Second)
-		p.requireEachOnce(items)
-		require.Equal(t, p.listed().Results, one.state.Jobs()[jobID].Results)
-		require.Equal(t, p.listed().Results, other.state.Jobs()[jobID].Results)
+		sleep(2 * time.Second)
+		p.requireEachPublishedOnce(items)
+		require.Equal(t, p.publishedJob().Results, one.state.Jobs()[jobID].Results)
+		require.Equal(t, p.publishedJob().Results, other.state.Jobs()[jobID].Results)
 	})
 }
 
 // The answer to an append is lost, and the append is done: at once, or seconds
 // later, or never. The result is listed once all the same.
-func TestLostAnswerOfAnAppend(t *testing.T) {
+func TestAppendWithLostResponse(t *testing.T) {
 	for name, late := range map[string]time.Duration{"done": 0, "late": 2 * time.Second, "never": -1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlace(t, 3)
+				p := newTestPartition(t, 3)
 				plain := &sharedstore.Direct{Store: p.store.Store}
 				lost := 0
 				p.store.Before = func(records []external.KeyedRecord) error {
@@ -148,41 +148,41 @@
 					}
 					return external.ErrUnavailable
 				}
-				h := p.hold()
+				replica := p.own()
 				for i := range 3 {
-					h.finish(done(i, "text"))
-					pass(150 * time.Millisecond)
+					replica.addResult(succeeded(i, "text"))
+					sleep(150 * time.Millisecond)
 				}
-				pass(5 * time.Second)
-				p.requireEachOnce(3)
+				sleep(5 * time.Second)
+				p.requireEachPublishedOnce(3)
 			})
 		})
 	}
 }
 
 // A job ends while a result of it waits. Nothing more is listed.
-func TestEndedJobGetsNoFurtherResult(t *testing.T) {
+func TestCancelledJobGetsNoFurtherResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlace(t, 2)
-		h := p.hold()
-		pass(time.Second)
-		_, err := p.store.Append(t.Context(), p.at, []external.KeyedRecord{jobs.EncodeEnd(jobID)}, external.AnyEnd)
+		p := newTestPartition(t, 2)
+		replica := p.own()
+		sleep(time.Second)
+		_, err := p.store.Append(t.Context(), p.at, []external.KeyedRecord{jobs.EncodeCancellation(jobID)}, external.AnyEnd)
 		require.NoError(t, err)
-		h.finish(done(0, "text"))
-		pass(time.Second)
-		require.Empty(t, p.listed().Results)
-		require.True(t, p.listed().Ended)
+		replica.addResult(succeeded(0, "text"))
+		sleep(time.Second)
+		require.Empty(t, p.publishedJob().Results)
+		require.True(t, p.publishedJob().Cancelled)
 	})
 }
 
 // slowStart is a store that takes a while to give a whole partition.
-type slowStart struct {
+type slowNewest struct {
 	*sharedstore.Direct
 	takes time.Duration
 }
 
 // Newest implements external.KeyedLog.
-func (s slowStart) Newest(ctx context.Context, at external.Partition) (external.KeyedPage, error) {
+func (s slowNewest) Newest(ctx context.Context, at external.Partition) (external.KeyedPage, error) {
 	wait.For(ctx, s.takes)
 	return s.Direct.Newest(ctx, at)
 }
@@ -191,29 +191,29 @@
 // that held it, and the store is slow. The result reaches the new holder before the
 // store has given it the job. The caller waits for that result until the end of the
 // job's time, though the item was done, and no target works on it.
-func TestResultThatComesBeforeItsPartitionIsListed(t *testing.T) {
-	for _, takes := range []time.Duration{0, listingPause / 2, time.Second, 20 * time.Second} {
+func TestResultReceivedBeforePartitionLoadsIsPublished(t *testing.T) {
+	for _, takes := range []time.Duration{0, publishDelay / 2, time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPlace(t, 1)
-			p.opts.Log = slowStart{Direct: p.store, takes: takes}
-			h := p.hold()
-			h.finish(done(0, "text"))
-			pass(takes + time.Second)
-			p.requireEachOnce(1)
+			p := newTestPartition(t, 1)
+			p.opts.Log = slowNewest{Direct: p.store, takes: takes}
+			replica := p.own()
+			replica.addResult(succeeded(0, "text"))
+			sleep(takes + time.Second)
+			p.requireEachPublishedOnce(1)
 		})
 	}
 }
 
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
 
 // An instance has not looked at a partition for a while, and what came since then is
 // more than one answer of the store holds. A caller asks it for a job that stands at
 // the end: it was accepted, and must not be said not to exist.
-func TestFreshReadGoesOnToTheEnd(t *testing.T) {
+func TestCatchUpReadsToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlace(t, 2)
-		d := NewJobService(p.opts, &PartitionOwner{opts: p.opts, held: map[int]*held{}}, nil)
-		require.Equal(t, Done, d.resultsHere(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
+		p := newTestPartition(t, 2)
+		d := NewJobService(p.opts, &PartitionOwner{opts: p.opts, owned: map[int]*ownedPartition{}}, nil)
+		require.Equal(t, Done, d.resultsFromStore(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
 		p.store.MostRead = 3
 		for n := range 10 {
 			job := &jobs.Job{ID: fmt.Sprint("later-", n), Organisation: "o", Submitted: time.Now(), Items: []jobs.Item{{ID: "i", Path: "/"}}}
@@ -222,7 +222,7 @@
 			_, err = p.store.Append(t.Context(), p.at, records, external.AnyEnd)
 			require.NoError(t, err)
 		}
-		require.Equal(t, Done, d.resultsHere(t.Context(), ResultsCall{Job: "later-9", Organisation: "o"}).Verdict)
-		require.Equal(t, Missing, d.resultsHere(t.Context(), ResultsCall{Job: "never", Organisation: "o"}).Verdict)
+		require.Equal(t, Done, d.resultsFromStore(t.Context(), ResultsCall{Job: "later-9", Organisation: "o"}).Verdict)
+		require.Equal(t, Missing, d.resultsFromStore(t.Context(), ResultsCall{Job: "never", Organisation: "o"}).Verdict)
 	})
 }
--- a/internal/coordination/routed/batchjobs/rpc.go
+++ b/internal/coordination/routed/batchjobs/rpc.go
@@ -18,42 +18,42 @@
 	methodYield   = ReceiverName + ".Yield"
 	methodOrphans = ReceiverName + ".Orphans"
 
-	methodFinish   = ReceiverName + ".Finish"
-	methodHandBack = ReceiverName + ".HandBack"
-	methodEndFor   = ReceiverName + ".EndFor"
-	methodBodyFor  = ReceiverName + ".BodyFor"
-	methodReadFor  = WaiterName + ".ResultsFor"
-	methodResults  = WaiterName + ".Results"
+	methodFinish     = ReceiverName + ".Finish"
+	methodHandBack   = ReceiverName + ".HandBack"
+	methodCancelFor  = ReceiverName + ".EndFor"
+	methodBodyFor    = ReceiverName + ".BodyFor"
+	methodResultsFor = WaiterName + ".ResultsFor"
+	methodResults    = WaiterName + ".Results"
 )
 
 // Receiver answers other instances. It is registered under ReceiverName.
-type Receiver struct{ desk *JobService }
+type Receiver struct{ service *JobService }
 
 // Receiver returns the net/rpc receiver of short calls.
-func (d *JobService) Receiver() *Receiver { return &Receiver{desk: d} }
+func (s *JobService) Receiver() *Receiver { return &Receiver{service: s} }
 
 // Known says whether a job is there.
 func (r *Receiver) Known(args *JobCall, reply *JobReply) error {
 	reply.Verdict = NotHeld
-	if h, ok := r.desk.keeper.holding(r.desk.opts.partitionOf(args.Job).Number); ok {
-		reply.Verdict = h.known(args.Job)
+	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
+		reply.Verdict = p.lookUp(args.Job)
 	}
 	return nil
 }
 
 // Accept writes a job for an instance that does not reach the store.
 func (r *Receiver) Accept(args *AcceptCall, reply *JobReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
-	reply.Verdict = r.desk.write(ctx, &args.Job)
+	reply.Verdict = r.service.writeJob(ctx, &args.Job)
 	return nil
 }
 
 // Body gives the body of an item.
 func (r *Receiver) Body(args *BodyCall, reply *BodyReply) error {
 	reply.Verdict = NotHeld
-	if h, ok := r.desk.keeper.holding(r.desk.opts.partitionOf(args.Job).Number); ok {
-		*reply = h.body(*args)
+	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
+		*reply = p.body(*args)
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 // Yield gives a slot back.
 func (r *Receiver) Yield(args *YieldCall, reply *JobReply) error {
 	reply.Verdict = Missing
-	if r.desk.runner.Yield(args.Number) {
+	if r.service.runner.Yield(args.Number) {
 		reply.Verdict = Done
 	}
 	return nil
@@ -70,19 +70,19 @@
 // Finish takes the result of an item that was run for this holder.
 func (r *Receiver) Finish(args *FinishCall, reply *JobReply) error {
 	reply.Verdict = NotHeld
-	if h, ok := r.desk.keeper.holding(r.desk.opts.partitionOf(args.Job).Number); ok {
-		h.finish(finished{job: args.Job, result: jobs.Result(args.Result)})
-		r.desk.runner.settle(itemID{args.Job, args.Result.Item})
+	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
+		p.addResult(finishedItem{job: args.Job, result: jobs.Result(args.Result)})
+		r.service.runner.discardTask(itemID{args.Job, args.Result.Item})
 		reply.Verdict = Done
 	}
 	return nil
 }
 
 // HandBack takes the output of an item that is not whole.
-func (r *Receiver) HandBack(args *Part, reply *JobReply) error {
+func (r *Receiver) HandBack(args *PartialOutput, reply *JobReply) error {
 	reply.Verdict = NotHeld
-	if h, ok := r.desk.keeper.holding(r.desk.opts.partitionOf(args.Job).Number); ok {
-		h.takeBack(*args)
+	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
+		p.addPartialOutput(*args)
 		reply.Verdict = Done
 	}
 	return nil
@@ -90,39 +90,39 @@
 
 // EndFor ends a job for an instance that does not reach the store.
 func (r *Receiver) EndFor(args *JobCall, reply *JobReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
-	reply.Verdict = r.desk.endHere(ctx, *args)
+	reply.Verdict = r.service.cancelInStore(ctx, *args)
 	return nil
 }
 
 // BodyFor gives the body of an item to an instance that does not reach the store.
 func (r *Receiver) BodyFor(args *BodyCall, reply *BodyReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
-	*reply = r.desk.bodyHere(ctx, *args)
+	*reply = r.service.bodyFromStore(ctx, *args)
 	return nil
 }
 
 // ResultsFor gives results to an instance that does not reach the store.
 func (w *Waiter) ResultsFor(args *ResultsCall, reply *ResultsReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
-	*reply = w.desk.resultsHere(ctx, *args)
+	*reply = w.service.resultsFromStore(ctx, *args)
 	return nil
 }
 
 // Waiter answers calls that may wait. It is registered under WaiterName.
-type Waiter struct{ desk *JobService }
+type Waiter struct{ service *JobService }
 
 // Waiter returns the net/rpc receiver of calls that wait.
-func (d *JobService) Waiter() *Waiter { return &Waiter{desk: d} }
+func (s *JobService) Waiter() *Waiter { return &Waiter{service: s} }
 
 // Results gives results of a job.
 func (w *Waiter) Results(args *ResultsCall, reply *ResultsReply) error {
 	reply.Verdict = NotHeld
-	if h, ok := w.desk.keeper.holding(w.desk.opts.partitionOf(args.Job).Number); ok {
-		*reply = h.results(context.Background(), *args)
+	if p, ok := w.service.owner.replicaOf(w.service.opts.partitionOf(args.Job).Number); ok {
+		*reply = p.results(context.Background(), *args)
 	}
 	return nil
 }
--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -18,20 +18,20 @@
 const (
 	// lookEvery is how often it is looked whether an item that waits for a while
 	// may begin.
-	lookEvery = 40 * time.Millisecond
+	pollInterval = 40 * time.Millisecond
 	// yieldPause is how long an item waits that gave up its slot.
-	yieldPause = 60 * time.Millisecond
+	yieldDelay = 60 * time.Millisecond
 	// failPause is how long an item waits after a failed run, doubled with each
 	// further one up to failMost.
-	failPause = 100 * time.Millisecond
-	failMost  = 2 * time.Second
+	failureBackoff    = 100 * time.Millisecond
+	maxFailureBackoff = 2 * time.Second
 	// claimWait is how long a new holder waits for others to claim the items
 	// that they run: two messages of another failure domain.
 	claimWait = 400 * time.Millisecond
 	// startWait is the same after a restart of all instances, when nobody has anything
 	// to claim: until the instances have found each other and asked the targets what
 	// they run.
-	startWait = 150 * time.Millisecond
+	restartClaimWait = 150 * time.Millisecond
 )
 
 var (
@@ -48,20 +48,20 @@
 	item jobs.Item
 	job  jobs.Job
 	// place is that of the item in its job, kept what was kept of its output.
-	place int
-	kept  jobs.Progress
+	index    int
+	progress jobs.Progress
 }
 
 // Runner runs the items of the partitions that are held. It is a duty.
 type Runner struct {
 	opts *Options
 	// handing counts what is being handed to holders.
-	handing atomic.Int64
+	handOvers atomic.Int64
 	// local gives a partition that is held here.
-	local func(number int) (*holding, bool)
+	replicaOf func(number int) (*partitionReplica, bool)
 
-	mu   sync.Mutex
-	pace pace
+	mu       sync.Mutex
+	estimate runEstimate
 	// changed is closed when items come or may begin.
 	changed chan struct{}
 	tasks   map[itemID]*task
@@ -70,15 +70,15 @@
 	// delivering are results on their way to the holders of their partitions.
 	delivering map[itemID]bool
 	// leaving says that nothing new is begun.
-	leaving bool
+	shuttingDown bool
 	// claimed are the items that others run, as of claimedAt.
-	claimed   map[itemID]bool
-	claimedAt time.Time
+	claimedByPeers map[itemID]bool
+	claimsReadAt   time.Time
 }
 
 // NewRunner returns a runner without items.
 func NewRunner(opts *Options) *Runner {
-	r := &Runner{opts: opts, changed: make(chan struct{}), pace: newPace(), tasks: map[itemID]*task{}, delivering: map[itemID]bool{}}
+	r := &Runner{opts: opts, changed: make(chan struct{}), estimate: newRunEstimate(), tasks: map[itemID]*task{}, delivering: map[itemID]bool{}}
 	metrics.GetOrCreateGauge(`batch_items{state="open"}`, func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -97,45 +97,45 @@
 	r.ctx = ctx
 	r.mu.Unlock()
 	var seekers sync.WaitGroup
-	for i := range mostDomains {
-		seekers.Go(func() { r.seek(ctx, i) })
+	for i := range maxDomains {
+		seekers.Go(func() { r.placeItems(ctx, i) })
 	}
 	seekers.Wait()
 	return ctx.Err()
 }
 
 // mostDomains bounds the failure domains in which slots are sought at once.
-const mostDomains = 4
+const maxDomains = 4
 
 // seek finds slots in the failure domain that comes at a place in the order of
 // this instance.
-func (r *Runner) seek(ctx context.Context, place int) {
+func (r *Runner) placeItems(ctx context.Context, place int) {
 	for ctx.Err() == nil {
 		item, ok := r.mostUrgent(time.Now())
 		if !ok {
-			r.idle(ctx)
+			r.waitForWork(ctx)
 			continue
 		}
 		domains := r.opts.Placer.Domains()
 		if place >= len(domains) {
-			r.idle(ctx)
+			r.waitForWork(ctx)
 			continue
 		}
 		if choice, found := r.opts.Placer.PlaceItem(ctx, domains[place], item); found {
-			r.begin(item.Service, choice)
+			r.startItem(item.Service, choice)
 		}
 	}
 }
 
 // idle waits until something may have changed. While no item waits, nothing changes by
 // the passing of time, and most instances of a large fleet hold no partition at all.
-func (r *Runner) idle(ctx context.Context) {
+func (r *Runner) waitForWork(ctx context.Context) {
 	r.mu.Lock()
 	changed, waiting := r.changed, len(r.waiting)
 	r.mu.Unlock()
 	var look <-chan time.Time
 	if waiting > 0 {
-		timer := time.NewTimer(lookEvery)
+		timer := time.NewTimer(pollInterval)
 		defer timer.Stop()
 		look = timer.C
 	}
@@ -147,7 +147,7 @@
 }
 
 // poke wakes those who seek slots. It needs the lock.
-func (r *Runner) poke() {
+func (r *Runner) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -155,78 +155,78 @@
 // refresh takes over which items of a partition are open. It looks while it has the
 // runner's lock: of two changes that come close together, the older look could be
 // taken in last, and would have the items forgotten that the newer one brought.
-func (r *Runner) refresh(h *holding) {
+func (r *Runner) syncItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h.dropped {
+	if p.released {
 		return
 	}
-	open, held := h.open()
+	open, held := p.openItems()
 	wanted := make(map[itemID]bool, len(open))
 	for i := range open {
 		o := &open[i]
 		wanted[o.id] = true
 		if known := r.tasks[o.id]; known != nil {
 			// An item of a partition that was lost and is held again.
-			known.home = h
+			known.replica = p
 			continue
 		}
-		t := &task{openItem: *o, runner: r, home: h, position: exchange.FromStart}
-		t.output.begin()
+		t := &task{openItem: *o, runner: r, replica: p, position: exchange.FromStart}
+		t.output.reset()
 		if o.job.Submitted.Before(held) {
-			t.inherited = true
-			t.notBefore, t.claimsUntil = r.takeOver(time.Now(), held)
+			t.mayRunElsewhere = true
+			t.notBefore, t.claimsUntil = r.inheritedItemTimes(time.Now(), held)
 		}
-		t.resume(o.kept)
-		t.adopt(h.handedBack(o.id))
+		t.resume(o.progress)
+		t.adopt(p.takePartialOutput(o.id))
 		r.tasks[o.id] = t
 		r.waiting = append(r.waiting, t)
 	}
 	for id, t := range r.tasks {
-		if t.home == h && !wanted[id] {
-			r.forget(t)
+		if t.replica == p && !wanted[id] {
+			r.endTask(t)
 		}
 	}
-	r.poke()
+	r.notifyChange()
 }
 
 // drop lets go of the items of a partition that is held no more. Those that run
 // go on, as claims; what the others have is handed to the new holder.
-func (r *Runner) drop(h *holding) {
+func (r *Runner) releaseItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.dropped = true
+	p.released = true
 	for _, t := range r.tasks {
-		if t.home != h {
+		if t.replica != p {
 			continue
 		}
-		t.home = nil
+		t.replica = nil
 		if t.cancel == nil {
-			r.handBack(t)
+			r.handOver(t)
 		}
 	}
-	for _, f := range h.takeFinished() {
-		r.delivers(f)
-		go r.deliver(f)
+	for _, f := range p.takeUnpublished() {
+		r.startDelivery(f)
+		go r.deliverResult(f)
 	}
 }
 
 // settle ends the task of an item whose result came from elsewhere.
-func (r *Runner) settle(id itemID) {
+func (r *Runner) discardTask(id itemID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tasks[id]; t != nil {
-		r.forget(t)
+		r.endTask(t)
 	}
 }
 
 // handBack gives what a waiting task has to the holder of its partition and
 // forgets the task. It needs the lock.
-func (r *Runner) handBack(t *task) {
-	r.forget(t)
+func (r *Runner) handOver(t *task) {
+	r.endTask(t)
 	if t.events > 0 || t.failures > 0 {
-		r.handing.Add(1)
-		go r.deliverPart(t.part())
+		r.handOvers.Add(1)
+		go r.deliverPartialOutput(t.partialOutput())
 	}
 }
 
@@ -234,27 +234,27 @@
 // partitions. It comes after the partitions were given up.
 func (r *Runner) Shutdown(ctx context.Context) {
 	r.mu.Lock()
-	r.leaving = true
+	r.shuttingDown = true
 	for _, t := range r.tasks {
 		if t.cancel != nil {
 			t.cancel()
 		}
 	}
 	r.mu.Unlock()
-	for ctx.Err() == nil && r.busy() {
-		wait.For(ctx, lookEvery)
+	for ctx.Err() == nil && r.hasUnfinishedWork() {
+		wait.For(ctx, pollInterval)
 	}
 }
 
 // busy says that something is still to be handed over.
-func (r *Runner) busy() bool {
+func (r *Runner) hasUnfinishedWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.tasks) > 0 || r.handing.Load() > 0
+	return len(r.tasks) > 0 || r.handOvers.Load() > 0
 }
 
 // forget ends a task. It needs the lock.
-func (r *Runner) forget(t *task) {
+func (r *Runner) endTask(t *task) {
 	if r.tasks[t.id] == t {
 		delete(r.tasks, t.id)
 	}
@@ -262,7 +262,7 @@
 	if t.cancel != nil {
 		t.cancel()
 	}
-	r.unqueue(t)
+	r.dequeue(t)
 }
 
 // finish ends a task with a result.
@@ -270,7 +270,7 @@
 	r.mu.Lock()
 	ended := t.ended
 	if result.Outcome == jobs.Succeeded {
-		r.pace.learn(t.events, t.worked)
+		r.estimate.observe(t.events, t.runTime)
 	}
 	if !ended {
 		// The result waits in its partition now; until it is listed there, the
@@ -279,18 +279,18 @@
 		t.ended = true
 		delete(r.tasks, t.id)
 	}
-	home := t.home
-	f := finished{job: t.id.job, result: result}
+	home := t.replica
+	f := finishedItem{job: t.id.job, result: result}
 	if !ended && home == nil {
-		r.delivers(f)
+		r.startDelivery(f)
 	}
 	r.mu.Unlock()
 	switch {
 	case ended:
 	case home != nil:
-		home.finish(f)
+		home.addResult(f)
 	default:
-		r.deliver(f)
+		r.deliverResult(f)
 	}
 }
 
@@ -314,9 +314,9 @@
 }
 
 // runs notes that a task has begun. It needs the lock.
-func (r *Runner) runs(t *task, choice placement.Choice) {
+func (r *Runner) startRun(t *task, choice placement.Choice) {
 	ctx, cancel := context.WithCancel(r.ctx)
-	t.cancel, t.choice, t.yielding, t.began = cancel, choice, false, time.Now()
+	t.cancel, t.choice, t.yielding, t.startedAt = cancel, choice, false, time.Now()
 	itemRuns.Inc()
 	r.opts.Placer.Runs(choice, t.id.item)
 	go t.run(ctx, choice)
--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -17,13 +17,13 @@
 	// hedgeAfter is how long one way of writing a job may take until the other is
 	// tried beside it: many times what the store takes, and a part of the time in which
 	// callers want a job accepted.
-	hedgeAfter = 150 * time.Millisecond
+	hedgeDelay = 150 * time.Millisecond
 	// appendRetry is the wait before an append is tried again, doubled each time,
 	// appendTries how often that is done: about a second in all.
-	appendRetry = 60 * time.Millisecond
-	appendTries = 4
+	appendBackoff    = 60 * time.Millisecond
+	maxAppendRetries = 4
 	// handOverTimeout bounds the writing through another instance.
-	handOverTimeout = 1200 * time.Millisecond
+	viaPeerTimeout = 1200 * time.Millisecond
 )
 
 var (
@@ -33,8 +33,8 @@
 )
 
 // Submit has a job kept. Done means that it lasts.
-func (d *JobService) Submit(ctx context.Context, job *jobs.Job) Verdict {
-	verdict := d.submit(ctx, job)
+func (s *JobService) Submit(ctx context.Context, job *jobs.Job) Verdict {
+	verdict := s.submit(ctx, job)
 	switch verdict {
 	case Done:
 		jobsAccepted.Inc()
@@ -43,9 +43,9 @@
 	default:
 		jobsUnsure.Inc()
 	}
-	_ = level.Info(d.opts.Logger).Log("event", "job_submitted", "job", job.ID, "organisation", job.Organisation,
-		"items", len(job.Items), "partition", d.opts.partitionOf(job.ID).Number, "outcome", verdict,
-		"store_age_ms", d.opts.StoreAge().Milliseconds())
+	_ = level.Info(s.opts.Logger).Log("event", "job_submitted", "job", job.ID, "organisation", job.Organisation,
+		"items", len(job.Items), "partition", s.opts.partitionOf(job.ID).Number, "outcome", verdict,
+		"store_age_ms", s.opts.StoreAge().Milliseconds())
 	return verdict
 }
 
@@ -55,15 +55,15 @@
 // What goes wrong without the second way: the store turns some instances away
 // and serves the others. A caller whose attempts meet two of those has its job
 // refused, or waits for a store that does not answer, though the store is there.
-func (d *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
-	if d.known(ctx, job.ID) {
+func (s *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
+	if s.jobExists(ctx, job.ID) {
 		return Done
 	}
-	first, second := d.write, d.handOver
-	if d.opts.StoreAge() >= storeAway {
+	first, second := s.writeJob, s.submitViaPeer
+	if s.opts.StoreAge() >= storeUnreachableAfter {
 		first, second = second, first
 	}
-	return hedged(ctx, hedgeAfter,
+	return hedged(ctx, hedgeDelay,
 		func(ctx context.Context) Verdict { return first(ctx, job) },
 		func(ctx context.Context) Verdict { return second(ctx, job) })
 }
@@ -100,28 +100,28 @@
 
 // write appends a job's records. A job may be written twice: the second time
 // changes nothing.
-func (d *JobService) write(ctx context.Context, job *jobs.Job) Verdict {
-	records, err := jobs.EncodeJob(job, d.opts.RecordBytes)
+func (s *JobService) writeJob(ctx context.Context, job *jobs.Job) Verdict {
+	records, err := jobs.EncodeJob(job, s.opts.RecordBytes)
 	if err != nil {
-		_ = level.Warn(d.opts.Logger).Log("event", "job_not_encoded", "job", job.ID, "err", err)
+		_ = level.Warn(s.opts.Logger).Log("event", "job_not_encoded", "job", job.ID, "err", err)
 		return NotDone
 	}
-	return d.append(ctx, d.opts.partitionOf(job.ID), records)
+	return s.appendRecords(ctx, s.opts.partitionOf(job.ID), records)
 }
 
 // append writes records in as many calls as the store's bound wants, the last of
 // which makes them count.
-func (d *JobService) append(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+func (s *JobService) appendRecords(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	for len(records) > 0 {
 		n, size := 0, 0
 		for n < len(records) {
-			size += len(records[n].Key) + len(records[n].Value) + recordHead
-			if n > 0 && size > d.opts.CallBytes {
+			size += len(records[n].Key) + len(records[n].Value) + recordOverhead
+			if n > 0 && size > s.opts.CallBytes {
 				break
 			}
 			n++
 		}
-		if verdict := d.appendOnce(ctx, p, records[:n]); verdict != Done {
+		if verdict := s.appendWithRetry(ctx, p, records[:n]); verdict != Done {
 			return verdict
 		}
 		records = records[n:]
@@ -130,25 +130,25 @@
 }
 
 // recordHead is what the store counts beside a record's key and value.
-const recordHead = 8
+const recordOverhead = 8
 
 // appendOnce repeats one append a few times until it is answered or ctx ends.
-func (d *JobService) appendOnce(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+func (s *JobService) appendWithRetry(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	verdict := NotDone
 	for try := 0; ; try++ {
-		_, err := d.opts.Log.Append(ctx, p, records, external.AnyEnd)
+		_, err := s.opts.Log.Append(ctx, p, records, external.AnyEnd)
 		if err == nil {
-			d.opts.StoreAnswered()
+			s.opts.StoreAnswered()
 			return Done
 		}
-		_ = level.Warn(d.opts.Logger).Log("event", "job_append_failed", "partition", p.Number, "err", err)
+		_ = level.Warn(s.opts.Logger).Log("event", "job_append_failed", "partition", p.Number, "err", err)
 		if errors.Is(err, external.ErrUnavailable) {
 			verdict = Unsure
 		}
-		if errors.Is(err, external.ErrFull) || try == appendTries {
+		if errors.Is(err, external.ErrFull) || try == maxAppendRetries {
 			return verdict
 		}
-		wait.For(ctx, appendRetry<<try)
+		wait.For(ctx, appendBackoff<<try)
 		if ctx.Err() != nil {
 			return verdict
 		}
@@ -156,11 +156,11 @@
 }
 
 // handOver has another instance write a job, one that the store answers.
-func (d *JobService) handOver(ctx context.Context, job *jobs.Job) Verdict {
+func (s *JobService) submitViaPeer(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := NotDone
-	d.elsewhere(ctx, func(ctx context.Context, address string) bool {
+	s.tryPeersWithStore(ctx, func(ctx context.Context, address string) bool {
 		var reply JobReply
-		err := d.opts.Caller.Call(ctx, address, methodAccept, &AcceptCall{Job: *job}, &reply)
+		err := s.opts.Caller.Call(ctx, address, methodAccept, &AcceptCall{Job: *job}, &reply)
 		switch {
 		case err == nil && reply.Verdict == Done:
 			verdict = Done
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -27,7 +27,7 @@
 	Deadline time.Time `cbor:"Due"`
 	// ExpiresAt is from when on an item may be given up.
 	ExpiresAt time.Time `cbor:"GiveUp"`
-	Items       []Item
+	Items     []Item
 }
 
 // Outcome says how an item ended.
@@ -49,29 +49,29 @@
 }
 
 // Listed is a job with its results by position.
-type Listed struct {
+type JobState struct {
 	Job
 	Results []Result
 	// Ended says that its caller ended it.
-	Ended bool
+	Cancelled bool
 	// done are the items that are listed.
-	done map[string]bool
+	hasResult map[string]bool
 	// itemParts is the number of records that hold the items, textParts the same
 	// of results that did not fit into one, by position.
-	itemParts int
-	textParts map[int]int
+	itemRecords int
+	textRecords map[int]int
 	// progress is what was kept of items that are not listed, by their place.
-	progress map[int]*kept
+	progress map[int]*storedOutput
 }
 
 // Done says that an item is listed.
-func (l *Listed) Done(item string) bool { return l.done[item] }
+func (l *JobState) HasResult(item string) bool { return l.hasResult[item] }
 
 // Open says that the job has items that are still to be done.
-func (l *Listed) Open() bool { return !l.Ended && len(l.done) < len(l.Items) }
+func (l *JobState) Open() bool { return !l.Cancelled && len(l.hasResult) < len(l.Items) }
 
 // Item gives an item by id, and its place in the job.
-func (l *Listed) Item(id string) (*Item, int, bool) {
+func (l *JobState) Item(id string) (*Item, int, bool) {
 	for i := range l.Items {
 		if l.Items[i].ID == id {
 			return &l.Items[i], i, true
--- a/internal/state/jobs/partition.go
+++ b/internal/state/jobs/partition.go
@@ -14,28 +14,28 @@
 
 // Partition is the state of one partition. It is not safe for concurrent use.
 type Partition struct {
-	jobs map[string]*Listed
+	jobs map[string]*JobState
 	// incomplete are jobs and results whose records are not all there.
-	incomplete map[string]*parts
-	texts      map[string]*parts
-	ended      map[string]bool
-	next       int64
+	incompleteJobs    map[string]*recordSet
+	incompleteResults map[string]*recordSet
+	cancelled         map[string]bool
+	next              int64
 }
 
 // parts collects the pieces of what did not fit into one record.
-type parts struct {
-	head   *head
-	entry  *entry
-	pieces map[int][]byte
+type recordSet struct {
+	head   *headRecord
+	result *resultRecord
+	values map[int][]byte
 }
 
 // NewPartition returns an empty state.
 func NewPartition() *Partition {
 	return &Partition{
-		jobs:       map[string]*Listed{},
-		incomplete: map[string]*parts{},
-		texts:      map[string]*parts{},
-		ended:      map[string]bool{},
+		jobs:              map[string]*JobState{},
+		incompleteJobs:    map[string]*recordSet{},
+		incompleteResults: map[string]*recordSet{},
+		cancelled:         map[string]bool{},
 	}
 }
 
@@ -48,11 +48,11 @@
 	*p = *NewPartition()
 	records := slices.Clone(page.Records)
 	slices.SortFunc(records, func(a, b external.KeyedRecord) int {
-		return cmp.Or(cmp.Compare(rank(a.Key), rank(b.Key)), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(loadOrder(a.Key), loadOrder(b.Key)), cmp.Compare(a.Key, b.Key))
 	})
 	var problems []error
 	for _, record := range records {
-		problems = append(problems, p.record(record))
+		problems = append(problems, p.applyRecord(record))
 	}
 	p.next = page.Next
 	return errors.Join(problems...)
@@ -61,11 +61,11 @@
 // rank puts results behind the jobs that they belong to and behind the texts that
 // did not fit into them: a result that waits for its text would keep the ones after
 // it from their positions.
-func rank(key string) int {
+func loadOrder(key string) int {
 	switch {
-	case strings.HasPrefix(key, resultKey):
+	case strings.HasPrefix(key, resultPrefix):
 		return 2
-	case strings.HasPrefix(key, textKey), strings.HasPrefix(key, pieceKey):
+	case strings.HasPrefix(key, textPrefix), strings.HasPrefix(key, segmentPrefix):
 		return 1
 	default:
 		return 0
@@ -79,7 +79,7 @@
 	var problems []error
 	for _, record := range page.Records {
 		if record.Offset >= p.next {
-			problems = append(problems, p.record(record))
+			problems = append(problems, p.applyRecord(record))
 		}
 	}
 	p.next = max(p.next, page.Next)
@@ -87,156 +87,156 @@
 }
 
 // Job gives a job by id.
-func (p *Partition) Job(id string) (*Listed, bool) {
+func (p *Partition) Job(id string) (*JobState, bool) {
 	l, ok := p.jobs[id]
 	return l, ok
 }
 
 // Jobs gives all jobs.
-func (p *Partition) Jobs() map[string]*Listed { return p.jobs }
+func (p *Partition) Jobs() map[string]*JobState { return p.jobs }
 
-func (p *Partition) record(record external.KeyedRecord) error {
-	if len(record.Key) < len(headKey) {
+func (p *Partition) applyRecord(record external.KeyedRecord) error {
+	if len(record.Key) < len(headPrefix) {
 		return nil
 	}
-	kind, rest := record.Key[:len(headKey)], record.Key[len(headKey):]
+	kind, rest := record.Key[:len(headPrefix)], record.Key[len(headPrefix):]
 	if len(record.Value) == 0 {
-		p.dropped(kind, rest)
+		p.applyRemoval(kind, rest)
 		return nil
 	}
 	switch kind {
-	case headKey:
-		return p.headRecord(rest, record.Value)
-	case itemsKey:
-		return p.itemsRecord(rest, record.Value)
-	case resultKey:
-		return p.resultRecord(rest, record.Value)
-	case textKey:
-		return p.textRecord(rest, record.Value)
-	case pieceKey:
-		return p.pieceRecord(rest, record.Value)
-	case endKey:
-		p.ended[rest] = true
+	case headPrefix:
+		return p.applyHead(rest, record.Value)
+	case itemsPrefix:
+		return p.applyItems(rest, record.Value)
+	case resultPrefix:
+		return p.applyResult(rest, record.Value)
+	case textPrefix:
+		return p.applyText(rest, record.Value)
+	case segmentPrefix:
+		return p.applySegment(rest, record.Value)
+	case cancelPrefix:
+		p.cancelled[rest] = true
 		if job := p.jobs[rest]; job != nil {
-			job.Ended = true
+			job.Cancelled = true
 		}
 	}
 	return nil
 }
 
 // dropped forgets a job whose head was dropped.
-func (p *Partition) dropped(kind, rest string) {
+func (p *Partition) applyRemoval(kind, rest string) {
 	switch kind {
-	case headKey:
+	case headPrefix:
 		delete(p.jobs, rest)
-	case endKey:
-		delete(p.ended, rest)
-	case itemsKey:
-		if job, _, ok := cutNumber(rest); ok {
-			delete(p.incomplete, job)
+	case cancelPrefix:
+		delete(p.cancelled, rest)
+	case itemsPrefix:
+		if job, _, ok := splitNumber(rest); ok {
+			delete(p.incompleteJobs, job)
 		}
 	}
 }
 
-func collect(in map[string]*parts, key string) *parts {
+func setFor(in map[string]*recordSet, key string) *recordSet {
 	found := in[key]
 	if found == nil {
-		found = &parts{pieces: map[int][]byte{}}
+		found = &recordSet{values: map[int][]byte{}}
 		in[key] = found
 	}
 	return found
 }
 
-func (p *Partition) headRecord(id string, value []byte) error {
-	var h head
+func (p *Partition) applyHead(id string, value []byte) error {
+	var h headRecord
 	if err := cbor.Unmarshal(value, &h); err != nil {
 		return trace.Wrap(err, "head of job %s", id)
 	}
 	if p.jobs[id] != nil {
 		return nil
 	}
-	collect(p.incomplete, id).head = &h
-	return p.complete(id)
+	setFor(p.incompleteJobs, id).head = &h
+	return p.assembleJob(id)
 }
 
-func (p *Partition) itemsRecord(rest string, value []byte) error {
-	id, n, ok := cutNumber(rest)
+func (p *Partition) applyItems(rest string, value []byte) error {
+	id, n, ok := splitNumber(rest)
 	if !ok || p.jobs[id] != nil {
 		return nil
 	}
-	collect(p.incomplete, id).pieces[n] = value
-	return p.complete(id)
+	setFor(p.incompleteJobs, id).values[n] = value
+	return p.assembleJob(id)
 }
 
 // complete makes a job of its records once all are there.
-func (p *Partition) complete(id string) error {
-	found := p.incomplete[id]
-	if found.head == nil || len(found.pieces) < found.head.Parts {
+func (p *Partition) assembleJob(id string) error {
+	found := p.incompleteJobs[id]
+	if found.head == nil || len(found.values) < found.head.ItemRecords {
 		return nil
 	}
 	h := found.head
-	job := &Listed{
+	job := &JobState{
 		Job: Job{
 			ID: id, Organisation: h.Organisation, Host: h.Host, Prefix: h.Prefix, ConfigVersion: h.ConfigVersion,
-			Submitted: fromMillis(h.Submitted), Deadline: fromMillis(h.Due), ExpiresAt: fromMillis(h.GiveUp),
+			Submitted: fromMillis(h.Submitted), Deadline: fromMillis(h.Deadline), ExpiresAt: fromMillis(h.ExpiresAt),
 		},
-		Ended:     p.ended[id],
-		done:      map[string]bool{},
-		itemParts: h.Parts,
-		textParts: map[int]int{},
-		progress:  map[int]*kept{},
+		Cancelled:   p.cancelled[id],
+		hasResult:   map[string]bool{},
+		itemRecords: h.ItemRecords,
+		textRecords: map[int]int{},
+		progress:    map[int]*storedOutput{},
 	}
-	for n := range h.Parts {
+	for n := range h.ItemRecords {
 		var items []Item
-		if err := cbor.Unmarshal(found.pieces[n], &items); err != nil {
+		if err := cbor.Unmarshal(found.values[n], &items); err != nil {
 			return trace.Wrap(err, "items of job %s", id)
 		}
 		job.Items = append(job.Items, items...)
 	}
-	delete(p.incomplete, id)
+	delete(p.incompleteJobs, id)
 	p.jobs[id] = job
 	return nil
 }
 
-func (p *Partition) textRecord(rest string, value []byte) error {
-	key, n, ok := cutNumber(rest)
+func (p *Partition) applyText(rest string, value []byte) error {
+	key, n, ok := splitNumber(rest)
 	if !ok {
 		return nil
 	}
-	collect(p.texts, key).pieces[n] = value
-	return p.joined(key)
+	setFor(p.incompleteResults, key).values[n] = value
+	return p.assembleResult(key)
 }
 
-func (p *Partition) resultRecord(rest string, value []byte) error {
-	var e entry
+func (p *Partition) applyResult(rest string, value []byte) error {
+	var e resultRecord
 	if err := cbor.Unmarshal(value, &e); err != nil {
 		return trace.Wrap(err, "result %s", rest)
 	}
-	if e.Parts == 0 {
-		return p.result(rest, e)
+	if e.TextRecords == 0 {
+		return p.addResult(rest, e)
 	}
-	collect(p.texts, rest).entry = &e
-	return p.joined(rest)
+	setFor(p.incompleteResults, rest).result = &e
+	return p.assembleResult(rest)
 }
 
 // joined lists a result of several records once all are there.
-func (p *Partition) joined(key string) error {
-	found := p.texts[key]
-	if found.entry == nil || len(found.pieces) < found.entry.Parts {
+func (p *Partition) assembleResult(key string) error {
+	found := p.incompleteResults[key]
+	if found.result == nil || len(found.values) < found.result.TextRecords {
 		return nil
 	}
 	var text strings.Builder
-	for n := range found.entry.Parts {
-		text.Write(found.pieces[n])
+	for n := range found.result.TextRecords {
+		text.Write(found.values[n])
 	}
-	found.entry.Text = text.String()
-	delete(p.texts, key)
-	return p.result(key, *found.entry)
+	found.result.Text = text.String()
+	delete(p.incompleteResults, key)
+	return p.addResult(key, *found.result)
 }
 
 // result lists a result at its position.
-func (p *Partition) result(key string, e entry) error {
-	id, position, ok := cutNumber(key)
+func (p *Partition) addResult(key string, e resultRecord) error {
+	id, position, ok := splitNumber(key)
 	if !ok {
 		return trace.BadParameter("result under key %q", key)
 	}
@@ -248,9 +248,9 @@
 		return trace.BadParameter("result %d of job %s comes before result %d", position, id, len(job.Results))
 	}
 	job.Results = append(job.Results, Result{Item: e.Item, Outcome: e.Outcome, Text: e.Text})
-	job.done[e.Item] = true
-	if e.Parts > 0 {
-		job.textParts[position] = e.Parts
+	job.hasResult[e.Item] = true
+	if e.TextRecords > 0 {
+		job.textRecords[position] = e.TextRecords
 	}
 	if item, place, ok := job.Item(e.Item); ok {
 		// The body is asked for only until the item is listed, and nobody goes on
--- a/internal/state/jobs/partition_test.go
+++ b/internal/state/jobs/partition_test.go
@@ -15,7 +15,7 @@
 
 // script is the records of a job whose results are of different lengths, in the
 // order in which they are written.
-func script(t *testing.T, results int) []external.KeyedRecord {
+func jobRecords(t *testing.T, results int) []external.KeyedRecord {
 	t.Helper()
 	job := &Job{ID: "job", Organisation: "o", Submitted: time.UnixMilli(5)}
 	for i := range results {
@@ -38,8 +38,8 @@
 // An instance takes a partition over and reads the newest record of each key, in
 // no order; another one has followed the log all the time. A caller that asks
 // first the one and then the other must see the same results at the same places.
-func TestLoadingAndFollowingComeToTheSame(t *testing.T) {
-	records := script(t, 12)
+func TestLoadAndApplyGiveTheSameState(t *testing.T) {
+	records := jobRecords(t, 12)
 	followed := NewPartition()
 	for _, record := range records {
 		require.NoError(t, followed.Apply(external.KeyedPage{Records: []external.KeyedRecord{record}, Next: record.Offset + 1}))
@@ -58,32 +58,32 @@
 }
 
 // What removes a job must name every key that it has, or the store fills up.
-func TestDropNamesEveryKey(t *testing.T) {
-	records := script(t, 12)
+func TestRemovalNamesEveryKey(t *testing.T) {
+	records := jobRecords(t, 12)
 	p := NewPartition()
 	require.NoError(t, p.Load(external.KeyedPage{Records: records}))
 	l, _ := p.Job("job")
 	named := map[string]bool{}
-	for _, record := range EncodeDrop(l) {
+	for _, record := range EncodeRemoval(l) {
 		require.Empty(t, record.Value)
 		named[record.Key] = true
 	}
 	for _, record := range records {
 		require.True(t, named[record.Key], record.Key)
 	}
-	require.NoError(t, p.Apply(external.KeyedPage{Records: EncodeDrop(l), Next: 1000}))
+	require.NoError(t, p.Apply(external.KeyedPage{Records: EncodeRemoval(l), Next: 1000}))
 	_, known := p.Job("job")
 	require.False(t, known)
 }
 
 // pieces puts parts of the first item into a partition that has a job, in order.
-func withPieces(t *testing.T, pieces ...Piece) *Listed {
+func jobWithSegments(t *testing.T, pieces ...OutputSegment) *JobState {
 	t.Helper()
 	p := NewPartition()
-	require.NoError(t, p.Load(external.KeyedPage{Records: script(t, 12)[:3+1]}))
+	require.NoError(t, p.Load(external.KeyedPage{Records: jobRecords(t, 12)[:3+1]}))
 	var records []external.KeyedRecord
 	for i, piece := range pieces {
-		record, err := EncodePiece("job", piece, recordBytes)
+		record, err := EncodeSegment("job", piece, recordBytes)
 		require.NoError(t, err)
 		record.Offset = int64(100 + i)
 		records = append(records, record)
@@ -94,33 +94,33 @@
 	return l
 }
 
-func TestPartsThatFollowAreJoined(t *testing.T) {
-	first := Piece{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb", Worked: time.Second}
-	second := Piece{Tag: 8, Follows: 7, Number: 1, After: 1, Events: 1, Position: 2, Text: "c", Worked: 2 * time.Second}
-	got, ok := withPieces(t, first, second).Progress(0)
+func TestConsecutiveSegmentsAreJoined(t *testing.T) {
+	first := OutputSegment{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb", RunTime: time.Second}
+	second := OutputSegment{Tag: 8, Follows: 7, Number: 1, After: 1, Events: 1, Position: 2, Text: "c", RunTime: 2 * time.Second}
+	got, ok := jobWithSegments(t, first, second).Progress(0)
 	require.True(t, ok)
-	require.Equal(t, Progress{Tag: 8, Parts: 2, Events: 3, Position: 2, Text: "a\nb\nc", Worked: 2 * time.Second}, got)
+	require.Equal(t, Progress{Tag: 8, Segments: 2, Events: 3, Position: 2, Text: "a\nb\nc", RunTime: 2 * time.Second}, got)
 }
 
 // An instance that was thought dead goes on writing parts, or an item began anew and
 // old parts are still there. Joined with the new ones, the text would hold pieces of
 // two runs of which the second was not asked to go on there, or an event twice.
-func TestPartsThatDoNotFollowAreLeftOut(t *testing.T) {
-	first := Piece{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb"}
-	for name, other := range map[string]Piece{
+func TestNonConsecutiveSegmentsAreIgnored(t *testing.T) {
+	first := OutputSegment{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb"}
+	for name, other := range map[string]OutputSegment{
 		"of another part":        {Tag: 8, Follows: 9, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"},
 		"after another position": {Tag: 8, Follows: 7, Number: 1, After: 0, Events: 1, Position: 1, Text: "x"},
 		"with a gap":             {Tag: 8, Follows: 7, Number: 2, After: 1, Events: 1, Position: 2, Text: "x"},
 	} {
-		got, ok := withPieces(t, first, other).Progress(0)
+		got, ok := jobWithSegments(t, first, other).Progress(0)
 		require.True(t, ok, name)
 		require.Equal(t, "a\nb", got.Text, name)
-		require.Equal(t, 1, got.Parts, name)
+		require.Equal(t, 1, got.Segments, name)
 	}
-	anew := Piece{Tag: 9, After: -1, Events: 1, Position: 0, Text: "z"}
-	got, _ := withPieces(t, first, anew).Progress(0)
+	anew := OutputSegment{Tag: 9, After: -1, Events: 1, Position: 0, Text: "z"}
+	got, _ := jobWithSegments(t, first, anew).Progress(0)
 	require.Equal(t, "z", got.Text)
-	_, ok := withPieces(t, Piece{Tag: 8, Follows: 7, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"}).Progress(0)
+	_, ok := jobWithSegments(t, OutputSegment{Tag: 8, Follows: 7, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"}).Progress(0)
 	require.False(t, ok, "the beginning is missing")
 }
 
@@ -129,21 +129,21 @@
 // one after it. By chance both next parts end at the same event, and the one that is
 // kept is that of the other instance. Joined with the part after it, the text would
 // hold pieces of two runs.
-func TestPartsOfTwoHoldersAreNotJoined(t *testing.T) {
-	first := Piece{Tag: 1, After: -1, Events: 2, Position: 1, Text: "a\nb"}
-	other := Piece{Tag: 4, Follows: 1, Number: 1, After: 1, Events: 1, Position: 2, Text: "C"}
-	after := Piece{Tag: 3, Follows: 2, Number: 2, After: 2, Events: 1, Position: 3, Text: "d"}
-	got, ok := withPieces(t, first, other, after).Progress(0)
+func TestSegmentsOfTwoOwnersAreNotJoined(t *testing.T) {
+	first := OutputSegment{Tag: 1, After: -1, Events: 2, Position: 1, Text: "a\nb"}
+	other := OutputSegment{Tag: 4, Follows: 1, Number: 1, After: 1, Events: 1, Position: 2, Text: "C"}
+	after := OutputSegment{Tag: 3, Follows: 2, Number: 2, After: 2, Events: 1, Position: 3, Text: "d"}
+	got, ok := jobWithSegments(t, first, other, after).Progress(0)
 	require.True(t, ok)
 	require.Equal(t, "a\nb\nC", got.Text)
 }
 
 // Parts of an item that is listed are of no use, and one that comes late must not be
 // left in the store when the job is dropped.
-func TestLatePartsAreDroppedWithTheJob(t *testing.T) {
+func TestLateSegmentsAreRemovedWithTheJob(t *testing.T) {
 	p := NewPartition()
-	require.NoError(t, p.Load(external.KeyedPage{Records: script(t, 12)}))
-	record, err := EncodePiece("job", Piece{Tag: 7, After: -1, Events: 1, Position: 0, Text: "a"}, recordBytes)
+	require.NoError(t, p.Load(external.KeyedPage{Records: jobRecords(t, 12)}))
+	record, err := EncodeSegment("job", OutputSegment{Tag: 7, After: -1, Events: 1, Position: 0, Text: "a"}, recordBytes)
 	require.NoError(t, err)
 	record.Offset = 500
 	require.NoError(t, p.Apply(external.KeyedPage{Records: []external.KeyedRecord{record}, Next: 501}))
@@ -151,7 +151,7 @@
 	_, ok := l.Progress(0)
 	require.False(t, ok)
 	var named []string
-	for _, dropped := range EncodeDrop(l) {
+	for _, dropped := range EncodeRemoval(l) {
 		named = append(named, dropped.Key)
 	}
 	require.Contains(t, named, record.Key)
@@ -159,12 +159,12 @@
 
 // An item that always fails goes from holder to holder. Each must know how often it
 // failed before, also after it began anew.
-func TestFailuresOutliveBeginnings(t *testing.T) {
-	failed := Piece{Tag: 8, After: -1, Position: -1, Failures: 2}
-	got, ok := withPieces(t, Piece{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb", Failures: 1}, failed).Progress(0)
+func TestFailureCountSurvivesRestartOfItem(t *testing.T) {
+	failed := OutputSegment{Tag: 8, After: -1, Position: -1, Failures: 2}
+	got, ok := jobWithSegments(t, OutputSegment{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb", Failures: 1}, failed).Progress(0)
 	require.True(t, ok)
-	require.Equal(t, Progress{Tag: 8, Parts: 1, Position: -1, Failures: 2}, got)
-	next := Piece{Tag: 9, Follows: 8, Number: 1, After: -1, Events: 1, Position: 0, Text: "z", Failures: 2}
-	got, _ = withPieces(t, failed, next).Progress(0)
-	require.Equal(t, Progress{Tag: 9, Parts: 2, Events: 1, Position: 0, Text: "z", Failures: 2}, got)
+	require.Equal(t, Progress{Tag: 8, Segments: 1, Position: -1, Failures: 2}, got)
+	next := OutputSegment{Tag: 9, Follows: 8, Number: 1, After: -1, Events: 1, Position: 0, Text: "z", Failures: 2}
+	got, _ = jobWithSegments(t, failed, next).Progress(0)
+	require.Equal(t, Progress{Tag: 9, Segments: 2, Events: 1, Position: 0, Text: "z", Failures: 2}, got)
 }
--- a/internal/state/jobs/progress.go
+++ b/internal/state/jobs/progress.go
@@ -27,18 +27,18 @@
 	// Tag is that of the last part.
 	Tag uint64
 	// Parts is how many there are, and the number of the next one.
-	Parts int
+	Segments int
 	// Events counts the events, Position is the last of them.
 	Events, Position int
 	Text             string
 	// Worked is the time that runs have taken for them.
-	Worked time.Duration
+	RunTime time.Duration
 	// Failures are the runs that targets ended as failed, however often it began anew.
 	Failures int
 }
 
 // Piece is a part on its way into the log.
-type Piece struct {
+type OutputSegment struct {
 	// Item is the item's place in its job.
 	Item int
 	// Tag is the part's own, and no other part has it. Follows is that of the part
@@ -48,71 +48,71 @@
 	Number, After    int
 	Events, Position int
 	Text             string
-	Worked           time.Duration
+	RunTime          time.Duration
 	Failures         int
 }
 
 // piece is the record of a part.
-type piece struct {
+type segmentRecord struct {
 	Tag      uint64 `cbor:"1,keyasint"`
 	After    int    `cbor:"2,keyasint"`
 	Position int    `cbor:"3,keyasint"`
 	Events   int    `cbor:"4,keyasint"`
 	Text     string `cbor:"5,keyasint"`
 	// Worked is in milliseconds.
-	Worked   int64  `cbor:"6,keyasint"`
+	RunTime  int64  `cbor:"6,keyasint"`
 	Failures int    `cbor:"7,keyasint,omitempty"`
 	Follows  uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // EncodePiece gives the record of a part. A part that does not fit into a record is
 // an error; its item runs on without being kept.
-func EncodePiece(job string, p Piece, recordBytes int) (external.KeyedRecord, error) {
+func EncodeSegment(job string, p OutputSegment, recordBytes int) (external.KeyedRecord, error) {
 	if len(p.Text) > recordBytes-recordOverhead {
 		return external.KeyedRecord{}, trace.LimitExceeded("part %d of item %d of job %s is too large for a record", p.Number, p.Item, job)
 	}
-	value, err := cbor.Marshal(piece{
-		Tag: p.Tag, Follows: p.Follows, After: p.After, Position: p.Position, Events: p.Events, Text: p.Text, Worked: p.Worked.Milliseconds(),
+	value, err := cbor.Marshal(segmentRecord{
+		Tag: p.Tag, Follows: p.Follows, After: p.After, Position: p.Position, Events: p.Events, Text: p.Text, RunTime: p.RunTime.Milliseconds(),
 		Failures: p.Failures,
 	})
 	if err != nil {
 		return external.KeyedRecord{}, trace.Wrap(err)
 	}
-	return external.KeyedRecord{Key: part(position6(pieceKey+job, p.Item), p.Number), Value: value}, nil
+	return external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+job, p.Item), p.Number), Value: value}, nil
 }
 
 // DropProgress gives the records that remove what was kept of an item.
-func (l *Listed) DropProgress(item int) []external.KeyedRecord {
+func (l *JobState) EncodeProgressRemoval(item int) []external.KeyedRecord {
 	kept := l.progress[item]
 	if kept == nil {
 		return nil
 	}
-	records := make([]external.KeyedRecord, 0, kept.most)
-	for n := range kept.most {
-		records = append(records, external.KeyedRecord{Key: part(position6(pieceKey+l.ID, item), n)})
+	records := make([]external.KeyedRecord, 0, kept.maxSegments)
+	for n := range kept.maxSegments {
+		records = append(records, external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+l.ID, item), n)})
 	}
 	return records
 }
 
 // kept is the progress of one item, with the number of parts there ever were.
-type kept struct {
+type storedOutput struct {
 	Progress
-	most int
+	maxSegments int
 }
 
 // Progress gives what was kept of an item.
-func (l *Listed) Progress(item int) (Progress, bool) {
+func (l *JobState) Progress(item int) (Progress, bool) {
 	found := l.progress[item]
-	if found == nil || found.Parts == 0 {
+	if found == nil || found.Segments == 0 {
 		return Progress{}, false
 	}
 	return found.Progress, true
 }
 
 // pieceRecord adds a part, if it follows what there is.
-func (p *Partition) pieceRecord(rest string, value []byte) error {
-	rest, number, ok := cutNumber(rest)
-	id, item, okItem := cutNumber(rest)
+func (p *Partition) applySegment(rest string, value []byte) error {
+	rest, number, ok := splitNumber(rest)
+	id, item, okItem := splitNumber(rest)
 	if !ok || !okItem {
 		return trace.BadParameter("part of an item under key %q", rest)
 	}
@@ -122,14 +122,14 @@
 	}
 	found := job.progress[item]
 	if found == nil {
-		found = &kept{}
+		found = &storedOutput{}
 		job.progress[item] = found
 	}
-	found.most = max(found.most, number+1)
-	if job.done[job.Items[item].ID] {
+	found.maxSegments = max(found.maxSegments, number+1)
+	if job.hasResult[job.Items[item].ID] {
 		return nil
 	}
-	var record piece
+	var record segmentRecord
 	if err := cbor.Unmarshal(value, &record); err != nil {
 		return trace.Wrap(err, "part %d of item %d of job %s", number, item, id)
 	}
@@ -137,12 +137,12 @@
 	return nil
 }
 
-func (k *kept) add(number int, record piece) {
+func (k *storedOutput) add(number int, record segmentRecord) {
 	k.Failures = max(k.Failures, record.Failures)
 	switch {
 	case number == 0 && record.After == exchange.FromStart:
 		k.Progress = Progress{Failures: k.Failures}
-	case k.Parts == 0 || record.Follows != k.Tag || number != k.Parts || record.After != k.Position:
+	case k.Segments == 0 || record.Follows != k.Tag || number != k.Segments || record.After != k.Position:
 		return
 	}
 	if k.Events > 0 {
@@ -151,8 +151,8 @@
 		k.Text = record.Text
 	}
 	k.Tag = record.Tag
-	k.Parts++
+	k.Segments++
 	k.Events += record.Events
 	k.Position = record.Position
-	k.Worked = time.Duration(record.Worked) * time.Millisecond
+	k.RunTime = time.Duration(record.RunTime) * time.Millisecond
 }
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -14,38 +14,38 @@
 
 // Keys begin with a letter for what they hold, then the job.
 const (
-	headKey   = "j/"
-	itemsKey  = "i/"
-	resultKey = "r/"
-	textKey   = "t/"
-	endKey    = "e/"
-	pieceKey  = "p/"
+	headPrefix    = "j/"
+	itemsPrefix   = "i/"
+	resultPrefix  = "r/"
+	textPrefix    = "t/"
+	cancelPrefix  = "e/"
+	segmentPrefix = "p/"
 	// MaxID is the longest id of a job, so that all keys fit into the log's
 	// bound of 255 bytes.
 	MaxID = 200
 )
 
 // head is the record that makes a job exist.
-type head struct {
+type headRecord struct {
 	Organisation  string `cbor:"1,keyasint"`
 	Host          string `cbor:"2,keyasint"`
 	Prefix        string `cbor:"3,keyasint"`
 	ConfigVersion int64  `cbor:"4,keyasint"`
 	// Submitted, Due and GiveUp are in Unix milliseconds.
 	Submitted int64 `cbor:"5,keyasint"`
-	Due       int64 `cbor:"6,keyasint"`
-	GiveUp    int64 `cbor:"7,keyasint"`
+	Deadline  int64 `cbor:"6,keyasint"`
+	ExpiresAt int64 `cbor:"7,keyasint"`
 	// Parts is the number of records of items.
-	Parts int `cbor:"8,keyasint"`
+	ItemRecords int `cbor:"8,keyasint"`
 }
 
 // entry is the record of a result.
-type entry struct {
+type resultRecord struct {
 	Item    string  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
 	// Text is empty if it stands in Parts records of its own.
-	Text  string `cbor:"3,keyasint,omitempty"`
-	Parts int    `cbor:"4,keyasint,omitempty"`
+	Text        string `cbor:"3,keyasint,omitempty"`
+	TextRecords int    `cbor:"4,keyasint,omitempty"`
 }
 
 // recordOverhead is left free in a record for its key and its encoding.
@@ -71,18 +71,18 @@
 		if len(value) > recordBytes-recordOverhead/2 {
 			return nil, trace.LimitExceeded("item %q is too large for a record", job.Items[start].ID)
 		}
-		records = append(records, external.KeyedRecord{Key: part(itemsKey+job.ID, len(records)), Value: value})
+		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+job.ID, len(records)), Value: value})
 		start = end
 	}
-	value, err := cbor.Marshal(head{
+	value, err := cbor.Marshal(headRecord{
 		Organisation: job.Organisation, Host: job.Host, Prefix: job.Prefix, ConfigVersion: job.ConfigVersion,
-		Submitted: job.Submitted.UnixMilli(), Due: job.Deadline.UnixMilli(), GiveUp: job.ExpiresAt.UnixMilli(),
-		Parts: len(records),
+		Submitted: job.Submitted.UnixMilli(), Deadline: job.Deadline.UnixMilli(), ExpiresAt: job.ExpiresAt.UnixMilli(),
+		ItemRecords: len(records),
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return append(records, external.KeyedRecord{Key: headKey + job.ID, Value: value}), nil
+	return append(records, external.KeyedRecord{Key: headPrefix + job.ID, Value: value}), nil
 }
 
 func itemSize(item *Item) int {
@@ -95,21 +95,21 @@
 }
 
 // EncodeEnd gives the record that ends a job.
-func EncodeEnd(job string) external.KeyedRecord {
-	return external.KeyedRecord{Key: endKey + job, Value: []byte{1}}
+func EncodeCancellation(job string) external.KeyedRecord {
+	return external.KeyedRecord{Key: cancelPrefix + job, Value: []byte{1}}
 }
 
 // EncodeResult gives the records of a result at a position.
 func EncodeResult(job string, position int, result Result, recordBytes int) ([]external.KeyedRecord, error) {
-	key := position6(resultKey+job, position)
-	record := entry{Item: result.Item, Outcome: result.Outcome, Text: result.Text}
+	key := indexKey(resultPrefix+job, position)
+	record := resultRecord{Item: result.Item, Outcome: result.Outcome, Text: result.Text}
 	var records []external.KeyedRecord
 	if limit := recordBytes - recordOverhead; len(result.Text) > limit {
 		record.Text = ""
-		for text := result.Text; len(text) > 0; record.Parts++ {
+		for text := result.Text; len(text) > 0; record.TextRecords++ {
 			n := min(limit, len(text))
 			records = append(records, external.KeyedRecord{
-				Key: part(position6(textKey+job, position), record.Parts), Value: []byte(text[:n]),
+				Key: recordKey(indexKey(textPrefix+job, position), record.TextRecords), Value: []byte(text[:n]),
 			})
 			text = text[n:]
 		}
@@ -123,29 +123,29 @@
 
 // EncodeDrop gives the records that remove all of a job, its head first: a reader
 // that finds only some of them finds no job.
-func EncodeDrop(l *Listed) []external.KeyedRecord {
-	records := []external.KeyedRecord{{Key: headKey + l.ID}, {Key: endKey + l.ID}}
-	for n := range l.itemParts {
-		records = append(records, external.KeyedRecord{Key: part(itemsKey+l.ID, n)})
+func EncodeRemoval(l *JobState) []external.KeyedRecord {
+	records := []external.KeyedRecord{{Key: headPrefix + l.ID}, {Key: cancelPrefix + l.ID}}
+	for n := range l.itemRecords {
+		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+l.ID, n)})
 	}
 	for position := range l.Results {
-		records = append(records, external.KeyedRecord{Key: position6(resultKey+l.ID, position)})
-		for n := range l.textParts[position] {
-			records = append(records, external.KeyedRecord{Key: part(position6(textKey+l.ID, position), n)})
+		records = append(records, external.KeyedRecord{Key: indexKey(resultPrefix+l.ID, position)})
+		for n := range l.textRecords[position] {
+			records = append(records, external.KeyedRecord{Key: recordKey(indexKey(textPrefix+l.ID, position), n)})
 		}
 	}
 	for item := range l.Items {
-		records = append(records, l.DropProgress(item)...)
+		records = append(records, l.EncodeProgressRemoval(item)...)
 	}
 	return records
 }
 
 // Keys are of fixed width, so that they sort by number.
-func part(key string, n int) string      { return fmt.Sprintf("%s/%04d", key, n) }
-func position6(key string, n int) string { return fmt.Sprintf("%s/%06d", key, n) }
+func recordKey(key string, n int) string { return fmt.Sprintf("%s/%04d", key, n) }
+func indexKey(key string, n int) string  { return fmt.Sprintf("%s/%06d", key, n) }
 
 // cutNumber splits a key before its last slash.
-func cutNumber(key string) (rest string, n int, ok bool) {
+func splitNumber(key string) (rest string, n int, ok bool) {
 	at := strings.LastIndexByte(key, '/')
 	if at < 0 {
 		return "", 0, false
