--- a/internal/coordination/routed/batchjobs/answer.go
+++ b/internal/coordination/routed/batchjobs/answer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// results waits for results of a job and gives them.
+// results returns results of a job, and waits for the first one up to call.Wait.
 func (p *partitionReplica) results(ctx context.Context, call ResultsCall) ResultsReply {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait)
 	defer cancel()
@@ -25,7 +25,8 @@
 	}
 }
 
-// absent is the verdict on a job that is not there.
+// notFound is the verdict on a job that is not in the state: NotDone if the partition
+// is not loaded yet, else Missing.
 func (p *partitionReplica) notFound(found jobSnapshot, job, organisation string) Verdict {
 	if !found.loaded {
 		return NotDone
@@ -34,7 +35,7 @@
 	return Missing
 }
 
-// page gives the results from a position on, at least one if there is one, and
+// resultsPage returns the results from a position on: at least one if there is one, and
 // no more than fit into an answer.
 func resultsPage(s *jobSnapshot, after int) ResultsReply {
 	reply := ResultsReply{Verdict: Done, Total: s.total}
@@ -49,7 +50,7 @@
 	return reply
 }
 
-// body gives the body of an item that is not listed.
+// body returns the body of an item that has no published result.
 func (p *partitionReplica) body(call BodyCall) BodyReply {
 	found, _ := p.job(call.Job)
 	if !found.known || found.organisation != call.Organisation {
@@ -68,7 +69,7 @@
 	return BodyReply{Verdict: Done, Body: item.Body}
 }
 
-// known says whether a job is there.
+// lookUp says whether a job exists.
 func (p *partitionReplica) lookUp(job string) Verdict {
 	found, _ := p.job(job)
 	switch {
@@ -81,7 +82,7 @@
 	}
 }
 
-// ready reads all that is new, and everything at first.
+// catchUp reads all new records, or the whole partition if it is not loaded yet.
 func (p *partitionReplica) catchUp(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
--- a/internal/coordination/routed/batchjobs/calls.go
+++ b/internal/coordination/routed/batchjobs/calls.go
@@ -6,24 +6,24 @@
 	"merlintiller/internal/state/jobs"
 )
 
-// Verdict is how a call ended.
+// Verdict says how a call ended.
 type Verdict int
 
 // The verdicts. Only NotDone promises that the call had no effect.
 const (
-	// Done: the call took effect, or had done so before.
+	// Done: the call took effect, or an earlier one had.
 	Done Verdict = iota
-	// Unknown: there is no such job, or the item is listed already.
+	// Missing: there is no such job, or the item has a result already.
 	Missing
 	// NotDone: the call had no effect and never will.
 	NotDone
 	// Unsure: the call may have taken effect, or may do so later.
 	Unsure
-	// NotHeld: the instance that was asked does not hold the partition.
+	// NotHeld: the called instance does not own the partition.
 	NotHeld
 )
 
-// String names a verdict in logs.
+// String is the name of the verdict in logs.
 func (v Verdict) String() string {
 	return [...]string{"done", "missing", "not_done", "unsure", "not_held"}[v]
 }
@@ -32,13 +32,13 @@
 type ResultsCall struct {
 	Job          string
 	Organisation string
-	// After is the first position wanted, Wait how long to wait for a result
-	// there.
+	// After is the first position wanted, Wait how long to wait for a result at
+	// that position.
 	After int
 	Wait  time.Duration
 }
 
-// ResultsReply is a part of a job's results.
+// ResultsReply is a page of a job's results.
 type ResultsReply struct {
 	Verdict Verdict
 	// Total is the number of the job's items.
@@ -46,13 +46,13 @@
 	Results []jobs.Result
 }
 
-// BodyCall asks for the body of an item that is not listed yet.
+// BodyCall asks for the body of an item that has no published result.
 type BodyCall struct {
 	Job, Item    string
 	Organisation string
 }
 
-// BodyReply is the body.
+// BodyReply carries the body.
 type BodyReply struct {
 	Verdict Verdict
 	Body    []byte
@@ -64,20 +64,20 @@
 	Organisation string
 }
 
-// JobReply is the end of a call without content.
+// JobReply is the reply to a call that returns nothing else.
 type JobReply struct {
 	Verdict Verdict
 }
 
-// AcceptCall hands a job to an instance that reaches the store.
+// AcceptCall passes a job to an instance that reaches the store.
 type AcceptCall struct {
 	Job jobs.Job
 }
 
-// ResultOf is a result on its way to the holder of its partition.
+// ItemResult is a result that is sent to the owner of its partition.
 type ItemResult jobs.Result
 
-// YieldCall asks for the slot back that was given under a number.
+// YieldCall asks for the slot that was granted under a number.
 type YieldCall struct {
 	Number uint64
 }
--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -6,10 +6,11 @@
 	"merlintiller/internal/coordination/routed/mesh"
 )
 
-// claimsFresh is how long a look at the claims counts.
+// claimsMaxAge is how long claims that were read are used.
 const claimsMaxAge = 50 * time.Millisecond
 
-// Claims gives the items that run here though their partition is held elsewhere.
+// Claims returns the items that run here, or whose results are being delivered, while
+// another instance owns their partition.
 func (r *Runner) Claims() []mesh.Claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,7 +26,7 @@
 	return claims
 }
 
-// readClaims takes over what other instances say that they run.
+// refreshClaims reads the claims of other instances. The caller holds the lock.
 func (r *Runner) refreshClaims(now time.Time) {
 	if now.Sub(r.claimsReadAt) < claimsMaxAge {
 		return
@@ -37,20 +38,19 @@
 	}
 }
 
-// takeOver says until when items of a partition that came here at a time wait to be
-// begun, and until when another instance may claim that it runs them.
+// inheritedItemTimes returns when items of a partition acquired at a given time may
+// start, and until when other instances may claim them.
 //
-// The load it answers: all instances were killed and start again. Nobody can run
-// anything, and items that are due within seconds would wait for claims that nobody
-// makes, beside targets that are idle.
-func (r *Runner) inheritedItemTimes(now, held time.Time) (begin, claims time.Time) {
+// After a restart of all instances no instance runs anything. Waiting the usual time
+// for claims would leave targets idle while items are due within seconds.
+func (r *Runner) inheritedItemTimes(now, acquiredAt time.Time) (start, claimsUntil time.Time) {
 	for _, p := range r.opts.Peers.Peers() {
 		if p.State != mesh.Up {
 			continue
 		}
 		if p.Beat.HasLost || !p.Beat.Young {
-			return held.Add(claimWait), held.Add(claimWait)
+			return acquiredAt.Add(claimWait), acquiredAt.Add(claimWait)
 		}
 	}
-	return held.Add(restartClaimWait), held
+	return acquiredAt.Add(restartClaimWait), acquiredAt
 }
--- a/internal/coordination/routed/batchjobs/doc.go
+++ b/internal/coordination/routed/batchjobs/doc.go
@@ -1,14 +1,15 @@
-// Package batchjobs takes batch jobs, runs their items and gives out their
+// Package batchjobs accepts batch jobs, runs their items and returns their
 // results, at any instance.
 //
-// A job lasts once its records stand in the platform's store; only then is it
-// accepted. The jobs are divided into partitions by their ids, and the store
-// deals the partitions to instances. The holder of a partition runs its items
-// and lists their results; any other instance asks the holder, or reads the
-// store itself if the holder can't be reached.
+// A job is accepted only when its records are in the platform's store. Jobs are
+// divided into partitions by their ids, and the store assigns the partitions to
+// instances. The owner of a partition runs its items and publishes their
+// results: it gives each result its position in the job. Every other instance
+// asks the owner, or reads the store itself if the owner can't be reached.
 //
-// Holding is a matter of economy, never of correctness. While a partition is
-// dealt anew two instances may hold it, and both may run an item: that costs
-// work. Results are listed under a condition on the end of the partition, see
-// package jobs, so that each item is listed once and stays where it is.
+// Ownership saves work; correctness does not depend on it. While a partition is
+// being reassigned, two instances may own it and both may run an item, which
+// costs work. Results are appended on the condition that the partition ends
+// where the writer expects (see package jobs). So each item gets one result, and
+// the result keeps its position.
 package batchjobs
--- a/internal/coordination/routed/batchjobs/estimate.go
+++ b/internal/coordination/routed/batchjobs/estimate.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// firstRun and firstEvents are taken for the length of an item until some
-	// have ended.
+	// initialRunTime and initialEvents are the estimates before any item has
+	// finished.
 	initialRunTime = 5 * time.Second
 	initialEvents  = 200
-	// paceWeight is the weight of each further item in the means.
+	// sampleWeight is the weight of each further item in the moving averages.
 	sampleWeight = 0.1
-	// leastLeft is the part of a usual run that an item is thought to need at
-	// least, however far it has come.
+	// minRemainingShare is the least part of the usual run time that an item is
+	// expected to need, however far it has come.
 	minRemainingShare = 0.1
 )
 
-// pace is the usual length of items, as moving means.
+// runEstimate is the usual run time and length of items, as moving averages.
 type runEstimate struct {
 	runTime time.Duration
 	events  float64
@@ -22,14 +22,14 @@
 
 func newRunEstimate() runEstimate { return runEstimate{runTime: initialRunTime, events: initialEvents} }
 
-// learn takes in an item that was done.
-func (p *runEstimate) observe(events int, worked time.Duration) {
-	p.runTime += time.Duration(sampleWeight * float64(worked-p.runTime))
-	p.events += sampleWeight * (float64(events) - p.events)
+// observe adds a finished item to the averages.
+func (e *runEstimate) observe(events int, runTime time.Duration) {
+	e.runTime += time.Duration(sampleWeight * float64(runTime-e.runTime))
+	e.events += sampleWeight * (float64(events) - e.events)
 }
 
-// left is how long an item with so many events still takes.
-func (p *runEstimate) remaining(events int) time.Duration {
-	share := max(minRemainingShare, 1-float64(events)/p.events)
-	return time.Duration(share * float64(p.runTime))
+// remaining estimates the run time left for an item that has some events already.
+func (e *runEstimate) remaining(events int) time.Duration {
+	share := max(minRemainingShare, 1-float64(events)/e.events)
+	return time.Duration(share * float64(e.runTime))
 }
--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -11,39 +11,42 @@
 )
 
 const (
-	// deliverEvery is how often a holder is looked for, deliverFor how long.
-	// After that the item is run again by whoever holds its partition.
+	// deliveryRetryInterval is how often the runner tries to reach the owner of a
+	// partition, deliveryTimeout for how long. After that, the owner runs the item
+	// again.
 	deliveryRetryInterval = 200 * time.Millisecond
 	deliveryTimeout       = 10 * time.Second
 )
 
-// Part is the output of an item that is not whole.
+// PartialOutput is the incomplete output of an item.
 type PartialOutput struct {
 	Job, Item string
 	Text      string
 	Events    int
-	// Position is the last event of it.
+	// Position is the position of its last event.
 	Position int
-	// Worked is the time that runs have taken so far.
+	// RunTime is the time that runs have taken so far.
 	RunTime time.Duration `cbor:"Worked"`
-	// Failures are the runs that targets ended as failed.
+	// Failures counts the runs that targets reported as failed.
 	Failures int
 }
 
-// FinishCall tells the holder of a partition that an item was done elsewhere.
+// FinishCall gives the owner of a partition the result of an item that another
+// instance ran.
 type FinishCall struct {
 	Job    string
 	Result ItemResult
 }
 
-// delivers counts a result that will be delivered. The item stays claimed until
-// it is. It needs the lock.
+// startDelivery registers a result for delivery. The item stays claimed until the
+// result is delivered. The caller holds the lock.
 func (r *Runner) startDelivery(f finishedItem) {
 	r.handOvers.Add(1)
 	r.delivering[itemID{f.job, f.result.Item}] = true
 }
 
-// deliver tells the holder of a partition of a result, which delivers has counted.
+// deliverResult sends the owner of a partition a result that startDelivery has
+// registered.
 func (r *Runner) deliverResult(f finishedItem) {
 	call := FinishCall{Job: f.job, Result: ItemResult(f.result)}
 	r.sendToOwner(f.job, f.result.Item, methodFinish, &call, func(p *partitionReplica) { p.addResult(f) })
@@ -52,13 +55,14 @@
 	delete(r.delivering, itemID{f.job, f.result.Item})
 }
 
-// deliverPart hands the output of an item that is not whole to the holder. The
-// caller has counted it in handing.
+// deliverPartialOutput sends incomplete output to the owner of the item's partition.
+// The caller has counted it in handOvers.
 func (r *Runner) deliverPartialOutput(output PartialOutput) {
 	r.sendToOwner(output.Job, output.Item, methodHandBack, &output, func(p *partitionReplica) { p.addPartialOutput(output) })
 }
 
-// toHolder calls whoever holds the partition of a job, as soon as that is known.
+// sendToOwner calls the owner of a job's partition, and retries until there is one
+// that answers. If this instance is the owner, it calls local instead.
 func (r *Runner) sendToOwner(job, item, method string, args any, local func(*partitionReplica)) {
 	defer r.handOvers.Add(-1)
 	r.mu.Lock()
@@ -81,19 +85,20 @@
 	_ = level.Warn(r.opts.Logger).Log("event", "item_not_handed_over", "item", item, "job", job, "call", method)
 }
 
+// callOwner calls the owner of a partition once.
 func (r *Runner) callOwner(ctx context.Context, number int, method string, args any) bool {
-	holder, ok := r.opts.Peers.Holder(number)
+	owner, ok := r.opts.Peers.Holder(number)
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	var reply JobReply
-	err := r.opts.Caller.Call(ctx, holder.Address, method, args, &reply)
+	err := r.opts.Caller.Call(ctx, owner.Address, method, args, &reply)
 	return err == nil && reply.Verdict == Done
 }
 
-// part is what a task has of its output.
+// partialOutput is the task's output so far.
 func (t *task) partialOutput() PartialOutput {
 	return PartialOutput{
 		Job: t.id.job, Item: t.id.item, Text: t.text.String(),
@@ -101,12 +106,12 @@
 	}
 }
 
-// adopt goes on from what another instance has of the output, if that is more, and
-// counts the failures that it saw.
+// adopt continues from another instance's output if that is longer, and adopts its
+// count of failures if that is higher.
 //
-// What goes wrong without the failures: partitions are dealt anew again and again, as
-// in a rolling stop. Each new holder would try an item that always fails as often as
-// its route allows, and the item would be at targets for as long as that goes on.
+// The failures matter when partitions are reassigned repeatedly, as during a rolling
+// restart. Otherwise each new owner would run an item that always fails as often as its
+// route allows, and the item would occupy targets for as long as the restart takes.
 func (t *task) adopt(output PartialOutput, ok bool) {
 	if ok && output.Failures > t.failures {
 		t.failures = output.Failures
@@ -124,8 +129,8 @@
 	t.output.add(output.Text, output.Events, output.Position)
 }
 
-// takeBack keeps what another instance has of an item's output until the item is
-// run. It is lost with this instance, which costs the work and nothing else.
+// addPartialOutput keeps another instance's output of an item until the item runs.
+// If this instance dies, the output is lost and its work is repeated.
 func (p *partitionReplica) addPartialOutput(output PartialOutput) {
 	id := itemID{output.Job, output.Item}
 	p.mu.Lock()
@@ -136,6 +141,7 @@
 	}
 }
 
+// takePartialOutput removes and returns the output kept for an item.
 func (p *partitionReplica) takePartialOutput(id itemID) (PartialOutput, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +150,7 @@
 	return output, ok
 }
 
-// takeFinished empties the list of results that are still to be listed.
+// takeUnpublished removes and returns the results that wait for publication.
 func (p *partitionReplica) takeUnpublished() []finishedItem {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +159,7 @@
 	return taken
 }
 
-// partCame takes over the output of an item that waits here.
+// adoptPartialOutput adopts the output for a waiting item.
 func (r *Runner) adoptPartialOutput(id itemID, output PartialOutput) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/publish.go
+++ b/internal/coordination/routed/batchjobs/itemresults.go
@@ -13,8 +13,8 @@
 	"merlintiller/internal/wait"
 )
 
-// listingPause lets results gather, so that one append lists several. Callers
-// read twice a second.
+// publishDelay lets results accumulate, so that one append publishes several. Callers
+// poll twice a second.
 const publishDelay = 100 * time.Millisecond
 
 var (
@@ -22,16 +22,15 @@
 	publishConflicts = metrics.NewCounter(`batch_listing_conflicts_total`)
 )
 
-// list writes finished results, and drops jobs that nobody may read any more,
-// until ctx ends.
+// publishLoop publishes results and removes expired jobs until ctx ends.
 func (p *partitionReplica) publishLoop(ctx context.Context) {
 	retry := minRetryDelay
-	dropping := time.NewTicker(retentionInterval)
-	defer dropping.Stop()
+	retention := time.NewTicker(retentionInterval)
+	defer retention.Stop()
 	for {
 		select {
 		case <-p.publishNow:
-		case <-dropping.C:
+		case <-retention.C:
 			if err := p.removeExpired(ctx); err != nil {
 				_ = level.Warn(p.logger).Log("event", "jobs_not_dropped", "err", err)
 			}
@@ -41,10 +40,10 @@
 		}
 		wait.For(ctx, publishDelay)
 		for ctx.Err() == nil {
-			left, err := p.publishOnce(ctx)
+			more, err := p.publishOnce(ctx)
 			if err == nil {
 				retry = minRetryDelay
-				if !left {
+				if !more {
 					break
 				}
 				continue
@@ -56,7 +55,7 @@
 	}
 }
 
-// wakeListing asks for results that wait to be listed now.
+// wakePublisher makes publishLoop publish the waiting results.
 func (p *partitionReplica) wakePublisher() {
 	select {
 	case p.publishNow <- struct{}{}:
@@ -64,20 +63,21 @@
 	}
 }
 
-// batch is what one append lists.
+// publishBatch is the content of one append.
 type publishBatch struct {
 	records []external.KeyedRecord
-	// next is where the partition must end.
+	// next is the offset at which the partition must end.
 	next  int64
 	count int
 }
 
-// listOnce lists what is finished, if the partition ends as it is known here.
+// publishOnce appends waiting results, on the condition that the partition ends where
+// this instance expects. more says that further results may wait.
 //
-// What goes wrong without the condition: this instance was paused, its partition
-// was dealt to another one, and both list a result at the same position. A
-// caller that reads twice sees two contents there.
-func (p *partitionReplica) publishOnce(ctx context.Context) (left bool, err error) {
+// Without the condition, an instance that was paused while its partition was reassigned
+// would write a result at a position that the new owner has used. A caller that reads
+// twice would see two different results there.
+func (p *partitionReplica) publishOnce(ctx context.Context) (more bool, err error) {
 	b, err := p.nextBatch()
 	if err != nil {
 		return false, err
@@ -93,8 +93,8 @@
 		_ = level.Info(p.logger).Log("event", "results_append_moved", "expected", b.next, "end", moved.End)
 		return true, p.readToEnd(ctx)
 	case errors.Is(err, external.ErrUnavailable):
-		// It may have been done, or be done later. Reading shows the first;
-		// the condition prevents the second once anything else is appended.
+		// The append may have happened, or may happen later. Reading reveals the first;
+		// in the second case the condition rejects it once anything else is appended.
 		return true, errors.Join(err, p.readToEnd(ctx))
 	case err != nil:
 		return true, err
@@ -109,7 +109,7 @@
 	return true, nil
 }
 
-// next gathers results that are not listed yet, with their positions.
+// nextBatch collects unpublished results and assigns their positions.
 func (p *partitionReplica) nextBatch() (publishBatch, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +117,7 @@
 	if !p.loaded {
 		return b, nil
 	}
-	kept := p.unpublished[:0]
+	remaining := p.unpublished[:0]
 	positions := map[string]int{}
 	size := 0
 	for _, f := range p.unpublished {
@@ -125,7 +125,7 @@
 		if !known || l.Cancelled || l.HasResult(f.result.Item) {
 			continue
 		}
-		kept = append(kept, f)
+		remaining = append(remaining, f)
 		size += len(f.result.Text)
 		if b.count > 0 && size > p.opts.CallBytes/2 {
 			continue
@@ -136,12 +136,12 @@
 			return b, err
 		}
 		positions[f.job]++
-		if _, place, ok := l.Item(f.result.Item); ok {
-			records = append(records, l.EncodeProgressRemoval(place)...)
+		if _, index, ok := l.Item(f.result.Item); ok {
+			records = append(records, l.EncodeProgressRemoval(index)...)
 		}
 		b.records = append(b.records, records...)
 		b.count++
 	}
-	p.unpublished = kept
+	p.unpublished = remaining
 	return b, nil
 }
--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -16,39 +16,40 @@
 	"merlintiller/internal/state/route"
 )
 
-// Peers are the other instances.
+// Peers gives access to the other instances.
 type Peers interface {
 	Peers() []mesh.Peer
 	Holder(partition int) (mesh.Peer, bool)
-	// Claimed are the items that instances which are heard run for others.
+	// Claimed returns the items that reachable instances run for other owners.
 	Claimed() []mesh.Claim
 }
 
 // Placer chooses targets.
 type Placer interface {
-	// Domains are the failure domains that have targets. PlaceItem gives a target
-	// in one of them, and waits a while for a slot.
+	// Domains returns the failure domains that have targets. PlaceItem returns a
+	// target in one of them, and waits for a slot for a limited time.
 	Domains() []string
 	PlaceItem(ctx context.Context, domain string, item broker.Item) (placement.Choice, bool)
-	// Runs notes under which id a target runs an item.
+	// Runs records that a target runs an item under an id.
 	Runs(choice placement.Choice, id string)
 	Done(placement.Choice, placement.Result)
 	Told(choice placement.Choice, load *exchange.Load)
 	Heard(id string)
 }
 
-// Options make a Desk and its duties.
+// Options are the settings and dependencies of JobService, PartitionOwner and Runner.
 type Options struct {
-	// Member names the instance in the group. It is the same in each life: one that is
-	// killed and starts again has its partitions at once, and not only after the
-	// silence that gives those of its former life to others.
+	// Member names the instance in the group. The name stays the same in each incarnation.
+	// So an instance that is killed and restarted gets its partitions at once, and not only
+	// when the membership of its former incarnation has timed out.
 	Member string
-	// Topic and Partitions say where the jobs stand, Group who deals them.
+	// Topic and Partitions name the topic of the jobs and its number of partitions;
+	// Group is the group whose members the partitions are assigned to.
 	Topic      string
 	Partitions int
 	Group      string
-	// RecordBytes and CallBytes are the store's bounds on one record and on the
-	// records of one append.
+	// RecordBytes and CallBytes are the store's limits on the size of one record and
+	// on the records of one append.
 	RecordBytes, CallBytes int
 
 	// Readable is how long a job can be read, counted from its submission.
@@ -58,8 +59,8 @@
 	Groups external.Groups
 	Peers  Peers
 	Caller protocol.Caller
-	// Table is the configuration in force, StoreAge the time since the store
-	// answered, StoreAnswered notes that it did.
+	// Table returns the configuration in force, StoreAge the time since the store last
+	// answered. StoreAnswered records that it did.
 	Table         func() *route.Table
 	StoreAge      func() time.Duration
 	StoreAnswered func()
@@ -68,7 +69,7 @@
 	Logger        log.Logger
 }
 
-// partitionOf gives the partition of a job.
+// partitionOf returns the partition of a job.
 func (o *Options) partitionOf(job string) external.Partition {
 	return external.Partition{Topic: o.Topic, Number: int(xxhash.Sum64String(job) % uint64(o.Partitions))}
 }
--- a/internal/coordination/routed/batchjobs/orphans.go
+++ b/internal/coordination/routed/batchjobs/orphans.go
@@ -9,34 +9,35 @@
 	"merlintiller/internal/coordination/routed/mesh"
 )
 
-// orphansTimeout bounds the question which runs nobody listens to. What is not
-// answered is asked again soon.
+// orphansCallTimeout bounds the call that asks for orphaned runs. If it fails, the
+// question is repeated soon.
 const orphansCallTimeout = 150 * time.Millisecond
 
-// RunsCall asks which of some runs are of items of the holder's that nobody reads.
+// OrphansCall asks which of some runs are orphans of the callee's items: no instance
+// reads their output.
 type OrphansCall struct{ Runs []broker.TargetRun }
 
-// RunsReply names them.
+// OrphansReply lists the orphaned runs.
 type OrphansReply struct{ Runs []broker.TargetRun }
 
-// Orphans gives those of some runs whose items are to be run or run elsewhere: the
-// instance that began these runs is gone, and no other one says that it reads them.
-// Whatever the targets still make of them reaches nobody.
+// Orphans returns those of the runs that are orphans: the instance that started them
+// is down, their items wait or run at another target, and no other instance claims
+// them. The output of such a run reaches no caller.
 func (r *Runner) Orphans(now time.Time, runs []broker.TargetRun) []broker.TargetRun {
-	named := map[string][]broker.TargetRun{}
+	runsByItem := map[string][]broker.TargetRun{}
 	for _, run := range runs {
-		named[run.Run] = append(named[run.Run], run)
+		runsByItem[run.Run] = append(runsByItem[run.Run], run)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshClaims(now)
 	var out []broker.TargetRun
 	for _, t := range r.tasks {
-		found := named[t.id.item]
-		if len(found) == 0 || !t.mayRunElsewhere || t.replica == nil || r.claimedByPeers[t.id] || now.Before(t.claimsUntil) {
+		matching := runsByItem[t.id.item]
+		if len(matching) == 0 || !t.mayRunElsewhere || t.replica == nil || r.claimedByPeers[t.id] || now.Before(t.claimsUntil) {
 			continue
 		}
-		for _, run := range found {
+		for _, run := range matching {
 			if t.cancel == nil || t.choice.ID != run.Target {
 				out = append(out, run)
 			}
@@ -45,22 +46,22 @@
 	return out
 }
 
-// Orphans gives those of some runs that nobody reads, as the holders of the items say
-// that are heard.
+// Orphans returns those of the runs that are orphans, according to the reachable owners
+// of their items.
 func (s *JobService) Orphans(ctx context.Context, runs []broker.TargetRun) []broker.TargetRun {
 	ctx, cancel := context.WithTimeout(ctx, orphansCallTimeout)
 	defer cancel()
 	out := s.runner.Orphans(time.Now(), runs)
 	var mu sync.Mutex
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, p := range s.opts.Peers.Peers() {
 		if p.State != mesh.Up || len(p.Beat.Partitions) == 0 {
 			continue
 		}
-		asked.Go(func() {
+		calls.Go(func() {
 			var reply OrphansReply
 			if s.opts.Caller.Call(ctx, p.Address, methodOrphans, &OrphansCall{Runs: runs}, &reply) != nil {
-				// It is asked again as long as the runs go on.
+				// The question is repeated as long as the runs go on.
 				return
 			}
 			mu.Lock()
@@ -68,11 +69,11 @@
 			out = append(out, reply.Runs...)
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return out
 }
 
-// Orphans gives the runs that nobody reads.
+// Orphans returns those of the runs that are orphans of this instance's items.
 func (r *Receiver) Orphans(args *OrphansCall, reply *OrphansReply) error {
 	reply.Runs = r.service.runner.Orphans(time.Now(), args.Runs)
 	return nil
--- a/internal/coordination/routed/batchjobs/owner.go
+++ b/internal/coordination/routed/batchjobs/owner.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// joinEvery is how often the instance tells the group that it is there, and
-	// patience the silence after which its partitions go to others. A shorter
-	// patience would deal them anew for each pause; a longer one would leave
-	// items of a dead instance waiting, whose results are due within seconds.
+	// joinInterval is how often the instance renews its membership of the group;
+	// groupSilenceTimeout is the time without a renewal after which its partitions
+	// are assigned to others. A shorter timeout would reassign them on each pause
+	// of the process. A longer one would delay the items of a dead instance, whose
+	// results are due within seconds.
 	joinInterval        = 400 * time.Millisecond
 	groupSilenceTimeout = 1500 * time.Millisecond
 )
 
-// PartitionOwner holds partitions of jobs for as long as the group deals them to this
-// instance. It is a duty.
+// PartitionOwner owns the partitions of jobs that the group assigns to this instance.
+// It is a background service.
 type PartitionOwner struct {
 	opts   *Options
 	runner *Runner
@@ -30,27 +31,29 @@
 	generation int64
 	owned      map[int]*ownedPartition
 	leaving    bool
-	// hasLost says that a partition went to another instance in this life.
+	// hasLostPartition says that a partition was released in this incarnation.
 	hasLostPartition bool
 }
 
-// held is a partition with the end of its duties.
+// ownedPartition is the replica of an owned partition. stop ends its background
+// goroutines.
 type ownedPartition struct {
 	*partitionReplica
 	stop context.CancelFunc
 }
 
-// NewPartitionOwner returns a keeper that holds nothing.
+// NewPartitionOwner returns a PartitionOwner without partitions.
 func NewPartitionOwner(opts *Options, runner *Runner) *PartitionOwner {
 	o := &PartitionOwner{opts: opts, runner: runner, owned: map[int]*ownedPartition{}}
 	runner.replicaOf = o.replicaOf
 	return o
 }
 
-// String names the duty.
+// String is the name of the background service.
 func (o *PartitionOwner) String() string { return "jobs-keeper" }
 
-// Serve stays in the group until ctx ends.
+// Serve renews the membership of the group until ctx ends, then releases all
+// partitions.
 func (o *PartitionOwner) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
@@ -103,12 +106,13 @@
 	o.reconcile(ctx, assignment.Partitions)
 }
 
-// giveWay lets go of partitions that others say they hold since a later dealing.
-// While the whole store is away nothing is dealt, and what is held is kept.
+// releaseReassigned releases partitions that other instances report as theirs under
+// a later generation. While no instance reaches the store, nothing is reassigned and
+// partitions are kept.
 //
-// What goes wrong without it: the store turns only this instance away and deals
-// its partitions to others. Both would run the items, and this one would not hear
-// of the end of a job.
+// It covers a store that rejects only this instance and assigns its partitions to
+// others. Without it, both owners would run the items, and this one would not learn
+// that a job was cancelled.
 func (o *PartitionOwner) releaseReassigned() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,7 +125,8 @@
 	}
 }
 
-// keep starts holding what is new and ends holding what is not assigned.
+// reconcile acquires the partitions that are newly assigned and releases those that
+// are no longer assigned.
 func (o *PartitionOwner) reconcile(ctx context.Context, partitions []external.Partition) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,7 +147,7 @@
 	}
 }
 
-// end ends the holding of a partition. It needs the lock.
+// release ends the ownership of a partition. The caller holds the lock.
 func (o *PartitionOwner) release(number int) {
 	p := o.owned[number]
 	p.stop()
@@ -151,6 +156,7 @@
 	o.hasLostPartition = true
 }
 
+// acquire begins the ownership of a partition. The caller holds the lock.
 func (o *PartitionOwner) acquire(ctx context.Context, p external.Partition) {
 	ctx, stop := context.WithCancel(ctx)
 	replica := newPartitionReplica(o.opts, p, o.runner.syncItems)
@@ -159,7 +165,7 @@
 	go replica.serve(ctx)
 }
 
-// Owned gives the partitions held and the generation in which they were dealt.
+// Owned returns the owned partitions and the generation in which they were assigned.
 func (o *PartitionOwner) Owned() (partitions []int, generation int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -170,14 +176,14 @@
 	return partitions, o.generation
 }
 
-// HasLostPartition says whether a partition went to another instance in this life.
+// HasLostPartition says whether a partition was released in this incarnation.
 func (o *PartitionOwner) HasLostPartition() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.hasLostPartition
 }
 
-// holding gives a partition that is held here.
+// replicaOf returns the replica of a partition that this instance owns.
 func (o *PartitionOwner) replicaOf(number int) (*partitionReplica, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -188,7 +194,7 @@
 	return p.partitionReplica, true
 }
 
-// Leave gives all partitions to the others.
+// Leave leaves the group, so that all partitions go to other instances.
 func (o *PartitionOwner) Leave(ctx context.Context) {
 	o.mu.Lock()
 	o.leaving = true
--- a/internal/coordination/routed/batchjobs/progress.go
+++ b/internal/coordination/routed/batchjobs/progress.go
@@ -16,10 +16,11 @@
 )
 
 const (
-	// keepEvery is how often the output of running items is kept. An item takes
-	// about five seconds; a second of it is lost with its instance at most.
+	// storeInterval is how often the output of running items is stored. An item runs
+	// for about five seconds; if its instance dies, at most one second of output is
+	// lost.
 	storeInterval = time.Second
-	// keepEvents is the least that is worth a record.
+	// minSegmentEvents is the smallest number of events worth a record.
 	minSegmentEvents = 15
 )
 
@@ -28,25 +29,25 @@
 	itemsResumed   = metrics.NewCounter(`batch_items_resumed_total`)
 )
 
-// output collects what comes out of an item between two times at which it is kept.
-// The run adds to it while the holding takes from it.
+// pendingOutput collects the output of an item until it is stored. The run adds to it,
+// and the owner of the partition takes segments from it.
 type pendingOutput struct {
 	mu sync.Mutex
-	// number is that of the part that comes next, follows the tag of the part and
-	// after the event that it follows.
+	// number is the number of the next segment. followsTag is the tag of the stored
+	// segment before it, after the position of that segment's last event.
 	followsTag    uint64
 	number, after int
-	// offered is the tag of the part that was offered last.
+	// offeredTag is the tag of the segment that was returned last.
 	offeredTag uint64
 	text       strings.Builder
-	// events counts the events in text, position is the last of them.
+	// events counts the events in text; position is that of the last one.
 	events, position int
-	// failures are the failed runs, told are those of them that are kept.
+	// failures counts the failed runs, storedFailures those of them that are stored.
 	failures, storedFailures int
 }
 
-// begin begins with a first part: the item starts anew, or goes on from output that
-// is not kept.
+// reset starts with a first segment: the item starts again, or continues from output
+// that is not stored.
 func (o *pendingOutput) reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -55,7 +56,7 @@
 	o.events, o.position = 0, exchange.FromStart
 }
 
-// failed begins anew after a run that failed, and counts it.
+// resetAfterFailure resets the output after a failed run and sets the count of failures.
 func (o *pendingOutput) resetAfterFailure(failures int) {
 	o.reset()
 	o.mu.Lock()
@@ -63,12 +64,12 @@
 	o.failures = failures
 }
 
-// follow goes on from what is kept.
-func (o *pendingOutput) continueFrom(p jobs.Progress) {
+// continueFrom continues after the stored output.
+func (o *pendingOutput) continueFrom(progress jobs.Progress) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.followsTag, o.number, o.after = p.Tag, p.Segments, p.Position
-	o.failures, o.storedFailures = p.Failures, p.Failures
+	o.followsTag, o.number, o.after = progress.Tag, progress.Segments, progress.Position
+	o.failures, o.storedFailures = progress.Failures, progress.Failures
 }
 
 // add adds events.
@@ -83,9 +84,9 @@
 	o.position = position
 }
 
-// piece gives what is there as a part, if it is worth one: enough events, or a
-// failure that nobody else knows of.
-func (o *pendingOutput) segment(place int) (jobs.OutputSegment, bool) {
+// segment returns the pending output as a segment, if it is worth a record: it has
+// enough events, or there is a failure that is not stored yet.
+func (o *pendingOutput) segment(index int) (jobs.OutputSegment, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	enough := o.events >= minSegmentEvents && o.position != exchange.FromStart
@@ -98,46 +99,46 @@
 	}
 	o.offeredTag = rand.Uint64()
 	return jobs.OutputSegment{
-		Item: place, Tag: o.offeredTag, Follows: o.followsTag, Number: o.number, After: o.after,
+		Item: index, Tag: o.offeredTag, Follows: o.followsTag, Number: o.number, After: o.after,
 		Events: o.events, Position: position, Text: o.text.String(), Failures: o.failures,
 	}, true
 }
 
-// kept notes that a part is in the log.
-func (o *pendingOutput) markStored(p jobs.OutputSegment) {
+// markStored removes a segment that is now in the log from the pending output.
+func (o *pendingOutput) markStored(stored jobs.OutputSegment) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.offeredTag != p.Tag {
-		// The item began anew meanwhile.
+	if o.offeredTag != stored.Tag {
+		// The item was restarted in the meantime.
 		return
 	}
-	rest := o.text.String()[len(p.Text):]
+	rest := o.text.String()[len(stored.Text):]
 	o.text.Reset()
 	o.text.WriteString(strings.TrimPrefix(rest, "\n"))
-	o.events -= p.Events
-	o.storedFailures = max(o.storedFailures, p.Failures)
+	o.events -= stored.Events
+	o.storedFailures = max(o.storedFailures, stored.Failures)
 	o.number++
-	o.followsTag, o.after = p.Tag, p.Position
+	o.followsTag, o.after = stored.Tag, stored.Position
 }
 
-// unkept is a part of a task's output that is to be kept.
+// unstoredSegment is a segment of a task's output that is to be stored.
 type unstoredSegment struct {
 	task    *task
 	segment jobs.OutputSegment
 }
 
-// resume goes on from what was kept of an item's output.
-func (t *task) resume(p jobs.Progress) {
-	if p.Segments == 0 {
+// resume continues from the stored output of an item.
+func (t *task) resume(progress jobs.Progress) {
+	if progress.Segments == 0 {
 		return
 	}
-	t.text.WriteString(p.Text)
-	t.events, t.position, t.runTime, t.failures = p.Events, p.Position, p.RunTime, p.Failures
-	t.output.continueFrom(p)
+	t.text.WriteString(progress.Text)
+	t.events, t.position, t.runTime, t.failures = progress.Events, progress.Position, progress.RunTime, progress.Failures
+	t.output.continueFrom(progress)
 	itemsResumed.Inc()
 }
 
-// unkept gives what came out of the items of a holding since it was kept last.
+// unstoredSegments returns the output of a partition's items that is not stored yet.
 func (r *Runner) unstoredSegments(p *partitionReplica) (out []unstoredSegment) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,23 +146,23 @@
 		if t.replica != p {
 			continue
 		}
-		if piece, ok := t.output.segment(t.index); ok {
-			piece.RunTime = t.runTime
+		if segment, ok := t.output.segment(t.index); ok {
+			segment.RunTime = t.runTime
 			if t.cancel != nil {
-				piece.RunTime += time.Since(t.startedAt)
+				segment.RunTime += time.Since(t.startedAt)
 			}
-			out = append(out, unstoredSegment{task: t, segment: piece})
+			out = append(out, unstoredSegment{task: t, segment: segment})
 		}
 	}
 	return out
 }
 
-// keepProgress keeps the output of running items in the store until ctx ends.
+// storeProgressLoop stores the output of running items until ctx ends.
 //
-// What goes wrong without it: all instances are killed at once, or a failure domain
-// is cut off with the instances that run items. Whoever takes the items up runs them
-// from the start, which takes up to five seconds of a slot each, and items that were
-// nearly done get late.
+// It limits the loss when all instances are killed at once, or a failure domain is
+// isolated together with the instances that run items. Without it, the instance that
+// takes the items over would run them from the start. Each would take up to five seconds
+// of a slot, and items that were nearly done would miss their deadlines.
 func (p *partitionReplica) storeProgressLoop(ctx context.Context) {
 	ticker := time.NewTicker(storeInterval)
 	defer ticker.Stop()
@@ -181,8 +182,8 @@
 	}
 }
 
-// keepSoon has the output of running items kept now, as after a failure: an instance
-// that is killed again and again would never come to count it.
+// requestStore makes storeProgressLoop store the output now. It is used after a
+// failure: an instance that is killed repeatedly would otherwise never store the count.
 func (p *partitionReplica) requestStore() {
 	select {
 	case p.storeNow <- struct{}{}:
@@ -190,16 +191,16 @@
 	}
 }
 
-// keepOnce writes what came since the last time. A part whose append was not
-// answered is written again with what came meanwhile, under the same key.
+// storeProgress appends the output since the last call. A segment whose append was not
+// acknowledged is written again under the same key, with the output since then.
 func (p *partitionReplica) storeProgress(ctx context.Context) error {
 	var records []external.KeyedRecord
-	pieces := p.unstored(p)
+	segments := p.unstored(p)
 	size := 0
-	for i, u := range pieces {
+	for i, u := range segments {
 		size += len(u.segment.Text) + recordOverhead
 		if i > 0 && size > p.opts.CallBytes/2 {
-			pieces = pieces[:i]
+			segments = segments[:i]
 			break
 		}
 		record, err := jobs.EncodeSegment(u.task.id.job, u.segment, p.opts.RecordBytes)
@@ -216,16 +217,17 @@
 		return err
 	}
 	p.opts.StoreAnswered()
-	for _, u := range pieces {
+	for _, u := range segments {
 		u.task.output.markStored(u.segment)
 	}
 	p.applyOwnRecords(records, end)
-	segmentsStored.Add(len(pieces))
+	segmentsStored.Add(len(segments))
 	return nil
 }
 
-// applyOwn takes over records that were written here, if they follow what is known.
-// Else results that are listed next would be refused, since the partition has moved.
+// applyOwnRecords applies records that this instance wrote, if they follow the known
+// state. Otherwise the next publication would be rejected, since the partition no longer
+// ends where this instance expects.
 func (p *partitionReplica) applyOwnRecords(records []external.KeyedRecord, end int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -9,16 +9,16 @@
 	"merlintiller/internal/coordination/routed/placement"
 )
 
-// lastsMost is how much longer than usual a target may be busy with an item.
-// Lengths of items differ by a quarter.
+// maxRuntimeFactor is how many times its estimated run time a target may be busy with
+// an item. Lengths of items differ by a quarter.
 const maxRuntimeFactor = 1.5
 
-// sort puts the items first that are due first, and behind them those that can't
-// be done in time.
+// sortWaiting sorts the waiting items by deadline, and puts those that can no longer
+// meet their deadlines at the end.
 //
-// The load it answers: for some seconds there are more items than slots. By due
-// time alone, the items that are late already would take the slots, and the next
-// ones would get late behind them, one after the other.
+// It covers times with more items than slots, which last some seconds. Sorted by
+// deadline alone, items that are late already would take the slots and make the items
+// behind them late too, one after the other.
 func (r *Runner) sortWaiting(now time.Time) {
 	for _, t := range r.waiting {
 		t.late = now.Add(r.estimate.remaining(t.events)).After(t.job.Deadline)
@@ -34,7 +34,7 @@
 	})
 }
 
-// mostUrgent gives the item that should begin first.
+// mostUrgent returns the item that should start first.
 func (r *Runner) mostUrgent(now time.Time) (broker.Item, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,15 +42,16 @@
 	if t == nil {
 		return broker.Item{}, false
 	}
-	left := r.estimate.remaining(t.events)
+	remaining := r.estimate.remaining(t.events)
 	return broker.Item{
-		Service: service, Due: t.job.Deadline, BeginBy: t.job.Deadline.Add(-left),
-		Lasts: time.Duration(maxRuntimeFactor * float64(left)),
+		Service: service, Due: t.job.Deadline, BeginBy: t.job.Deadline.Add(-remaining),
+		Lasts: time.Duration(maxRuntimeFactor * float64(remaining)),
 	}, true
 }
 
-// first gives the waiting item that should begin first, of one service or of all.
-// Items that can't be done any more are given up on the way. It needs the lock.
+// firstRunnable returns the waiting item that should start first, of one service or, if
+// of is empty, of all. It fails the items that can no longer be done. The caller holds
+// the lock.
 func (r *Runner) firstRunnable(now time.Time, of string) (*task, string) {
 	table := r.opts.Table()
 	if r.shuttingDown || table == nil || len(r.waiting) == 0 {
@@ -74,7 +75,7 @@
 	return nil, ""
 }
 
-// begin begins the item that is the most urgent one now at a target.
+// startItem starts the item of a service that is now the most urgent at a target.
 func (r *Runner) startItem(service string, choice placement.Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,11 +88,13 @@
 	r.startRun(t, choice)
 }
 
+// dequeue removes a task from the waiting items. The caller holds the lock.
 func (r *Runner) dequeue(t *task) {
 	r.waiting = slices.DeleteFunc(r.waiting, func(w *task) bool { return w == t })
 }
 
-// requeue lets a task wait for its next run.
+// requeue queues a task for its next run after a delay. The task is handed over instead
+// if this instance no longer owns its partition or shuts down.
 func (r *Runner) requeue(t *task, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/replica.go
+++ b/internal/coordination/routed/batchjobs/replica.go
@@ -17,46 +17,48 @@
 )
 
 const (
-	// tailWait is how long one read waits for new jobs. A watch that hears
-	// nothing is noticed when it ends.
+	// readWait is how long one read of the log waits for new records. A read that
+	// hangs is noticed after that time.
 	readWait = 2 * time.Second
-	// retryFirst and retryMost bound the wait after a failed call to the store.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call to the store.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// pageBytes bounds the results of one answer to a caller.
+	// maxPageBytes bounds the results in one answer to a caller.
 	maxPageBytes = 1 << 20
 )
 
-// holding is the jobs of one partition as this instance keeps them.
+// partitionReplica is this instance's in-memory copy of one partition. The owner
+// of the partition also publishes results and stores output through it.
 type partitionReplica struct {
 	opts      *Options
 	partition external.Partition
 	logger    log.Logger
-	// onChange is told that jobs came or ended.
+	// onChange, if set, is called after jobs were added, changed or removed.
 	onChange func(*partitionReplica)
 
 	mu      sync.Mutex
 	state   *jobs.Partition
 	loaded  bool
 	changed chan struct{}
-	// held is when the holding began.
+	// acquiredAt is when the replica was created: for an owned partition, the
+	// begin of the ownership.
 	acquiredAt time.Time
-	// dropped says that the holding has ended. The runner's lock guards it.
+	// released says that the ownership has ended. The runner's lock guards it.
 	released bool
-	// onPart is told of output that another instance handed back; parts keeps
-	// it until the item is taken up.
+	// onPartialOutput is called with output that another instance hands over;
+	// partialOutputs keeps such output until its item gets a task.
 	onPartialOutput func(itemID, PartialOutput)
 	partialOutputs  map[itemID]PartialOutput
-	// pieces gives what came out of items that run here since it was kept last.
+	// unstored returns the output of running items that is not stored yet.
 	unstored func(*partitionReplica) []unstoredSegment
-	// keepNow asks for keeping what came out at once.
+	// storeNow asks for that output to be stored at once.
 	storeNow chan struct{}
-	// finished are results that are still to be listed.
+	// unpublished holds results without a position in their job yet.
 	unpublished []finishedItem
 	publishNow  chan struct{}
 }
 
-// finished is an item with its end.
+// finishedItem is an item that ended, with its result.
 type finishedItem struct {
 	job    string
 	result jobs.Result
@@ -75,16 +77,17 @@
 	}
 }
 
-// serve loads the partition, follows it and lists results until ctx ends.
+// serve loads the partition, follows it, publishes results and stores output until
+// ctx ends.
 func (p *partitionReplica) serve(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { p.follow(ctx) })
-	duties.Go(func() { p.publishLoop(ctx) })
-	duties.Go(func() { p.storeProgressLoop(ctx) })
-	duties.Wait()
+	var loops sync.WaitGroup
+	loops.Go(func() { p.follow(ctx) })
+	loops.Go(func() { p.publishLoop(ctx) })
+	loops.Go(func() { p.storeProgressLoop(ctx) })
+	loops.Wait()
 }
 
-// follow keeps the state up to date.
+// follow reads new records until ctx ends.
 func (p *partitionReplica) follow(ctx context.Context) {
 	retry := minRetryDelay
 	for ctx.Err() == nil {
@@ -102,9 +105,9 @@
 	}
 }
 
-// read takes over what is new, and everything if nothing is known or what is
-// next has left the store's history. It says whether there was more than one
-// answer of the store holds, or may have been.
+// read applies the records that follow the known state. It loads the whole partition
+// if nothing is loaded yet or the store no longer has the next record. more says that
+// the store has, or may have, records beyond this read.
 func (p *partitionReplica) read(ctx context.Context, wait time.Duration) (more bool, err error) {
 	p.mu.Lock()
 	loaded, next := p.loaded, p.state.Next()
@@ -127,11 +130,11 @@
 	return page.Next < page.End, nil
 }
 
-// readToEnd takes over all that the store has now.
+// readToEnd applies all records that the store has now.
 //
-// What goes wrong with a single read: one answer holds a megabyte at most, and the
-// newest records of all keys come in pages that are no snapshot. A job behind that
-// would be taken for one that does not exist, and its caller told so.
+// A single read is not enough: an answer holds one megabyte at most, and the pages
+// with the newest records of all keys are not a consistent snapshot. A job whose
+// records come later would be reported to its caller as missing.
 func (p *partitionReplica) readToEnd(ctx context.Context) error {
 	for {
 		more, err := p.read(ctx, 0)
@@ -141,12 +144,13 @@
 	}
 }
 
-// load takes over the partition as it is, and has results listed that came before.
+// load replaces the state by the newest records of the partition and wakes the
+// publisher for results that arrived earlier.
 //
-// What goes wrong without the second: a partition moves while one of its items ends
-// elsewhere. The result reaches the new holder before the store has given it the
-// partition, when there is no job to list it in. Nothing else asks for listing it,
-// and the item counts as done here: it is neither listed nor run again.
+// A partition may be reassigned while one of its items ends at another instance. The
+// result can reach the new owner before the store has returned the partition, when
+// the job is not known yet. Nothing else would trigger its publication, and since the
+// item counts as done at this instance, it would not run again either.
 func (p *partitionReplica) load(ctx context.Context) error {
 	page, err := p.opts.Log.Newest(ctx, p.partition)
 	if err != nil {
@@ -170,6 +174,7 @@
 	return nil
 }
 
+// apply applies a page of records that follows the known state.
 func (p *partitionReplica) apply(page external.KeyedPage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +187,7 @@
 	p.notifyChange()
 }
 
-// tell wakes those who wait for a change. It needs the lock.
+// notifyChange wakes the callers that wait for a change. The caller holds the lock.
 func (p *partitionReplica) notifyChange() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -191,7 +196,8 @@
 	}
 }
 
-// job gives a job as of now, and what is closed at the next change.
+// job returns the current snapshot of a job, and a channel that is closed at the next
+// change of the partition.
 func (p *partitionReplica) job(id string) (found jobSnapshot, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,7 +212,8 @@
 	return found, p.changed
 }
 
-// missing logs that a job is not there, with what that was decided by.
+// logNotFound logs that a job was not found, with the state of the partition that
+// this is based on.
 func (p *partitionReplica) logNotFound(job, organisation string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,20 +222,21 @@
 		"of_another", known, "jobs", len(p.state.Jobs()), "next", p.state.Next())
 }
 
-// snapshot is a job as it was at one moment. Results that are listed never
-// change, so that they may be shared.
+// jobSnapshot is the state of a job at one moment. Published results never change,
+// so snapshots share them.
 type jobSnapshot struct {
 	loaded, known bool
 	organisation  string
 	total         int
 	results       []jobs.Result
-	cancelled         bool
+	cancelled     bool
 }
 
-// open says that results are still to come.
+// open says that results are still missing.
 func (s *jobSnapshot) open() bool { return !s.cancelled && len(s.results) < s.total }
 
-// open gives the items that are to be run, and since when the partition is held.
+// openItems returns the items that have no result yet, and when the partition was
+// acquired.
 func (p *partitionReplica) openItems() ([]openItem, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -247,29 +255,29 @@
 		for i := range l.Items {
 			id := itemID{l.ID, l.Items[i].ID}
 			if !l.HasResult(id.item) && !pending[id] {
-				kept, _ := l.Progress(i)
-				out = append(out, openItem{id: id, item: l.Items[i], job: withoutItems(l), index: i, progress: kept})
+				progress, _ := l.Progress(i)
+				out = append(out, openItem{id: id, item: l.Items[i], job: withoutItems(l), index: i, progress: progress})
 			}
 		}
 	}
 	return out, p.acquiredAt
 }
 
-// jobOf is the job without its items.
+// withoutItems returns a copy of the job without its items.
 func withoutItems(l *jobs.JobState) jobs.Job {
 	job := l.Job
 	job.Items = nil
 	return job
 }
 
-// finish has a result listed. An item that was run twice may finish twice; the
-// first result counts, as long as it waits here and once it is listed.
+// addResult queues a result for publication. An item that ran twice may finish twice:
+// the first result counts, both while it is queued and once it is published.
 func (p *partitionReplica) addResult(f finishedItem) {
 	p.mu.Lock()
-	waits := slices.ContainsFunc(p.unpublished, func(other finishedItem) bool {
+	queued := slices.ContainsFunc(p.unpublished, func(other finishedItem) bool {
 		return other.job == f.job && other.result.Item == f.result.Item
 	})
-	if !waits {
+	if !queued {
 		p.unpublished = append(p.unpublished, f)
 	}
 	p.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/replica_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -17,7 +17,7 @@
 	"merlintiller/internal/wait"
 )
 
-// place is a partition in a store, with a job of some items.
+// testPartition is a partition in a store, with one job.
 type testPartition struct {
 	t     *testing.T
 	store *sharedstore.Direct
@@ -47,21 +47,21 @@
 	return p
 }
 
-// nobody is a fleet without other instances.
+// noPeers is a fleet without other instances.
 type noPeers struct{}
 
 func (noPeers) Peers() []mesh.Peer           { return nil }
 func (noPeers) Holder(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
 func (noPeers) Claimed() []mesh.Claim        { return nil }
 
-// hold begins to hold the partition.
+// own starts a replica that owns the partition.
 func (p *testPartition) own() *partitionReplica {
 	replica := newPartitionReplica(p.opts, p.at, nil)
 	go replica.serve(p.t.Context())
 	return replica
 }
 
-// listed reads the job as a newcomer finds it.
+// publishedJob returns the job as a new reader of the store sees it.
 func (p *testPartition) publishedJob() *jobs.JobState {
 	page, err := p.store.Newest(p.t.Context(), p.at)
 	require.NoError(p.t, err)
@@ -86,9 +86,9 @@
 	return finishedItem{job: jobID, result: jobs.Result{Item: fmt.Sprint("item-", item), Outcome: jobs.Succeeded, Text: text}}
 }
 
-// An item was run by two instances, after its partition was dealt anew, and both
-// results reach the holder at the same moment. A caller that reads the job finds
-// the item twice, and the office bills two reports.
+// An item ran at two instances after its partition was reassigned, and the owner
+// receives both results at the same time. If both were published, a caller would find
+// the item twice, and its operator would bill two reports.
 func TestItemThatFinishesTwiceIsPublishedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 2)
@@ -104,47 +104,47 @@
 	})
 }
 
-// A holder was paused while its partition went to another one. Both list results
-// of the same items. What stands at a position must not change, and no item may
-// get a second one.
+// An owner was paused while its partition was reassigned, and both owners publish
+// results of the same items. A published position must not change, and no item may get
+// a second one.
 func TestTwoOwnersPublishEachItemOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const items = 20
 		p := newTestPartition(t, items)
-		one, other := p.own(), p.own()
+		first, second := p.own(), p.own()
 		for i := range items {
-			one.addResult(succeeded(i, "one"))
-			other.addResult(succeeded(items-1-i, "other"))
+			first.addResult(succeeded(i, "one"))
+			second.addResult(succeeded(items-1-i, "other"))
 			sleep(37 * time.Millisecond)
 		}
 		sleep(2 * time.Second)
 		p.requireEachPublishedOnce(items)
-		require.Equal(t, p.publishedJob().Results, one.state.Jobs()[jobID].Results)
-		require.Equal(t, p.publishedJob().Results, other.state.Jobs()[jobID].Results)
+		require.Equal(t, p.publishedJob().Results, first.state.Jobs()[jobID].Results)
+		require.Equal(t, p.publishedJob().Results, second.state.Jobs()[jobID].Results)
 	})
 }
 
-// The answer to an append is lost, and the append is done: at once, or seconds
-// later, or never. The result is listed once all the same.
+// The response to an append is lost, and the append takes effect at once, seconds later
+// or never. In each case the result must be published exactly once.
 func TestAppendWithLostResponse(t *testing.T) {
-	for name, late := range map[string]time.Duration{"done": 0, "late": 2 * time.Second, "never": -1} {
+	for name, delay := range map[string]time.Duration{"done": 0, "late": 2 * time.Second, "never": -1} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newTestPartition(t, 3)
-				plain := &sharedstore.Direct{Store: p.store.Store}
-				lost := 0
+				direct := &sharedstore.Direct{Store: p.store.Store}
+				attempts := 0
 				p.store.Before = func(records []external.KeyedRecord) error {
-					if lost++; lost > 2 {
+					if attempts++; attempts > 2 {
 						return nil
 					}
-					page, err := plain.Newest(t.Context(), p.at)
+					page, err := direct.Newest(t.Context(), p.at)
 					require.NoError(t, err)
 					end := page.End
-					if late == 0 {
-						_, err := plain.Append(t.Context(), p.at, records, end)
+					if delay == 0 {
+						_, err := direct.Append(t.Context(), p.at, records, end)
 						require.NoError(t, err)
-					} else if late > 0 {
-						time.AfterFunc(late, func() { _, _ = plain.Append(t.Context(), p.at, records, end) })
+					} else if delay > 0 {
+						time.AfterFunc(delay, func() { _, _ = direct.Append(t.Context(), p.at, records, end) })
 					}
 					return external.ErrUnavailable
 				}
@@ -160,7 +160,7 @@
 	}
 }
 
-// A job ends while a result of it waits. Nothing more is listed.
+// A job is cancelled while one of its results waits. No further result is published.
 func TestCancelledJobGetsNoFurtherResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 2)
@@ -175,30 +175,30 @@
 	})
 }
 
-// slowStart is a store that takes a while to give a whole partition.
+// slowNewest is a store that takes some time to return a whole partition.
 type slowNewest struct {
 	*sharedstore.Direct
-	takes time.Duration
+	delay time.Duration
 }
 
 // Newest implements external.KeyedLog.
 func (s slowNewest) Newest(ctx context.Context, at external.Partition) (external.KeyedPage, error) {
-	wait.For(ctx, s.takes)
+	wait.For(ctx, s.delay)
 	return s.Direct.Newest(ctx, at)
 }
 
-// A partition goes to another instance while the last item of a job ends at the one
-// that held it, and the store is slow. The result reaches the new holder before the
-// store has given it the job. The caller waits for that result until the end of the
-// job's time, though the item was done, and no target works on it.
+// A partition is reassigned while the last item of a job ends at the former owner, and
+// the store is slow. The new owner receives the result before the store has returned the
+// job. If the result were lost, the caller would wait for it until the job expires,
+// though the item is done and no target works on it.
 func TestResultReceivedBeforePartitionLoadsIsPublished(t *testing.T) {
-	for _, takes := range []time.Duration{0, publishDelay / 2, time.Second, 20 * time.Second} {
+	for _, delay := range []time.Duration{0, publishDelay / 2, time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newTestPartition(t, 1)
-			p.opts.Log = slowNewest{Direct: p.store, takes: takes}
+			p.opts.Log = slowNewest{Direct: p.store, delay: delay}
 			replica := p.own()
 			replica.addResult(succeeded(0, "text"))
-			sleep(takes + time.Second)
+			sleep(delay + time.Second)
 			p.requireEachPublishedOnce(1)
 		})
 	}
@@ -206,14 +206,14 @@
 
 func sleep(d time.Duration) { <-time.After(d) }
 
-// An instance has not looked at a partition for a while, and what came since then is
-// more than one answer of the store holds. A caller asks it for a job that stands at
-// the end: it was accepted, and must not be said not to exist.
+// An instance has not read a partition for some time, and the records since then exceed
+// one answer of the store. A job at the end of them was accepted, and the instance must
+// not report it as missing.
 func TestCatchUpReadsToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 2)
-		d := NewJobService(p.opts, &PartitionOwner{opts: p.opts, owned: map[int]*ownedPartition{}}, nil)
-		require.Equal(t, Done, d.resultsFromStore(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
+		service := NewJobService(p.opts, &PartitionOwner{opts: p.opts, owned: map[int]*ownedPartition{}}, nil)
+		require.Equal(t, Done, service.resultsFromStore(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
 		p.store.MostRead = 3
 		for n := range 10 {
 			job := &jobs.Job{ID: fmt.Sprint("later-", n), Organisation: "o", Submitted: time.Now(), Items: []jobs.Item{{ID: "i", Path: "/"}}}
@@ -222,7 +222,7 @@
 			_, err = p.store.Append(t.Context(), p.at, records, external.AnyEnd)
 			require.NoError(t, err)
 		}
-		require.Equal(t, Done, d.resultsFromStore(t.Context(), ResultsCall{Job: "later-9", Organisation: "o"}).Verdict)
-		require.Equal(t, Missing, d.resultsFromStore(t.Context(), ResultsCall{Job: "never", Organisation: "o"}).Verdict)
+		require.Equal(t, Done, service.resultsFromStore(t.Context(), ResultsCall{Job: "later-9", Organisation: "o"}).Verdict)
+		require.Equal(t, Missing, service.resultsFromStore(t.Context(), ResultsCall{Job: "never", Organisation: "o"}).Verdict)
 	})
 }
--- a/internal/coordination/routed/batchjobs/retention_test.go
+++ b/internal/coordination/routed/batchjobs/retention_test.go
@@ -12,7 +12,7 @@
 	"merlintiller/internal/state/jobs"
 )
 
-// keys are what the store keeps of the partition.
+// keys returns the keys that the store has for the partition.
 func (p *testPartition) keys() []string {
 	page, err := p.store.Newest(p.t.Context(), p.at)
 	require.NoError(p.t, err)
@@ -23,9 +23,9 @@
 	return keys
 }
 
-// The store keeps the newest record of each key for good, and takes no more once
-// it is full: callers would have every job refused. So a closed job leaves nothing
-// behind once its time is over, and stays readable until then.
+// The store keeps the newest record of each key for ever and accepts no more when it is
+// full; every job would then be rejected. So an expired job must leave no records, and
+// must stay readable until it expires.
 func TestExpiredJobIsRemovedFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 3)
@@ -33,7 +33,7 @@
 		replica := p.own()
 		sleep(time.Second)
 		replica.addResult(succeeded(0, "short"))
-		// A result of several records.
+		// A result that takes several records.
 		replica.addResult(succeeded(1, strings.Repeat("x", 3*p.opts.RecordBytes)))
 		replica.addResult(succeeded(2, "short"))
 		sleep(100 * time.Second)
@@ -43,7 +43,7 @@
 	})
 }
 
-// A job that nobody has finished yet is somebody's work, however old it is.
+// A job with unfinished items must not be removed, however old it is.
 func TestOpenJobStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 2)
@@ -61,7 +61,7 @@
 	})
 }
 
-// Two instances hold the partition while it is dealt anew. The one that is behind
+// Two instances own the partition while it is reassigned. The one whose state is older
 // must not remove what the other one is writing.
 func TestRemovalIsRejectedIfThePartitionHasMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/coordination/routed/batchjobs/rpc.go
+++ b/internal/coordination/routed/batchjobs/rpc.go
@@ -6,8 +6,8 @@
 	"merlintiller/internal/state/jobs"
 )
 
-// Names of the net/rpc receivers. Calls that wait for results have connections
-// of their own, so that a wait that ends by its time holds up no other call.
+// Names of the net/rpc receivers. Calls that wait for results use connections of
+// their own, so that a call that waits until its timeout does not delay others.
 const (
 	ReceiverName = "Jobs"
 	WaiterName   = "JobResults"
@@ -26,13 +26,13 @@
 	methodResults    = WaiterName + ".Results"
 )
 
-// Receiver answers other instances. It is registered under ReceiverName.
+// Receiver serves calls of other instances. It is registered under ReceiverName.
 type Receiver struct{ service *JobService }
 
 // Receiver returns the net/rpc receiver of short calls.
 func (s *JobService) Receiver() *Receiver { return &Receiver{service: s} }
 
-// Known says whether a job is there.
+// Known says whether a job exists.
 func (r *Receiver) Known(args *JobCall, reply *JobReply) error {
 	reply.Verdict = NotHeld
 	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Body gives the body of an item.
+// Body returns the body of an item.
 func (r *Receiver) Body(args *BodyCall, reply *BodyReply) error {
 	reply.Verdict = NotHeld
 	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Yield gives a slot back.
+// Yield gives back a slot.
 func (r *Receiver) Yield(args *YieldCall, reply *JobReply) error {
 	reply.Verdict = Missing
 	if r.service.runner.Yield(args.Number) {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Finish takes the result of an item that was run for this holder.
+// Finish accepts the result of an item that another instance ran.
 func (r *Receiver) Finish(args *FinishCall, reply *JobReply) error {
 	reply.Verdict = NotHeld
 	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// HandBack takes the output of an item that is not whole.
+// HandBack accepts the incomplete output of an item.
 func (r *Receiver) HandBack(args *PartialOutput, reply *JobReply) error {
 	reply.Verdict = NotHeld
 	if p, ok := r.service.owner.replicaOf(r.service.opts.partitionOf(args.Job).Number); ok {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// EndFor ends a job for an instance that does not reach the store.
+// EndFor cancels a job for an instance that does not reach the store.
 func (r *Receiver) EndFor(args *JobCall, reply *JobReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// BodyFor gives the body of an item to an instance that does not reach the store.
+// BodyFor returns the body of an item to an instance that does not reach the store.
 func (r *Receiver) BodyFor(args *BodyCall, reply *BodyReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// ResultsFor gives results to an instance that does not reach the store.
+// ResultsFor returns results to an instance that does not reach the store.
 func (w *Waiter) ResultsFor(args *ResultsCall, reply *ResultsReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), viaPeerTimeout)
 	defer cancel()
@@ -112,13 +112,13 @@
 	return nil
 }
 
-// Waiter answers calls that may wait. It is registered under WaiterName.
+// Waiter serves calls that may wait. It is registered under WaiterName.
 type Waiter struct{ service *JobService }
 
 // Waiter returns the net/rpc receiver of calls that wait.
 func (s *JobService) Waiter() *Waiter { return &Waiter{service: s} }
 
-// Results gives results of a job.
+// Results returns results of a job.
 func (w *Waiter) Results(args *ResultsCall, reply *ResultsReply) error {
 	reply.Verdict = NotHeld
 	if p, ok := w.service.owner.replicaOf(w.service.opts.partitionOf(args.Job).Number); ok {
--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// lookEvery is how often it is looked whether an item that waits for a while
-	// may begin.
+	// pollInterval is how often the runner checks whether a waiting item may
+	// start.
 	pollInterval = 40 * time.Millisecond
-	// yieldPause is how long an item waits that gave up its slot.
+	// yieldDelay is how long an item waits before its next run after it yielded
+	// its slot or a target rejected it.
 	yieldDelay = 60 * time.Millisecond
-	// failPause is how long an item waits after a failed run, doubled with each
-	// further one up to failMost.
+	// failureBackoff is how long an item waits after a failed run. It doubles with
+	// each further failure, up to maxFailureBackoff.
 	failureBackoff    = 100 * time.Millisecond
 	maxFailureBackoff = 2 * time.Second
-	// claimWait is how long a new holder waits for others to claim the items
-	// that they run: two messages of another failure domain.
+	// claimWait is how long a new owner waits for other instances to claim the
+	// items that they run: two heartbeats from another failure domain.
 	claimWait = 400 * time.Millisecond
-	// startWait is the same after a restart of all instances, when nobody has anything
-	// to claim: until the instances have found each other and asked the targets what
-	// they run.
+	// restartClaimWait replaces claimWait after a restart of all instances, when
+	// no instance has an item to claim. It lets the instances find each other and
+	// ask the targets what they run.
 	restartClaimWait = 150 * time.Millisecond
 )
 
@@ -39,39 +40,40 @@
 	itemYields = metrics.NewCounter(`batch_item_yields_total`)
 )
 
-// itemID names an item of a job.
+// itemID identifies an item of a job.
 type itemID struct{ job, item string }
 
-// openItem is an item that is to be run.
+// openItem is an item that has no result yet.
 type openItem struct {
 	id   itemID
 	item jobs.Item
 	job  jobs.Job
-	// place is that of the item in its job, kept what was kept of its output.
+	// index is the item's index in its job, progress the stored part of its output.
 	index    int
 	progress jobs.Progress
 }
 
-// Runner runs the items of the partitions that are held. It is a duty.
+// Runner runs the items of the owned partitions. It is a background service.
 type Runner struct {
 	opts *Options
-	// handing counts what is being handed to holders.
+	// handOvers counts the results and partial outputs being sent to owners.
 	handOvers atomic.Int64
-	// local gives a partition that is held here.
+	// replicaOf returns the replica of a partition that this instance owns.
 	replicaOf func(number int) (*partitionReplica, bool)
 
 	mu       sync.Mutex
 	estimate runEstimate
-	// changed is closed when items come or may begin.
+	// changed is closed when items are added or may start.
 	changed chan struct{}
 	tasks   map[itemID]*task
 	waiting []*task
 	ctx     context.Context
-	// delivering are results on their way to the holders of their partitions.
+	// delivering holds the items whose results are being sent to the owners of
+	// their partitions.
 	delivering map[itemID]bool
-	// leaving says that nothing new is begun.
+	// shuttingDown stops new runs.
 	shuttingDown bool
-	// claimed are the items that others run, as of claimedAt.
+	// claimedByPeers holds the items that other instances run, as of claimsReadAt.
 	claimedByPeers map[itemID]bool
 	claimsReadAt   time.Time
 }
@@ -87,29 +89,28 @@
 	return r
 }
 
-// String names the duty.
+// String is the name of the background service.
 func (r *Runner) String() string { return "jobs-runner" }
 
-// Serve finds slots for the items that wait until ctx ends, in each failure domain
-// by a goroutine of its own.
+// Serve places waiting items until ctx ends, with one goroutine per failure domain.
 func (r *Runner) Serve(ctx context.Context) error {
 	r.mu.Lock()
 	r.ctx = ctx
 	r.mu.Unlock()
-	var seekers sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range maxDomains {
-		seekers.Go(func() { r.placeItems(ctx, i) })
+		workers.Go(func() { r.placeItems(ctx, i) })
 	}
-	seekers.Wait()
+	workers.Wait()
 	return ctx.Err()
 }
 
-// mostDomains bounds the failure domains in which slots are sought at once.
+// maxDomains bounds the failure domains in which items are placed at the same time.
 const maxDomains = 4
 
-// seek finds slots in the failure domain that comes at a place in the order of
-// this instance.
-func (r *Runner) placeItems(ctx context.Context, place int) {
+// placeItems places items in one failure domain. place is the index of the domain in
+// this instance's order of domains.
+func (r *Runner) placeItems(ctx context.Context, domainIndex int) {
 	for ctx.Err() == nil {
 		item, ok := r.mostUrgent(time.Now())
 		if !ok {
@@ -117,65 +118,66 @@
 			continue
 		}
 		domains := r.opts.Placer.Domains()
-		if place >= len(domains) {
+		if domainIndex >= len(domains) {
 			r.waitForWork(ctx)
 			continue
 		}
-		if choice, found := r.opts.Placer.PlaceItem(ctx, domains[place], item); found {
+		if choice, found := r.opts.Placer.PlaceItem(ctx, domains[domainIndex], item); found {
 			r.startItem(item.Service, choice)
 		}
 	}
 }
 
-// idle waits until something may have changed. While no item waits, nothing changes by
-// the passing of time, and most instances of a large fleet hold no partition at all.
+// waitForWork waits until an item may be able to start. While no item waits it sets
+// no timer, since only a change can make one start: in a large fleet most instances own
+// no partition.
 func (r *Runner) waitForWork(ctx context.Context) {
 	r.mu.Lock()
 	changed, waiting := r.changed, len(r.waiting)
 	r.mu.Unlock()
-	var look <-chan time.Time
+	var poll <-chan time.Time
 	if waiting > 0 {
 		timer := time.NewTimer(pollInterval)
 		defer timer.Stop()
-		look = timer.C
+		poll = timer.C
 	}
 	select {
 	case <-changed:
-	case <-look:
+	case <-poll:
 	case <-ctx.Done():
 	}
 }
 
-// poke wakes those who seek slots. It needs the lock.
+// notifyChange wakes the goroutines that place items. The caller holds the lock.
 func (r *Runner) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// refresh takes over which items of a partition are open. It looks while it has the
-// runner's lock: of two changes that come close together, the older look could be
-// taken in last, and would have the items forgotten that the newer one brought.
+// syncItems makes the tasks match the open items of a partition. It reads the items
+// while it holds the runner's lock. Otherwise, of two changes in quick succession, the
+// older set of items could be applied last and drop the items of the newer one.
 func (r *Runner) syncItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p.released {
 		return
 	}
-	open, held := p.openItems()
+	open, acquiredAt := p.openItems()
 	wanted := make(map[itemID]bool, len(open))
 	for i := range open {
 		o := &open[i]
 		wanted[o.id] = true
 		if known := r.tasks[o.id]; known != nil {
-			// An item of a partition that was lost and is held again.
+			// The item's partition was lost and is owned again.
 			known.replica = p
 			continue
 		}
 		t := &task{openItem: *o, runner: r, replica: p, position: exchange.FromStart}
 		t.output.reset()
-		if o.job.Submitted.Before(held) {
+		if o.job.Submitted.Before(acquiredAt) {
 			t.mayRunElsewhere = true
-			t.notBefore, t.claimsUntil = r.inheritedItemTimes(time.Now(), held)
+			t.notBefore, t.claimsUntil = r.inheritedItemTimes(time.Now(), acquiredAt)
 		}
 		t.resume(o.progress)
 		t.adopt(p.takePartialOutput(o.id))
@@ -190,8 +192,9 @@
 	r.notifyChange()
 }
 
-// drop lets go of the items of a partition that is held no more. Those that run
-// go on, as claims; what the others have is handed to the new holder.
+// releaseItems detaches the items of a partition that this instance no longer owns.
+// Running items go on, as claims. The output of waiting items and the unpublished
+// results are sent to the new owner.
 func (r *Runner) releaseItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +214,7 @@
 	}
 }
 
-// settle ends the task of an item whose result came from elsewhere.
+// discardTask ends the task of an item whose result came from another instance.
 func (r *Runner) discardTask(id itemID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,8 +223,8 @@
 	}
 }
 
-// handBack gives what a waiting task has to the holder of its partition and
-// forgets the task. It needs the lock.
+// handOver ends a waiting task and sends its output to the owner of its partition.
+// The caller holds the lock.
 func (r *Runner) handOver(t *task) {
 	r.endTask(t)
 	if t.events > 0 || t.failures > 0 {
@@ -230,8 +233,8 @@
 	}
 }
 
-// Shutdown ends all runs and hands what they have to the holders of their
-// partitions. It comes after the partitions were given up.
+// Shutdown stops all runs and sends their output to the owners of their partitions.
+// The partitions must have been released before.
 func (r *Runner) Shutdown(ctx context.Context) {
 	r.mu.Lock()
 	r.shuttingDown = true
@@ -246,14 +249,14 @@
 	}
 }
 
-// busy says that something is still to be handed over.
+// hasUnfinishedWork says that tasks or hand-overs are left.
 func (r *Runner) hasUnfinishedWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.tasks) > 0 || r.handOvers.Load() > 0
 }
 
-// forget ends a task. It needs the lock.
+// endTask removes a task and cancels its run. The caller holds the lock.
 func (r *Runner) endTask(t *task) {
 	if r.tasks[t.id] == t {
 		delete(r.tasks, t.id)
@@ -273,29 +276,29 @@
 		r.estimate.observe(t.events, t.runTime)
 	}
 	if !ended {
-		// The result waits in its partition now; until it is listed there, the
-		// item counts as pending and is not run again. Where the partition is
-		// held elsewhere, the holder is told.
+		// The result is now queued in its partition. Until it is published, the
+		// item counts as pending and does not run again. If another instance owns
+		// the partition, the result is sent to that instance.
 		t.ended = true
 		delete(r.tasks, t.id)
 	}
-	home := t.replica
+	replica := t.replica
 	f := finishedItem{job: t.id.job, result: result}
-	if !ended && home == nil {
+	if !ended && replica == nil {
 		r.startDelivery(f)
 	}
 	r.mu.Unlock()
 	switch {
 	case ended:
-	case home != nil:
-		home.addResult(f)
+	case replica != nil:
+		replica.addResult(f)
 	default:
 		r.deliverResult(f)
 	}
 }
 
-// Yield gives the slot back that a broker gave under a number, if an item still
-// has it. The item goes on elsewhere from where it is.
+// Yield ends the run that holds the slot granted under a number, and says whether
+// there was one. The item later continues from its last event, at any target.
 func (r *Runner) Yield(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -313,7 +316,7 @@
 	return false
 }
 
-// runs notes that a task has begun. It needs the lock.
+// startRun starts a run of a task at a target. The caller holds the lock.
 func (r *Runner) startRun(t *task, choice placement.Choice) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	t.cancel, t.choice, t.yielding, t.startedAt = cancel, choice, false, time.Now()
--- a/internal/coordination/routed/batchjobs/runner_test.go
+++ b/internal/coordination/routed/batchjobs/runner_test.go
@@ -13,9 +13,9 @@
 	"merlintiller/internal/state/route"
 )
 
-// A change of a partition is told while the partition is being given up. Taken in
-// after that, it would tie the items to a holding that hears of nothing more: they
-// would go on running after their job was ended.
+// A change of a partition is reported while the partition is being released. Applied after
+// the release, it would attach the items to a replica that gets no further updates, and
+// they would go on running after their job was cancelled.
 func TestChangeAfterReleaseIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 3)
@@ -31,49 +31,49 @@
 	})
 }
 
-// Two changes of a partition come close together, the second of them a job. The look
-// at the partition that the first one caused is taken in last, and is older than the
-// job. Its items would be forgotten, and no target would get them until the next
-// change of the partition, which may never come.
+// Two changes of a partition occur in quick succession, and the second one adds a job. If
+// the set of items read after the first change were applied last, the items of the job
+// would be lost, and no target would get them until the next change of the partition,
+// which may never come.
 func TestSyncReadsItemsUnderTheRunnerLock(t *testing.T) {
 	p := newTestPartition(t, 3)
 	r := NewRunner(p.opts)
 	replica := newPartitionReplica(p.opts, p.at, nil)
 	r.mu.Lock()
-	over := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(finished)
 		r.syncItems(replica)
 	}()
-	// Time for the goroutine to look too early, if it does so at all.
+	// Gives the goroutine time to read the items too early, if it does so at all.
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, replica.load(t.Context()))
 	r.mu.Unlock()
-	<-over
+	<-finished
 	require.Len(t, r.tasks, 3)
 }
 
-// Most instances of a large fleet have no items. Looking for some all the time would take
-// a part of a small processor from the callers.
+// Most instances of a large fleet have no items. Polling all the time would take a part of
+// a small processor from the callers' requests.
 func TestRunnerWithoutItemsDoesNotPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPartition(t, 0)
-		var looks atomic.Int64
+		var polls atomic.Int64
 		p.opts.Table = func() *route.Table {
-			looks.Add(1)
+			polls.Add(1)
 			return nil
 		}
 		r := NewRunner(p.opts)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		require.Error(t, r.Serve(ctx))
-		require.LessOrEqual(t, looks.Load(), int64(maxDomains))
+		require.LessOrEqual(t, polls.Load(), int64(maxDomains))
 	})
 }
 
-// The clock of the instance that took a job was seconds behind, or that of the holder has
-// jumped ahead. By the holder's clock the item's time is over, and its caller would be told
-// that it was given up while it could still be done.
+// The clock of the instance that accepted a job was seconds behind, or the owner's clock has
+// jumped ahead. By the owner's clock the item has expired, and its caller would get a failed
+// result although the item could still be done.
 func TestClockAheadDoesNotExpireItem(t *testing.T) {
 	now := time.Unix(1_000, 0)
 	item := &task{openItem: openItem{job: jobs.Job{ExpiresAt: now.Add(-clockMargin / 2)}}}
--- a/internal/coordination/routed/batchjobs/service.go
+++ b/internal/coordination/routed/batchjobs/service.go
@@ -13,36 +13,39 @@
 )
 
 const (
-	// askTimeout bounds a question to the holder of a partition. Instances are
-	// some milliseconds apart; whoever does not answer is gone around.
+	// peerCallTimeout bounds a call to another instance. The network between
+	// instances takes some milliseconds; an instance that does not answer in time
+	// is bypassed.
 	peerCallTimeout = 300 * time.Millisecond
-	// freshTimeout bounds the reading of the store before a job is said not to
-	// exist.
+	// storeReadTimeout bounds the read of the store that precedes the answer that
+	// a job does not exist.
 	storeReadTimeout = 800 * time.Millisecond
-	// storeAway is the time without an answer of the store after which another
-	// instance is asked to write instead.
+	// storeUnreachableAfter is the time without an answer from the store after
+	// which the instance writes through another instance instead.
 	storeUnreachableAfter = 1200 * time.Millisecond
 )
 
-// JobService takes the calls of batch jobs at any instance.
+// JobService serves the calls on batch jobs. Every instance has one.
 type JobService struct {
 	opts   *Options
 	owner  *PartitionOwner
 	runner *Runner
 
 	mu sync.Mutex
-	// copies are partitions of others, read from the store when their holders
-	// can't be asked.
+	// replicas holds, by number, partitions that other instances own. They are
+	// read from the store when their owners can't be reached.
 	replicas map[int]*partitionReplica
 }
 
-// NewJobService returns a desk.
+// NewJobService returns a service that answers from the partitions of owner, the
+// store and other instances.
 func NewJobService(opts *Options, owner *PartitionOwner, runner *Runner) *JobService {
 	return &JobService{opts: opts, owner: owner, runner: runner, replicas: map[int]*partitionReplica{}}
 }
 
-// known asks the holder whether a job is there already, as after a repeat. The
-// answer saves writing the job once more; without one it is written.
+// jobExists asks the owner whether a job exists already, as after a repeated
+// submission. A positive answer saves writing the job again; without an answer
+// it is written.
 func (s *JobService) jobExists(ctx context.Context, job string) bool {
 	number := s.opts.partitionOf(job).Number
 	if p, ok := s.owner.replicaOf(number); ok {
@@ -55,34 +58,35 @@
 	return reply.Verdict == Done
 }
 
-// ask calls the holder of a partition.
+// callOwner calls the owner of a partition. It returns false if no owner is known
+// or the call failed.
 func (s *JobService) callOwner(ctx context.Context, number int, method string, args, reply any) bool {
-	holder, ok := s.opts.Peers.Holder(number)
+	owner, ok := s.opts.Peers.Holder(number)
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	return s.opts.Caller.Call(ctx, holder.Address, method, args, reply) == nil
+	return s.opts.Caller.Call(ctx, owner.Address, method, args, reply) == nil
 }
 
-// mostElsewhere bounds the instances that are asked in place of the store.
+// maxPeersTried bounds the instances that one call tries in place of the store.
 const maxPeersTried = 2
 
-// elsewhere asks instances that the store answers, one after the other, until
-// one has done what is asked.
-func (s *JobService) tryPeersWithStore(ctx context.Context, ask func(ctx context.Context, address string) bool) {
-	asked := 0
+// tryPeersWithStore calls instances that reach the store, one after the other,
+// until call returns true for one of them.
+func (s *JobService) tryPeersWithStore(ctx context.Context, call func(ctx context.Context, address string) bool) {
+	tried := 0
 	for _, p := range s.opts.Peers.Peers() {
 		if p.State != mesh.Up || p.Beat.Leaving || p.Beat.StoreAge >= storeUnreachableAfter {
 			continue
 		}
-		if asked == maxPeersTried || ctx.Err() != nil {
+		if tried == maxPeersTried || ctx.Err() != nil {
 			return
 		}
-		asked++
+		tried++
 		limited, cancel := context.WithTimeout(ctx, viaPeerTimeout)
-		done := ask(limited, p.Address)
+		done := call(limited, p.Address)
 		cancel()
 		if done {
 			return
@@ -90,8 +94,8 @@
 	}
 }
 
-// Results gives results of a job: from the holder of its partition, else from the
-// store, else through an instance that the store answers.
+// Results returns results of a job: from the owner of its partition, else from the
+// store, else through an instance that reaches the store.
 func (s *JobService) Results(ctx context.Context, call ResultsCall) ResultsReply {
 	number := s.opts.partitionOf(call.Job).Number
 	if p, ok := s.owner.replicaOf(number); ok {
@@ -109,19 +113,19 @@
 	return reply
 }
 
-// throughOthers has instances that the store answers read what could not be read
-// here, until one of them has.
+// readViaPeers makes a read that failed here through instances that reach the
+// store, until one of them succeeds.
 func readViaPeers[R any](ctx context.Context, s *JobService, method string, call any, reply *R, verdict func(*R) Verdict) {
 	s.tryPeersWithStore(ctx, func(ctx context.Context, address string) bool {
-		var theirs R
-		if s.opts.Caller.Call(ctx, address, method, call, &theirs) == nil {
-			*reply = theirs
+		var peerReply R
+		if s.opts.Caller.Call(ctx, address, method, call, &peerReply) == nil {
+			*reply = peerReply
 		}
 		return verdict(reply) != NotDone
 	})
 }
 
-// resultsHere gives results as the store has them now.
+// resultsFromStore returns results from the current content of the store.
 func (s *JobService) resultsFromStore(ctx context.Context, call ResultsCall) ResultsReply {
 	p, err := s.upToDate(ctx, s.opts.partitionOf(call.Job).Number)
 	if err != nil {
@@ -130,19 +134,21 @@
 	return p.results(ctx, call)
 }
 
+// resultsFromOwner asks the owner of a partition for results. It returns false if no
+// owner is known or the call failed.
 func (s *JobService) resultsFromOwner(ctx context.Context, number int, call ResultsCall) (ResultsReply, bool) {
-	holder, ok := s.opts.Peers.Holder(number)
+	owner, ok := s.opts.Peers.Holder(number)
 	if !ok {
 		return ResultsReply{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.Wait+peerCallTimeout)
 	defer cancel()
 	var reply ResultsReply
-	err := s.opts.Caller.Call(ctx, holder.Address, methodResults, &call, &reply)
+	err := s.opts.Caller.Call(ctx, owner.Address, methodResults, &call, &reply)
 	return reply, err == nil
 }
 
-// Body gives the body of an item that is not listed yet.
+// Body returns the body of an item that has no published result yet.
 func (s *JobService) Body(ctx context.Context, call BodyCall) BodyReply {
 	number := s.opts.partitionOf(call.Job).Number
 	var reply BodyReply
@@ -161,7 +167,7 @@
 	return reply
 }
 
-// bodyHere gives an item's body as the store has it now.
+// bodyFromStore returns an item's body from the current content of the store.
 func (s *JobService) bodyFromStore(ctx context.Context, call BodyCall) BodyReply {
 	p, err := s.upToDate(ctx, s.opts.partitionOf(call.Job).Number)
 	if err != nil {
@@ -170,7 +176,7 @@
 	return p.body(call)
 }
 
-// End ends a job, here or through an instance that the store answers.
+// Cancel cancels a job, here or through an instance that reaches the store.
 func (s *JobService) Cancel(ctx context.Context, call JobCall) Verdict {
 	verdict := NotDone
 	if s.opts.StoreAge() < storeUnreachableAfter {
@@ -194,8 +200,8 @@
 	return verdict
 }
 
-// endHere writes the mark that ends a job. The mark is written once: a repeat
-// finds it.
+// cancelInStore appends the record that cancels a job, unless an earlier call has
+// done so.
 func (s *JobService) cancelInStore(ctx context.Context, call JobCall) Verdict {
 	p, err := s.upToDate(ctx, s.opts.partitionOf(call.Job).Number)
 	if err != nil {
@@ -211,16 +217,18 @@
 	return s.appendRecords(ctx, s.opts.partitionOf(call.Job), []external.KeyedRecord{jobs.EncodeCancellation(call.Job)})
 }
 
-// fresh gives a partition as the store has it now. Nobody may say that a job
-// does not exist by what it knew before.
+// upToDate returns a partition after reading all that the store has now. An
+// instance must do so before it reports that a job does not exist: its own state
+// may be older than the job.
 func (s *JobService) upToDate(ctx context.Context, number int) (*partitionReplica, error) {
-	p, held := s.owner.replicaOf(number)
-	if !held {
+	p, owned := s.owner.replicaOf(number)
+	if !owned {
 		p = s.replica(number)
 	}
 	return p, p.catchUp(ctx, storeReadTimeout)
 }
 
+// replica returns the replica of a partition that another instance owns.
 func (s *JobService) replica(number int) *partitionReplica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,8 +240,8 @@
 	return p
 }
 
-// Yield gives the slot of a batch item back that a broker gave to an instance. It
-// says whether the instance was reached.
+// Yield makes an instance give back the slot of a batch item, which a broker granted
+// under a number. It returns false if the instance was not reached.
 func (s *JobService) Yield(instance string, number uint64) bool {
 	for _, p := range s.opts.Peers.Peers() {
 		if p.Name != instance {
--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// hedgeAfter is how long one way of writing a job may take until the other is
-	// tried beside it: many times what the store takes, and a part of the time in which
-	// callers want a job accepted.
+	// hedgeDelay is how long one path of writing a job may take before the other is
+	// tried as well. It is many times the usual latency of the store, and a fraction
+	// of the time within which callers want a job accepted.
 	hedgeDelay = 150 * time.Millisecond
-	// appendRetry is the wait before an append is tried again, doubled each time,
-	// appendTries how often that is done: about a second in all.
+	// appendBackoff is the delay before an append is retried. It doubles with each
+	// of the maxAppendRetries retries, to about a second in all.
 	appendBackoff    = 60 * time.Millisecond
 	maxAppendRetries = 4
-	// handOverTimeout bounds the writing through another instance.
+	// viaPeerTimeout bounds a call that another instance carries out for this one.
 	viaPeerTimeout = 1200 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 	jobsUnsure   = metrics.NewCounter(`batch_jobs_total{outcome="unsure"}`)
 )
 
-// Submit has a job kept. Done means that it lasts.
+// Submit stores a job. Done means that the job is durable.
 func (s *JobService) Submit(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := s.submit(ctx, job)
 	switch verdict {
@@ -49,12 +49,12 @@
 	return verdict
 }
 
-// submit writes a job, here or through another instance, whichever is answered
-// first. Writing it twice does no harm.
+// submit writes a job, here or through another instance, and returns the first
+// success. Writing a job twice has no effect.
 //
-// What goes wrong without the second way: the store turns some instances away
-// and serves the others. A caller whose attempts meet two of those has its job
-// refused, or waits for a store that does not answer, though the store is there.
+// The second path covers a store that rejects some instances and serves others.
+// Without it, a caller whose attempts reach two rejected instances would have its job
+// rejected or wait for the store, although the store is available.
 func (s *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
 	if s.jobExists(ctx, job.ID) {
 		return Done
@@ -68,38 +68,37 @@
 		func(ctx context.Context) Verdict { return second(ctx, job) })
 }
 
-// hedged tries a call that may be done twice in two ways: the second one begins
-// when the first has taken a while, or has ended without being done.
+// hedged makes a call that may be repeated safely on two paths. The second path
+// starts when the first has taken longer than a delay, or has ended without success.
 func hedged(ctx context.Context, after time.Duration, first, second func(context.Context) Verdict) Verdict {
-	ways := make(chan Verdict, 2)
-	running, both := 1, false
-	go func() { ways <- first(ctx) }()
+	verdicts := make(chan Verdict, 2)
+	running, secondStarted := 1, false
+	go func() { verdicts <- first(ctx) }()
 	slow := time.NewTimer(after)
 	defer slow.Stop()
 	verdict := NotDone
 	for running > 0 {
 		select {
-		case way := <-ways:
+		case v := <-verdicts:
 			running--
-			if way == Done {
+			if v == Done {
 				return Done
 			}
-			if way != NotDone {
+			if v != NotDone {
 				verdict = Unsure
 			}
 		case <-slow.C:
 		}
-		if !both && ctx.Err() == nil {
-			both = true
+		if !secondStarted && ctx.Err() == nil {
+			secondStarted = true
 			running++
-			go func() { ways <- second(ctx) }()
+			go func() { verdicts <- second(ctx) }()
 		}
 	}
 	return verdict
 }
 
-// write appends a job's records. A job may be written twice: the second time
-// changes nothing.
+// writeJob appends a job's records. Writing a job a second time changes nothing.
 func (s *JobService) writeJob(ctx context.Context, job *jobs.Job) Verdict {
 	records, err := jobs.EncodeJob(job, s.opts.RecordBytes)
 	if err != nil {
@@ -109,8 +108,8 @@
 	return s.appendRecords(ctx, s.opts.partitionOf(job.ID), records)
 }
 
-// append writes records in as many calls as the store's bound wants, the last of
-// which makes them count.
+// appendRecords appends records in as many calls as the store's limits require. The
+// last record makes the others take effect.
 func (s *JobService) appendRecords(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	for len(records) > 0 {
 		n, size := 0, 0
@@ -129,13 +128,13 @@
 	return Done
 }
 
-// recordHead is what the store counts beside a record's key and value.
+// recordOverhead is what the store counts for a record beyond its key and value.
 const recordOverhead = 8
 
-// appendOnce repeats one append a few times until it is answered or ctx ends.
+// appendWithRetry makes one append, with retries, until it is acknowledged or ctx ends.
 func (s *JobService) appendWithRetry(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	verdict := NotDone
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		_, err := s.opts.Log.Append(ctx, p, records, external.AnyEnd)
 		if err == nil {
 			s.opts.StoreAnswered()
@@ -145,17 +144,17 @@
 		if errors.Is(err, external.ErrUnavailable) {
 			verdict = Unsure
 		}
-		if errors.Is(err, external.ErrFull) || try == maxAppendRetries {
+		if errors.Is(err, external.ErrFull) || attempt == maxAppendRetries {
 			return verdict
 		}
-		wait.For(ctx, appendBackoff<<try)
+		wait.For(ctx, appendBackoff<<attempt)
 		if ctx.Err() != nil {
 			return verdict
 		}
 	}
 }
 
-// handOver has another instance write a job, one that the store answers.
+// submitViaPeer writes a job through another instance that reaches the store.
 func (s *JobService) submitViaPeer(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := NotDone
 	s.tryPeersWithStore(ctx, func(ctx context.Context, address string) bool {
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// stallLimit ends a run whose target does not go on; the item goes on
-	// elsewhere. Slowed targets make several events in that time, and a full one lets
-	// an item wait.
+	// stallTimeout ends a run whose target sends no event; the item then continues
+	// at another target. Slow targets send several events in that time; a full
+	// target may keep an item waiting.
 	stallTimeout = 1500 * time.Millisecond
-	// longestRun bounds the time that a target is given for a run: twice the
-	// usual run, and some more. Where the path to a target is cut, the item
-	// goes on elsewhere, and the target must not keep the slot for long. An item
-	// that needs more goes on at the next target.
+	// maxRunTime bounds the run time granted to a target: twice the usual run time
+	// and a reserve. If the path to a target is interrupted, the item continues at
+	// another target, and the first one must not hold the slot for long. An item
+	// that needs more time continues at the next target.
 	maxRunTime = 15 * time.Second
 )
 
-// task is an item on its way to its result. The runner's lock guards the fields
-// that it and the runs share; text and position belong to the run.
+// task is an item that has no result yet. The runner's lock guards the fields that
+// the runner and the run share; text and position belong to the run.
 type task struct {
 	openItem
 	runner  *Runner
@@ -43,27 +43,28 @@
 	choice    placement.Choice
 	yielding  bool
 	ended     bool
-	// late says that the item can't be done in time any more.
+	// late says that the item can no longer be done by its deadline.
 	late bool
-	// inherited says that another instance may have begun the item; until claimsUntil
-	// it may still say that it runs it.
+	// mayRunElsewhere says that another instance may have started the item. Until
+	// claimsUntil, that instance may still claim it.
 	mayRunElsewhere bool
 	claimsUntil     time.Time
-	// worked is the time that runs have taken so far, began when the last one did.
+	// runTime is the time that runs have taken so far, startedAt the start of the
+	// last run.
 	runTime   time.Duration
 	startedAt time.Time
 
-	// output is what came since it was kept last.
+	// output is what was received since output was last stored.
 	output   pendingOutput
 	text     strings.Builder
 	events   int
 	position int
-	// failures are runs that the target ended as failed, troubles those that
-	// broke off in a row.
+	// failures counts the runs that a target reported as failed, interruptions the
+	// interrupted runs in a row.
 	failures, interruptions int
 }
 
-// service is where the item runs by the configuration in force.
+// service returns the service for the item under the configuration in force.
 func (t *task) service(table *route.Table) (string, bool) {
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
 	if !ok {
@@ -72,20 +73,20 @@
 	return r.Choose(t.id.item)
 }
 
-// clockMargin is how far the wall clocks of two instances may be apart, one of which took
-// the job. They may jump by seconds, and back again.
+// clockMargin bounds the difference between the wall clocks of two instances, one of
+// which accepted the job. Clocks may jump by seconds, and back again.
 const clockMargin = 10 * time.Second
 
-// expires is when the item's time is over by anybody's clock.
+// expiresAt is when the item has expired by the clock of every instance.
 func (t *task) expiresAt() time.Time { return t.job.ExpiresAt.Add(clockMargin) }
 
-// hopeless says why an item can't be done any more.
+// failureReason says why an item can no longer be done, or is empty.
 func (t *task) failureReason(now time.Time, table *route.Table) string {
 	if !t.job.ExpiresAt.IsZero() && now.After(t.expiresAt()) {
 		return "expired"
 	}
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
-	// A configuration older than the job does not know its route yet.
+	// A configuration older than the job may not have its route yet.
 	if (!ok || r.Kind != route.Batch) && table.Version() >= t.job.ConfigVersion {
 		return "route_removed"
 	}
@@ -95,14 +96,14 @@
 	return ""
 }
 
-// giveUp ends the item as failed. It may be called with the runner's lock.
+// fail ends the item with a failed result. The caller may hold the runner's lock.
 func (t *task) fail(reason string) {
 	_ = level.Info(t.runner.opts.Logger).Log("event", "item_failed", "item", t.id.item, "job", t.id.job, "reason", reason,
 		"failures", t.failures, "position", t.position)
 	go t.runner.finish(t, jobs.Result{Item: t.id.item, Outcome: jobs.Failed, Text: t.text.String()})
 }
 
-// ending is how a run ended.
+// runOutcome says how a run ended.
 type runOutcome int
 
 const (
@@ -119,34 +120,34 @@
 	opts := t.runner.opts
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var silent atomic.Bool
+	var stalled atomic.Bool
 	stall := time.AfterFunc(stallTimeout, func() {
-		silent.Store(true)
+		stalled.Store(true)
 		cancel()
 	})
 	defer stall.Stop()
-	began, from := time.Now(), t.position
-	how, result, err := t.sendAndRead(ctx, choice, stall)
-	if silent.Load() {
-		how, result = interrupted, placement.Silent
+	start, from := time.Now(), t.position
+	outcome, result, err := t.sendAndRead(ctx, choice, stall)
+	if stalled.Load() {
+		outcome, result = interrupted, placement.Silent
 	}
-	t.addRunTime(time.Since(began))
+	t.addRunTime(time.Since(start))
 	opts.Placer.Done(choice, result)
 	_ = level.Info(opts.Logger).Log("event", "item_run", "item", t.id.item, "job", t.id.job, "target", choice.ID,
-		"broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots, "how", how.String(), "from", from, "position", t.position, "took_ms", time.Since(began).Milliseconds(),
+		"broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots, "how", outcome.String(), "from", from, "position", t.position, "took_ms", time.Since(start).Milliseconds(),
 		"due_in_ms", time.Until(t.job.Deadline).Milliseconds(), "err", err)
-	t.handleOutcome(how)
+	t.handleOutcome(outcome)
 }
 
-// String names an ending in logs.
-func (e runOutcome) String() string {
-	return [...]string{"whole", "refused", "failed", "impossible", "broken", "left"}[e]
+// String is the name of the outcome in logs.
+func (o runOutcome) String() string {
+	return [...]string{"whole", "refused", "failed", "impossible", "broken", "left"}[o]
 }
 
-// after says what comes after a run.
-func (t *task) handleOutcome(how runOutcome) {
+// handleOutcome finishes the item or queues it for its next run.
+func (t *task) handleOutcome(outcome runOutcome) {
 	r := t.runner
-	switch how {
+	switch outcome {
 	case completed:
 		r.finish(t, jobs.Result{Item: t.id.item, Outcome: jobs.Succeeded, Text: t.text.String()})
 	case unprocessable:
@@ -164,14 +165,14 @@
 	}
 }
 
-// hasWorked counts the time of a run.
+// addRunTime adds the duration of a run.
 func (t *task) addRunTime(d time.Duration) {
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
 	t.runTime += d
 }
 
-// restart counts a run that failed and forgets its output.
+// restartAfterFailure counts a failed run and discards the output.
 func (t *task) restartAfterFailure() {
 	t.text.Reset()
 	t.runner.mu.Lock()
@@ -184,6 +185,7 @@
 	}
 }
 
+// sendAndRead sends the item to a target and reads the answer.
 func (t *task) sendAndRead(ctx context.Context, choice placement.Choice, stall *time.Timer) (runOutcome, placement.Result, error) {
 	opts := t.runner.opts
 	answer, err := opts.Targets.Send(ctx, choice.Address, t.dispatch(choice))
@@ -216,27 +218,29 @@
 	return t.read(ctx, answer, stall)
 }
 
+// dispatch is the request for the next run of the item.
 func (t *task) dispatch(choice placement.Choice) *exchange.Dispatch {
 	header := make(http.Header, len(t.item.Header))
 	for name, value := range t.item.Header {
 		header.Set(name, value)
 	}
-	most := maxRunTime
+	limit := maxRunTime
 	if !t.job.ExpiresAt.IsZero() {
-		most = min(most, time.Until(t.expiresAt()))
+		limit = min(limit, time.Until(t.expiresAt()))
 	}
 	return &exchange.Dispatch{
 		ID: t.id.item, Method: http.MethodPost, Host: t.job.Host, Path: t.item.Path,
-		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, most),
+		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, limit),
 		After: t.position, Header: header, Body: t.item.Body,
 	}
 }
 
-// errGap: an event is missing, so what follows can't be joined to what is there.
+// errGap means that an event is missing, so that later events can't be joined to the
+// output.
 var errGap = errors.New("an event is missing")
 
-// read takes the output in, event by event, so that a run that breaks off goes
-// on after the last whole one.
+// read reads the output event by event, so that after an interruption the next run
+// continues after the last complete event.
 func (t *task) read(ctx context.Context, answer external.OpenAnswer, stall *time.Timer) (runOutcome, placement.Result, error) {
 	events := sse.NewReader(answer)
 	for {
@@ -259,7 +263,7 @@
 	}
 }
 
-// take adds one event.
+// addEvent adds one event to the output.
 func (t *task) addEvent(event *sse.Event) error {
 	if event.Numbered {
 		switch {
