--- a/internal/coordination/routed/batchjobs/answer.go
+++ b/internal/coordination/routed/batchjobs/answer.go
@@ -58,11 +58,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, known := p.state.Job(call.Job)
-	if !known || l.Cancelled || l.HasResult(call.Item) {
+	job, known := p.state.Job(call.Job)
+	if !known || job.Cancelled || job.HasResult(call.Item) {
 		return BodyReply{Verdict: Missing}
 	}
-	item, _, ok := l.Item(call.Item)
+	item, _, ok := job.Item(call.Item)
 	if !ok {
 		return BodyReply{Verdict: Missing}
 	}
--- a/internal/coordination/routed/batchjobs/itemresults.go
+++ b/internal/coordination/routed/batchjobs/itemresults.go
@@ -121,8 +121,8 @@
 	positions := map[string]int{}
 	size := 0
 	for _, f := range p.unpublished {
-		l, known := p.state.Job(f.job)
-		if !known || l.Cancelled || l.HasResult(f.result.Item) {
+		job, known := p.state.Job(f.job)
+		if !known || job.Cancelled || job.HasResult(f.result.Item) {
 			continue
 		}
 		remaining = append(remaining, f)
@@ -130,14 +130,14 @@
 		if b.count > 0 && size > p.opts.CallBytes/2 {
 			continue
 		}
-		position := len(l.Results) + positions[f.job]
+		position := len(job.Results) + positions[f.job]
 		records, err := jobs.EncodeResult(f.job, position, f.result, p.opts.RecordBytes)
 		if err != nil {
 			return b, err
 		}
 		positions[f.job]++
-		if _, index, ok := l.Item(f.result.Item); ok {
-			records = append(records, l.EncodeProgressRemoval(index)...)
+		if _, index, ok := job.Item(f.result.Item); ok {
+			records = append(records, job.EncodeProgressRemoval(index)...)
 		}
 		b.records = append(b.records, records...)
 		b.count++
--- a/internal/coordination/routed/batchjobs/progress.go
+++ b/internal/coordination/routed/batchjobs/progress.go
@@ -99,7 +99,7 @@
 	}
 	o.offeredTag = rand.Uint64()
 	return jobs.OutputSegment{
-		Item: index, Tag: o.offeredTag, Follows: o.followsTag, Number: o.number, After: o.after,
+		ItemIndex: index, Tag: o.offeredTag, Follows: o.followsTag, Number: o.number, After: o.after,
 		Events: o.events, Position: position, Text: o.text.String(), Failures: o.failures,
 	}, true
 }
--- a/internal/coordination/routed/batchjobs/replica.go
+++ b/internal/coordination/routed/batchjobs/replica.go
@@ -124,7 +124,7 @@
 	}
 	p.opts.StoreAnswered()
 	if page.Next == next && next < page.End {
-		return false, fmt.Errorf("%w: nothing read at %d before the end at %d", external.ErrUnavailable, next, page.End)
+		return false, fmt.Errorf("%w: read at offset %d returned no records, but the log ends at %d", external.ErrUnavailable, next, page.End)
 	}
 	p.apply(page)
 	return page.Next < page.End, nil
@@ -202,12 +202,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	found.loaded = p.loaded
-	if l, ok := p.state.Job(id); ok {
+	if job, ok := p.state.Job(id); ok {
 		found.known = true
-		found.organisation = l.Organisation
-		found.total = len(l.Items)
-		found.results = l.Results[:len(l.Results):len(l.Results)]
-		found.cancelled = l.Cancelled
+		found.organisation = job.Organisation
+		found.total = len(job.Items)
+		found.results = job.Results[:len(job.Results):len(job.Results)]
+		found.cancelled = job.Cancelled
 	}
 	return found, p.changed
 }
@@ -248,15 +248,15 @@
 		pending[itemID{f.job, f.result.Item}] = true
 	}
 	var out []openItem
-	for _, l := range p.state.Jobs() {
-		if !l.Open() {
+	for _, job := range p.state.Jobs() {
+		if !job.Open() {
 			continue
 		}
-		for i := range l.Items {
-			id := itemID{l.ID, l.Items[i].ID}
-			if !l.HasResult(id.item) && !pending[id] {
-				progress, _ := l.Progress(i)
-				out = append(out, openItem{id: id, item: l.Items[i], job: withoutItems(l), index: i, progress: progress})
+		for i := range job.Items {
+			id := itemID{job.ID, job.Items[i].ID}
+			if !job.HasResult(id.item) && !pending[id] {
+				progress, _ := job.Progress(i)
+				out = append(out, openItem{id: id, item: job.Items[i], job: withoutItems(job), index: i, progress: progress})
 			}
 		}
 	}
@@ -264,8 +264,8 @@
 }
 
 // withoutItems returns a copy of the job without its items.
-func withoutItems(l *jobs.JobState) jobs.Job {
-	job := l.Job
+func withoutItems(state *jobs.JobState) jobs.Job {
+	job := state.Job
 	job.Items = nil
 	return job
 }
--- a/internal/coordination/routed/batchjobs/replica_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -67,16 +67,16 @@
 	require.NoError(p.t, err)
 	state := jobs.NewPartition()
 	require.NoError(p.t, state.Load(page))
-	l, ok := state.Job(jobID)
+	job, ok := state.Job(jobID)
 	require.True(p.t, ok)
-	return l
+	return job
 }
 
 func (p *testPartition) requireEachPublishedOnce(items int) {
 	p.t.Helper()
 	seen := map[string]bool{}
 	for position, r := range p.publishedJob().Results {
-		require.False(p.t, seen[r.Item], "%s stands at a second position, %d", r.Item, position)
+		require.False(p.t, seen[r.Item], "%s has a second position, %d", r.Item, position)
 		seen[r.Item] = true
 	}
 	require.Len(p.t, seen, items)
--- a/internal/coordination/routed/batchjobs/retention.go
+++ b/internal/coordination/routed/batchjobs/retention.go
@@ -55,11 +55,11 @@
 func (p *partitionReplica) expiredJobRecords(now time.Time) (records []external.KeyedRecord, next int64, removed int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.state.Jobs() {
-		if l.Open() || now.Before(l.Submitted.Add(p.opts.Readable+retentionMargin)) {
+	for _, job := range p.state.Jobs() {
+		if job.Open() || now.Before(job.Submitted.Add(p.opts.Readable+retentionMargin)) {
 			continue
 		}
-		more := jobs.EncodeRemoval(l)
+		more := jobs.EncodeRemoval(job)
 		if removed > 0 && len(records)+len(more) > maxRemovalRecords {
 			break
 		}
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -237,7 +237,7 @@
 
 // errGap means that an event is missing, so that later events can't be joined to the
 // output.
-var errGap = errors.New("an event is missing")
+var errGap = errors.New("gap in the numbers of the stream events")
 
 // read reads the output event by event, so that after an interruption the next run
 // continues after the last complete event.
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -6,26 +6,26 @@
 type Item struct {
 	ID   string `cbor:"1,keyasint"`
 	Path string `cbor:"2,keyasint"`
-	// Header is sent to the target.
+	// Header holds the header fields sent to the target.
 	Header map[string]string `cbor:"3,keyasint,omitempty"`
 	Body   []byte            `cbor:"4,keyasint,omitempty"`
-	// Tokens are those of the prompt and the most output together.
+	// Tokens is the sum of the prompt tokens and the maximum output tokens.
 	Tokens int `cbor:"5,keyasint,omitempty"`
 }
 
-// Job is what was submitted.
+// Job is a batch job as submitted.
 type Job struct {
 	ID           string
 	Organisation string
-	// Host and Prefix are those of the route that took it. The items run at the
-	// service that this route names when they run.
+	// Host and Prefix identify the route that accepted the job. An item runs at
+	// the service that this route names when the item runs.
 	Host, Prefix string
-	// ConfigVersion is the configuration under which it was taken.
+	// ConfigVersion is the version of the configuration that accepted the job.
 	ConfigVersion int64
 	Submitted     time.Time
 	// Deadline is when all results are due.
 	Deadline time.Time `cbor:"Due"`
-	// ExpiresAt is from when on an item may be given up.
+	// ExpiresAt is when items without a result may be failed.
 	ExpiresAt time.Time `cbor:"GiveUp"`
 	Items     []Item
 }
@@ -35,46 +35,47 @@
 
 // The outcomes of items.
 const (
-	// Succeeded: the text is the item's whole output.
+	// Succeeded: the text is the item's complete output.
 	Succeeded Outcome = "succeeded"
-	// Failed: the item can't be done, or was given up.
+	// Failed: the item can't be done, or has expired.
 	Failed Outcome = "failed"
 )
 
-// Result is the end of one item.
+// Result is the result of one item.
 type Result struct {
 	Item    string
 	Outcome Outcome
 	Text    string
 }
 
-// Listed is a job with its results by position.
+// JobState is a job with its published results by position.
 type JobState struct {
 	Job
 	Results []Result
-	// Ended says that its caller ended it.
+	// Cancelled says that the caller cancelled the job.
 	Cancelled bool
-	// done are the items that are listed.
+	// hasResult holds the ids of the items that have a published result.
 	hasResult map[string]bool
-	// itemParts is the number of records that hold the items, textParts the same
-	// of results that did not fit into one, by position.
+	// itemRecords is the number of records that hold the items. textRecords is the
+	// number of records that hold the text of a result, by position, for results that
+	// did not fit into one record.
 	itemRecords int
 	textRecords map[int]int
-	// progress is what was kept of items that are not listed, by their place.
+	// progress is the stored output of items without a result, by item index.
 	progress map[int]*storedOutput
 }
 
-// Done says that an item is listed.
-func (l *JobState) HasResult(item string) bool { return l.hasResult[item] }
+// HasResult says that an item has a published result.
+func (s *JobState) HasResult(item string) bool { return s.hasResult[item] }
 
-// Open says that the job has items that are still to be done.
-func (l *JobState) Open() bool { return !l.Cancelled && len(l.hasResult) < len(l.Items) }
+// Open says that the job has items without a result and is not cancelled.
+func (s *JobState) Open() bool { return !s.Cancelled && len(s.hasResult) < len(s.Items) }
 
-// Item gives an item by id, and its place in the job.
-func (l *JobState) Item(id string) (*Item, int, bool) {
-	for i := range l.Items {
-		if l.Items[i].ID == id {
-			return &l.Items[i], i, true
+// Item returns the item with an id, and its index in the job.
+func (s *JobState) Item(id string) (*Item, int, bool) {
+	for i := range s.Items {
+		if s.Items[i].ID == id {
+			return &s.Items[i], i, true
 		}
 	}
 	return nil, 0, false
--- a/internal/state/jobs/partition.go
+++ b/internal/state/jobs/partition.go
@@ -15,14 +15,15 @@
 // Partition is the state of one partition. It is not safe for concurrent use.
 type Partition struct {
 	jobs map[string]*JobState
-	// incomplete are jobs and results whose records are not all there.
+	// incompleteJobs and incompleteResults hold what has records missing, by id
+	// of the job or by key of the result.
 	incompleteJobs    map[string]*recordSet
 	incompleteResults map[string]*recordSet
 	cancelled         map[string]bool
 	next              int64
 }
 
-// parts collects the pieces of what did not fit into one record.
+// recordSet collects the records of a job or result that is not complete yet.
 type recordSet struct {
 	head   *headRecord
 	result *resultRecord
@@ -42,8 +43,8 @@
 // Next is the offset that is applied next.
 func (p *Partition) Next() int64 { return p.next }
 
-// Load takes over the newest records of all keys, as a start. Records that can't
-// be read are left out, and the error tells of them; the rest holds.
+// Load replaces the state by the newest records of all keys. Unreadable records are
+// skipped and reported in the error; the other records are applied.
 func (p *Partition) Load(page external.KeyedPage) error {
 	*p = *NewPartition()
 	records := slices.Clone(page.Records)
@@ -58,9 +59,9 @@
 	return errors.Join(problems...)
 }
 
-// rank puts results behind the jobs that they belong to and behind the texts that
-// did not fit into them: a result that waits for its text would keep the ones after
-// it from their positions.
+// loadOrder sorts results after the jobs that they belong to and after the records of
+// their texts. A result that waits for its text would prevent the next results from
+// getting their positions.
 func loadOrder(key string) int {
 	switch {
 	case strings.HasPrefix(key, resultPrefix):
@@ -72,9 +73,8 @@
 	}
 }
 
-// Apply takes over records that follow what is known. Those that are known
-// already are left out, and so are those that can't be read, of which the error
-// tells.
+// Apply applies records that follow the known state. Records that are already applied are
+// skipped. Unreadable records are skipped and reported in the error.
 func (p *Partition) Apply(page external.KeyedPage) error {
 	var problems []error
 	for _, record := range page.Records {
@@ -86,13 +86,13 @@
 	return errors.Join(problems...)
 }
 
-// Job gives a job by id.
+// Job returns the job with an id.
 func (p *Partition) Job(id string) (*JobState, bool) {
-	l, ok := p.jobs[id]
-	return l, ok
+	job, ok := p.jobs[id]
+	return job, ok
 }
 
-// Jobs gives all jobs.
+// Jobs returns all jobs by id.
 func (p *Partition) Jobs() map[string]*JobState { return p.jobs }
 
 func (p *Partition) applyRecord(record external.KeyedRecord) error {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// dropped forgets a job whose head was dropped.
+// applyRemoval forgets what a removed record held. A job goes with its head record.
 func (p *Partition) applyRemoval(kind, rest string) {
 	switch kind {
 	case headPrefix:
@@ -138,24 +138,25 @@
 	}
 }
 
+// setFor returns the record set of a key and creates it if needed.
 func setFor(in map[string]*recordSet, key string) *recordSet {
-	found := in[key]
-	if found == nil {
-		found = &recordSet{values: map[int][]byte{}}
-		in[key] = found
+	set := in[key]
+	if set == nil {
+		set = &recordSet{values: map[int][]byte{}}
+		in[key] = set
 	}
-	return found
+	return set
 }
 
 func (p *Partition) applyHead(id string, value []byte) error {
-	var h headRecord
-	if err := cbor.Unmarshal(value, &h); err != nil {
+	var head headRecord
+	if err := cbor.Unmarshal(value, &head); err != nil {
 		return trace.Wrap(err, "head of job %s", id)
 	}
 	if p.jobs[id] != nil {
 		return nil
 	}
-	setFor(p.incompleteJobs, id).head = &h
+	setFor(p.incompleteJobs, id).head = &head
 	return p.assembleJob(id)
 }
 
@@ -168,27 +169,27 @@
 	return p.assembleJob(id)
 }
 
-// complete makes a job of its records once all are there.
+// assembleJob adds a job once all its records are present.
 func (p *Partition) assembleJob(id string) error {
-	found := p.incompleteJobs[id]
-	if found.head == nil || len(found.values) < found.head.ItemRecords {
+	set := p.incompleteJobs[id]
+	if set.head == nil || len(set.values) < set.head.ItemRecords {
 		return nil
 	}
-	h := found.head
+	head := set.head
 	job := &JobState{
 		Job: Job{
-			ID: id, Organisation: h.Organisation, Host: h.Host, Prefix: h.Prefix, ConfigVersion: h.ConfigVersion,
-			Submitted: fromMillis(h.Submitted), Deadline: fromMillis(h.Deadline), ExpiresAt: fromMillis(h.ExpiresAt),
+			ID: id, Organisation: head.Organisation, Host: head.Host, Prefix: head.Prefix, ConfigVersion: head.ConfigVersion,
+			Submitted: fromMillis(head.Submitted), Deadline: fromMillis(head.Deadline), ExpiresAt: fromMillis(head.ExpiresAt),
 		},
 		Cancelled:   p.cancelled[id],
 		hasResult:   map[string]bool{},
-		itemRecords: h.ItemRecords,
+		itemRecords: head.ItemRecords,
 		textRecords: map[int]int{},
 		progress:    map[int]*storedOutput{},
 	}
-	for n := range h.ItemRecords {
+	for n := range head.ItemRecords {
 		var items []Item
-		if err := cbor.Unmarshal(found.values[n], &items); err != nil {
+		if err := cbor.Unmarshal(set.values[n], &items); err != nil {
 			return trace.Wrap(err, "items of job %s", id)
 		}
 		job.Items = append(job.Items, items...)
@@ -208,56 +209,56 @@
 }
 
 func (p *Partition) applyResult(rest string, value []byte) error {
-	var e resultRecord
-	if err := cbor.Unmarshal(value, &e); err != nil {
+	var record resultRecord
+	if err := cbor.Unmarshal(value, &record); err != nil {
 		return trace.Wrap(err, "result %s", rest)
 	}
-	if e.TextRecords == 0 {
-		return p.addResult(rest, e)
+	if record.TextRecords == 0 {
+		return p.addResult(rest, record)
 	}
-	setFor(p.incompleteResults, rest).result = &e
+	setFor(p.incompleteResults, rest).result = &record
 	return p.assembleResult(rest)
 }
 
-// joined lists a result of several records once all are there.
+// assembleResult adds a result of several records once all of them are present.
 func (p *Partition) assembleResult(key string) error {
-	found := p.incompleteResults[key]
-	if found.result == nil || len(found.values) < found.result.TextRecords {
+	set := p.incompleteResults[key]
+	if set.result == nil || len(set.values) < set.result.TextRecords {
 		return nil
 	}
 	var text strings.Builder
-	for n := range found.result.TextRecords {
-		text.Write(found.values[n])
+	for n := range set.result.TextRecords {
+		text.Write(set.values[n])
 	}
-	found.result.Text = text.String()
+	set.result.Text = text.String()
 	delete(p.incompleteResults, key)
-	return p.addResult(key, *found.result)
+	return p.addResult(key, *set.result)
 }
 
-// result lists a result at its position.
-func (p *Partition) addResult(key string, e resultRecord) error {
+// addResult adds a result at its position.
+func (p *Partition) addResult(key string, record resultRecord) error {
 	id, position, ok := splitNumber(key)
 	if !ok {
-		return trace.BadParameter("result under key %q", key)
+		return trace.BadParameter("result under invalid key %q", key)
 	}
 	job := p.jobs[id]
 	if job == nil || position < len(job.Results) {
 		return nil
 	}
 	if position > len(job.Results) {
-		return trace.BadParameter("result %d of job %s comes before result %d", position, id, len(job.Results))
+		return trace.BadParameter("result %d of job %s found before result %d", position, id, len(job.Results))
 	}
-	job.Results = append(job.Results, Result{Item: e.Item, Outcome: e.Outcome, Text: e.Text})
-	job.hasResult[e.Item] = true
-	if e.TextRecords > 0 {
-		job.textRecords[position] = e.TextRecords
+	job.Results = append(job.Results, Result{Item: record.Item, Outcome: record.Outcome, Text: record.Text})
+	job.hasResult[record.Item] = true
+	if record.TextRecords > 0 {
+		job.textRecords[position] = record.TextRecords
 	}
-	if item, place, ok := job.Item(e.Item); ok {
-		// The body is asked for only until the item is listed, and nobody goes on
-		// with it any more.
+	if item, index, ok := job.Item(record.Item); ok {
+		// Once an item has a result, its body and its stored output are not needed
+		// any more.
 		item.Body = nil
-		if found := job.progress[place]; found != nil {
-			found.Progress = Progress{}
+		if stored := job.progress[index]; stored != nil {
+			stored.Progress = Progress{}
 		}
 	}
 	return nil
--- a/internal/state/jobs/partition_test.go
+++ b/internal/state/jobs/partition_test.go
@@ -13,8 +13,8 @@
 
 const recordBytes = 4 << 10
 
-// script is the records of a job whose results are of different lengths, in the
-// order in which they are written.
+// jobRecords returns the records of a job with results of different lengths, in the order
+// in which they are written.
 func jobRecords(t *testing.T, results int) []external.KeyedRecord {
 	t.Helper()
 	job := &Job{ID: "job", Organisation: "o", Submitted: time.UnixMilli(5)}
@@ -35,9 +35,9 @@
 	return records
 }
 
-// An instance takes a partition over and reads the newest record of each key, in
-// no order; another one has followed the log all the time. A caller that asks
-// first the one and then the other must see the same results at the same places.
+// A new owner of a partition reads the newest record of each key, in any order; another
+// instance has followed the log from the start. A caller that asks both must see the same
+// results at the same positions.
 func TestLoadAndApplyGiveTheSameState(t *testing.T) {
 	records := jobRecords(t, 12)
 	followed := NewPartition()
@@ -52,46 +52,46 @@
 		require.Equal(t, followed.Jobs(), loaded.Jobs())
 		require.Equal(t, followed.Next(), loaded.Next())
 	}
-	l, _ := followed.Job("job")
-	require.Len(t, l.Results, 12)
-	require.False(t, l.Open())
+	job, _ := followed.Job("job")
+	require.Len(t, job.Results, 12)
+	require.False(t, job.Open())
 }
 
-// What removes a job must name every key that it has, or the store fills up.
+// The removal of a job must name every key of the job, or the store fills up.
 func TestRemovalNamesEveryKey(t *testing.T) {
 	records := jobRecords(t, 12)
 	p := NewPartition()
 	require.NoError(t, p.Load(external.KeyedPage{Records: records}))
-	l, _ := p.Job("job")
+	job, _ := p.Job("job")
 	named := map[string]bool{}
-	for _, record := range EncodeRemoval(l) {
+	for _, record := range EncodeRemoval(job) {
 		require.Empty(t, record.Value)
 		named[record.Key] = true
 	}
 	for _, record := range records {
 		require.True(t, named[record.Key], record.Key)
 	}
-	require.NoError(t, p.Apply(external.KeyedPage{Records: EncodeRemoval(l), Next: 1000}))
+	require.NoError(t, p.Apply(external.KeyedPage{Records: EncodeRemoval(job), Next: 1000}))
 	_, known := p.Job("job")
 	require.False(t, known)
 }
 
-// pieces puts parts of the first item into a partition that has a job, in order.
-func jobWithSegments(t *testing.T, pieces ...OutputSegment) *JobState {
+// jobWithSegments applies segments of the first item to a partition with a job, in order.
+func jobWithSegments(t *testing.T, segments ...OutputSegment) *JobState {
 	t.Helper()
 	p := NewPartition()
 	require.NoError(t, p.Load(external.KeyedPage{Records: jobRecords(t, 12)[:3+1]}))
 	var records []external.KeyedRecord
-	for i, piece := range pieces {
-		record, err := EncodeSegment("job", piece, recordBytes)
+	for i, segment := range segments {
+		record, err := EncodeSegment("job", segment, recordBytes)
 		require.NoError(t, err)
 		record.Offset = int64(100 + i)
 		records = append(records, record)
 	}
 	require.NoError(t, p.Apply(external.KeyedPage{Records: records, Next: 200}))
-	l, ok := p.Job("job")
+	job, ok := p.Job("job")
 	require.True(t, ok)
-	return l
+	return job
 }
 
 func TestConsecutiveSegmentsAreJoined(t *testing.T) {
@@ -102,13 +102,13 @@
 	require.Equal(t, Progress{Tag: 8, Segments: 2, Events: 3, Position: 2, Text: "a\nb\nc", RunTime: 2 * time.Second}, got)
 }
 
-// An instance that was thought dead goes on writing parts, or an item began anew and
-// old parts are still there. Joined with the new ones, the text would hold pieces of
-// two runs of which the second was not asked to go on there, or an event twice.
+// An instance that was considered dead goes on writing segments, or an item was restarted
+// while its old segments are still stored. Joined with the new ones, the text would mix two
+// runs, the second of which was not asked to continue there, or repeat an event.
 func TestNonConsecutiveSegmentsAreIgnored(t *testing.T) {
 	first := OutputSegment{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb"}
 	for name, other := range map[string]OutputSegment{
-		"of another part":        {Tag: 8, Follows: 9, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"},
+		"of another segment":     {Tag: 8, Follows: 9, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"},
 		"after another position": {Tag: 8, Follows: 7, Number: 1, After: 0, Events: 1, Position: 1, Text: "x"},
 		"with a gap":             {Tag: 8, Follows: 7, Number: 2, After: 1, Events: 1, Position: 2, Text: "x"},
 	} {
@@ -117,18 +117,17 @@
 		require.Equal(t, "a\nb", got.Text, name)
 		require.Equal(t, 1, got.Segments, name)
 	}
-	anew := OutputSegment{Tag: 9, After: -1, Events: 1, Position: 0, Text: "z"}
-	got, _ := jobWithSegments(t, first, anew).Progress(0)
+	restarted := OutputSegment{Tag: 9, After: -1, Events: 1, Position: 0, Text: "z"}
+	got, _ := jobWithSegments(t, first, restarted).Progress(0)
 	require.Equal(t, "z", got.Text)
 	_, ok := jobWithSegments(t, OutputSegment{Tag: 8, Follows: 7, Number: 1, After: 1, Events: 1, Position: 2, Text: "x"}).Progress(0)
-	require.False(t, ok, "the beginning is missing")
+	require.False(t, ok, "the first segment is missing")
 }
 
-// Two instances think that they hold a partition, and both go on with an item from the
-// same part. Each writes its own next part under the same key, and one of them another
-// one after it. By chance both next parts end at the same event, and the one that is
-// kept is that of the other instance. Joined with the part after it, the text would
-// hold pieces of two runs.
+// Two instances both act as owner of a partition and continue an item from the same segment.
+// Both write the next segment under the same key, and the second instance a further one.
+// Both segments happen to end at the same event, and the stored one is that of the first
+// instance. Joined with the further segment, the text would mix two runs.
 func TestSegmentsOfTwoOwnersAreNotJoined(t *testing.T) {
 	first := OutputSegment{Tag: 1, After: -1, Events: 2, Position: 1, Text: "a\nb"}
 	other := OutputSegment{Tag: 4, Follows: 1, Number: 1, After: 1, Events: 1, Position: 2, Text: "C"}
@@ -138,8 +137,8 @@
 	require.Equal(t, "a\nb\nC", got.Text)
 }
 
-// Parts of an item that is listed are of no use, and one that comes late must not be
-// left in the store when the job is dropped.
+// Segments of an item that has a result are not needed. One that arrives late must still be
+// removed from the store together with the job.
 func TestLateSegmentsAreRemovedWithTheJob(t *testing.T) {
 	p := NewPartition()
 	require.NoError(t, p.Load(external.KeyedPage{Records: jobRecords(t, 12)}))
@@ -147,18 +146,18 @@
 	require.NoError(t, err)
 	record.Offset = 500
 	require.NoError(t, p.Apply(external.KeyedPage{Records: []external.KeyedRecord{record}, Next: 501}))
-	l, _ := p.Job("job")
-	_, ok := l.Progress(0)
+	job, _ := p.Job("job")
+	_, ok := job.Progress(0)
 	require.False(t, ok)
 	var named []string
-	for _, dropped := range EncodeRemoval(l) {
-		named = append(named, dropped.Key)
+	for _, removed := range EncodeRemoval(job) {
+		named = append(named, removed.Key)
 	}
 	require.Contains(t, named, record.Key)
 }
 
-// An item that always fails goes from holder to holder. Each must know how often it
-// failed before, also after it began anew.
+// An item that always fails is passed from owner to owner. Each must know the number of
+// earlier failures, also after the item was restarted.
 func TestFailureCountSurvivesRestartOfItem(t *testing.T) {
 	failed := OutputSegment{Tag: 8, After: -1, Position: -1, Failures: 2}
 	got, ok := jobWithSegments(t, OutputSegment{Tag: 7, After: -1, Events: 2, Position: 1, Text: "a\nb", Failures: 1}, failed).Progress(0)
--- a/internal/state/jobs/progress.go
+++ b/internal/state/jobs/progress.go
@@ -11,40 +11,43 @@
 	"merlintiller/internal/protocol/exchange"
 )
 
-// Progress is the output of an item that is not whole, as far as it was kept.
+// Progress is the stored part of the output of an item that is not finished.
 //
-// It is kept in parts, each the events that follow the part before. A part has a tag of
-// its own and names the tag of the part that it follows; an item that begins anew
-// begins with a part that follows none. So the output of two runs is joined only where
-// the second one was asked to go on after the last event of the first.
+// Output is stored in segments. Each holds the events after the previous segment, has a
+// tag of its own and names the tag of the segment that it follows. An item that is
+// restarted starts with a segment that follows none. So the outputs of two runs are
+// joined only if the second run was asked to continue after the last event of the first.
 //
-// What goes wrong if a part follows any that ends at the right event: two instances
-// think that they hold the partition, and both go on from the same part. Their parts
-// stand under the same keys, so that the newest of them are of both. Where one
-// instance's part ends by chance as the other's did, its next part would be joined to
-// it, though that comes of a run that was never asked to go on there.
+// Without tags, a segment could follow any segment that ends at the right event. This
+// fails while two instances both act as owner of the partition and continue from the same
+// segment. They write their segments under the same keys, so the newest records are a
+// mixture. If a segment of one instance happens to end at the same event as the other's,
+// the next segment of one would be joined to that of the other, although its run was never
+// asked to continue there.
 type Progress struct {
-	// Tag is that of the last part.
+	// Tag is the tag of the last segment.
 	Tag uint64
-	// Parts is how many there are, and the number of the next one.
+	// Segments is the number of segments, and so the number of the next one.
 	Segments int
-	// Events counts the events, Position is the last of them.
+	// Events counts the events; Position is the position of the last one.
 	Events, Position int
 	Text             string
-	// Worked is the time that runs have taken for them.
+	// RunTime is the time that runs took to produce the events.
 	RunTime time.Duration
-	// Failures are the runs that targets ended as failed, however often it began anew.
+	// Failures counts the runs that targets reported as failed, across restarts of the
+	// item.
 	Failures int
 }
 
-// Piece is a part on its way into the log.
+// OutputSegment is a segment to be written to the log.
 type OutputSegment struct {
-	// Item is the item's place in its job.
-	Item int
-	// Tag is the part's own, and no other part has it. Follows is that of the part
-	// before, 0 for the first one.
+	// ItemIndex is the index of the item in its job.
+	ItemIndex int
+	// Tag is unique to the segment. Follows is the tag of the previous segment, 0
+	// for the first one.
 	Tag, Follows uint64
-	// Number is that of the part in its item, After the position that it follows.
+	// Number is the segment's number in its item, After the position of the last event
+	// before it.
 	Number, After    int
 	Events, Position int
 	Text             string
@@ -52,107 +55,110 @@
 	Failures         int
 }
 
-// piece is the record of a part.
+// segmentRecord is the record of a segment.
 type segmentRecord struct {
 	Tag      uint64 `cbor:"1,keyasint"`
 	After    int    `cbor:"2,keyasint"`
 	Position int    `cbor:"3,keyasint"`
 	Events   int    `cbor:"4,keyasint"`
 	Text     string `cbor:"5,keyasint"`
-	// Worked is in milliseconds.
+	// RunTime is in milliseconds.
 	RunTime  int64  `cbor:"6,keyasint"`
 	Failures int    `cbor:"7,keyasint,omitempty"`
 	Follows  uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// EncodePiece gives the record of a part. A part that does not fit into a record is
-// an error; its item runs on without being kept.
-func EncodeSegment(job string, p OutputSegment, recordBytes int) (external.KeyedRecord, error) {
-	if len(p.Text) > recordBytes-recordOverhead {
-		return external.KeyedRecord{}, trace.LimitExceeded("part %d of item %d of job %s is too large for a record", p.Number, p.Item, job)
+// EncodeSegment returns the record of a segment. A segment that does not fit into a record
+// is an error; its item runs on, but its output is not stored.
+func EncodeSegment(job string, segment OutputSegment, recordBytes int) (external.KeyedRecord, error) {
+	if len(segment.Text) > recordBytes-recordOverhead {
+		return external.KeyedRecord{}, trace.LimitExceeded("output segment %d of item %d of job %s is too large for a record", segment.Number, segment.ItemIndex, job)
 	}
 	value, err := cbor.Marshal(segmentRecord{
-		Tag: p.Tag, Follows: p.Follows, After: p.After, Position: p.Position, Events: p.Events, Text: p.Text, RunTime: p.RunTime.Milliseconds(),
-		Failures: p.Failures,
+		Tag: segment.Tag, Follows: segment.Follows, After: segment.After, Position: segment.Position, Events: segment.Events, Text: segment.Text, RunTime: segment.RunTime.Milliseconds(),
+		Failures: segment.Failures,
 	})
 	if err != nil {
 		return external.KeyedRecord{}, trace.Wrap(err)
 	}
-	return external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+job, p.Item), p.Number), Value: value}, nil
+	return external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+job, segment.ItemIndex), segment.Number), Value: value}, nil
 }
 
-// DropProgress gives the records that remove what was kept of an item.
-func (l *JobState) EncodeProgressRemoval(item int) []external.KeyedRecord {
-	kept := l.progress[item]
-	if kept == nil {
+// EncodeProgressRemoval returns the records that remove the stored output of an item.
+func (s *JobState) EncodeProgressRemoval(item int) []external.KeyedRecord {
+	stored := s.progress[item]
+	if stored == nil {
 		return nil
 	}
-	records := make([]external.KeyedRecord, 0, kept.maxSegments)
-	for n := range kept.maxSegments {
-		records = append(records, external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+l.ID, item), n)})
+	records := make([]external.KeyedRecord, 0, stored.maxSegments)
+	for n := range stored.maxSegments {
+		records = append(records, external.KeyedRecord{Key: recordKey(indexKey(segmentPrefix+s.ID, item), n)})
 	}
 	return records
 }
 
-// kept is the progress of one item, with the number of parts there ever were.
+// storedOutput is the progress of one item. maxSegments is the highest number of segments
+// that it ever had.
 type storedOutput struct {
 	Progress
 	maxSegments int
 }
 
-// Progress gives what was kept of an item.
-func (l *JobState) Progress(item int) (Progress, bool) {
-	found := l.progress[item]
-	if found == nil || found.Segments == 0 {
+// Progress returns the stored output of an item.
+func (s *JobState) Progress(item int) (Progress, bool) {
+	stored := s.progress[item]
+	if stored == nil || stored.Segments == 0 {
 		return Progress{}, false
 	}
-	return found.Progress, true
+	return stored.Progress, true
 }
 
-// pieceRecord adds a part, if it follows what there is.
+// applySegment adds a segment if it follows the stored output.
 func (p *Partition) applySegment(rest string, value []byte) error {
 	rest, number, ok := splitNumber(rest)
 	id, item, okItem := splitNumber(rest)
 	if !ok || !okItem {
-		return trace.BadParameter("part of an item under key %q", rest)
+		return trace.BadParameter("output segment under invalid key %q", rest)
 	}
 	job := p.jobs[id]
 	if job == nil || item >= len(job.Items) {
 		return nil
 	}
-	found := job.progress[item]
-	if found == nil {
-		found = &storedOutput{}
-		job.progress[item] = found
+	stored := job.progress[item]
+	if stored == nil {
+		stored = &storedOutput{}
+		job.progress[item] = stored
 	}
-	found.maxSegments = max(found.maxSegments, number+1)
+	stored.maxSegments = max(stored.maxSegments, number+1)
 	if job.hasResult[job.Items[item].ID] {
 		return nil
 	}
 	var record segmentRecord
 	if err := cbor.Unmarshal(value, &record); err != nil {
-		return trace.Wrap(err, "part %d of item %d of job %s", number, item, id)
+		return trace.Wrap(err, "output segment %d of item %d of job %s", number, item, id)
 	}
-	found.add(number, record)
+	stored.add(number, record)
 	return nil
 }
 
-func (k *storedOutput) add(number int, record segmentRecord) {
-	k.Failures = max(k.Failures, record.Failures)
+// add appends a segment, or starts again with it if it is a first one. It ignores a segment
+// that does not follow the last one.
+func (o *storedOutput) add(number int, record segmentRecord) {
+	o.Failures = max(o.Failures, record.Failures)
 	switch {
 	case number == 0 && record.After == exchange.FromStart:
-		k.Progress = Progress{Failures: k.Failures}
-	case k.Segments == 0 || record.Follows != k.Tag || number != k.Segments || record.After != k.Position:
+		o.Progress = Progress{Failures: o.Failures}
+	case o.Segments == 0 || record.Follows != o.Tag || number != o.Segments || record.After != o.Position:
 		return
 	}
-	if k.Events > 0 {
-		k.Text = strings.Join([]string{k.Text, record.Text}, "\n")
+	if o.Events > 0 {
+		o.Text = strings.Join([]string{o.Text, record.Text}, "\n")
 	} else {
-		k.Text = record.Text
+		o.Text = record.Text
 	}
-	k.Tag = record.Tag
-	k.Segments++
-	k.Events += record.Events
-	k.Position = record.Position
-	k.RunTime = time.Duration(record.RunTime) * time.Millisecond
+	o.Tag = record.Tag
+	o.Segments++
+	o.Events += record.Events
+	o.Position = record.Position
+	o.RunTime = time.Duration(record.RunTime) * time.Millisecond
 }
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -12,7 +12,7 @@
 	"merlintiller/internal/external"
 )
 
-// Keys begin with a letter for what they hold, then the job.
+// A key begins with a letter for its kind of record, followed by the id of the job.
 const (
 	headPrefix    = "j/"
 	itemsPrefix   = "i/"
@@ -20,39 +20,39 @@
 	textPrefix    = "t/"
 	cancelPrefix  = "e/"
 	segmentPrefix = "p/"
-	// MaxID is the longest id of a job, so that all keys fit into the log's
-	// bound of 255 bytes.
+	// MaxID is the maximum length of a job's id in bytes. It keeps all keys within
+	// the log's limit of 255 bytes.
 	MaxID = 200
 )
 
-// head is the record that makes a job exist.
+// headRecord is the record that makes a job exist.
 type headRecord struct {
 	Organisation  string `cbor:"1,keyasint"`
 	Host          string `cbor:"2,keyasint"`
 	Prefix        string `cbor:"3,keyasint"`
 	ConfigVersion int64  `cbor:"4,keyasint"`
-	// Submitted, Due and GiveUp are in Unix milliseconds.
+	// Submitted, Deadline and ExpiresAt are in Unix milliseconds.
 	Submitted int64 `cbor:"5,keyasint"`
 	Deadline  int64 `cbor:"6,keyasint"`
 	ExpiresAt int64 `cbor:"7,keyasint"`
-	// Parts is the number of records of items.
+	// ItemRecords is the number of records with items.
 	ItemRecords int `cbor:"8,keyasint"`
 }
 
-// entry is the record of a result.
+// resultRecord is the record of a result.
 type resultRecord struct {
 	Item    string  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
-	// Text is empty if it stands in Parts records of its own.
+	// Text is empty if the text is in TextRecords records of its own.
 	Text        string `cbor:"3,keyasint,omitempty"`
 	TextRecords int    `cbor:"4,keyasint,omitempty"`
 }
 
-// recordOverhead is left free in a record for its key and its encoding.
+// recordOverhead is the space in bytes reserved in a record for its key and encoding.
 const recordOverhead = 1 << 10
 
-// EncodeJob gives the records of a job, its head last: a reader that has the
-// head has the items. No record is larger than a limit, unless one item is.
+// EncodeJob returns the records of a job, its head last: a reader that has the head has
+// the items too. No record exceeds recordBytes; an item that is too large is an error.
 func EncodeJob(job *Job, recordBytes int) ([]external.KeyedRecord, error) {
 	var records []external.KeyedRecord
 	for start := 0; start < len(job.Items); {
@@ -85,21 +85,22 @@
 	return append(records, external.KeyedRecord{Key: headPrefix + job.ID, Value: value}), nil
 }
 
+// itemSize estimates the encoded size of an item in bytes.
 func itemSize(item *Item) int {
-	const each = 32
-	size := each + len(item.ID) + len(item.Path) + len(item.Body)
+	const overhead = 32
+	size := overhead + len(item.ID) + len(item.Path) + len(item.Body)
 	for name, value := range item.Header {
-		size += each + len(name) + len(value)
+		size += overhead + len(name) + len(value)
 	}
 	return size
 }
 
-// EncodeEnd gives the record that ends a job.
+// EncodeCancellation returns the record that cancels a job.
 func EncodeCancellation(job string) external.KeyedRecord {
 	return external.KeyedRecord{Key: cancelPrefix + job, Value: []byte{1}}
 }
 
-// EncodeResult gives the records of a result at a position.
+// EncodeResult returns the records of a result at a position.
 func EncodeResult(job string, position int, result Result, recordBytes int) ([]external.KeyedRecord, error) {
 	key := indexKey(resultPrefix+job, position)
 	record := resultRecord{Item: result.Item, Outcome: result.Outcome, Text: result.Text}
@@ -121,37 +122,38 @@
 	return append(records, external.KeyedRecord{Key: key, Value: value}), nil
 }
 
-// EncodeDrop gives the records that remove all of a job, its head first: a reader
-// that finds only some of them finds no job.
-func EncodeRemoval(l *JobState) []external.KeyedRecord {
-	records := []external.KeyedRecord{{Key: headPrefix + l.ID}, {Key: cancelPrefix + l.ID}}
-	for n := range l.itemRecords {
-		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+l.ID, n)})
+// EncodeRemoval returns the records that remove a job, its head first: a reader that gets
+// only some of them sees no job.
+func EncodeRemoval(job *JobState) []external.KeyedRecord {
+	records := []external.KeyedRecord{{Key: headPrefix + job.ID}, {Key: cancelPrefix + job.ID}}
+	for n := range job.itemRecords {
+		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+job.ID, n)})
 	}
-	for position := range l.Results {
-		records = append(records, external.KeyedRecord{Key: indexKey(resultPrefix+l.ID, position)})
-		for n := range l.textRecords[position] {
-			records = append(records, external.KeyedRecord{Key: recordKey(indexKey(textPrefix+l.ID, position), n)})
+	for position := range job.Results {
+		records = append(records, external.KeyedRecord{Key: indexKey(resultPrefix+job.ID, position)})
+		for n := range job.textRecords[position] {
+			records = append(records, external.KeyedRecord{Key: recordKey(indexKey(textPrefix+job.ID, position), n)})
 		}
 	}
-	for item := range l.Items {
-		records = append(records, l.EncodeProgressRemoval(item)...)
+	for item := range job.Items {
+		records = append(records, job.EncodeProgressRemoval(item)...)
 	}
 	return records
 }
 
-// Keys are of fixed width, so that they sort by number.
+// recordKey and indexKey append a number to a key. The number has a fixed width, so that
+// keys sort by it.
 func recordKey(key string, n int) string { return fmt.Sprintf("%s/%04d", key, n) }
 func indexKey(key string, n int) string  { return fmt.Sprintf("%s/%06d", key, n) }
 
-// cutNumber splits a key before its last slash.
+// splitNumber splits a key at its last slash.
 func splitNumber(key string) (rest string, n int, ok bool) {
-	at := strings.LastIndexByte(key, '/')
-	if at < 0 {
+	slash := strings.LastIndexByte(key, '/')
+	if slash < 0 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(key[at+1:])
-	return key[:at], n, err == nil && n >= 0
+	n, err := strconv.Atoi(key[slash+1:])
+	return key[:slash], n, err == nil && n >= 0
 }
 
 func fromMillis(n int64) time.Time { return time.UnixMilli(n) }
