--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -1,57 +1,57 @@
-// Package route holds the routes that operators publish: which requests go to
-// which service, for which organisations, and how often they may be tried. A
-// Config is decoded once; a Table answers look-ups. Both are immutable, so one
-// of them serves all requests that began under it.
+// Package route holds the configuration that operators publish: which requests go to
+// which service, for which organisations, and how often they may be attempted. A Config
+// is decoded once; a Table answers look-ups in it. Both are immutable, so all requests
+// that start under a configuration share them.
 package route
 
 import "time"
 
-// Kind says what may be repeated of a route's requests.
+// Kind says how a route's requests run and whether they may be repeated.
 type Kind string
 
 // The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests run at most once for each attempt of the caller.
+	// AtMostOnce requests run at most once per attempt of the caller.
 	AtMostOnce Kind = "once"
-	// Stream requests are answered by a stream of events. They run at most
-	// once, unless the route is resumable.
+	// Stream requests are answered by a stream of events. They run at most once,
+	// unless the route is resumable.
 	Stream Kind = "stream"
-	// Batch routes take jobs of many items that run later.
+	// Batch routes accept jobs with many items that run later.
 	Batch Kind = "batch"
 )
 
-// Route sends requests of a host, below a path prefix, to services.
+// Route sends the requests of a host below a path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that the operator wants a request kept
-	// waiting.
+	// Timeout is the longest time that the operator lets a request wait.
 	Timeout time.Duration
-	// LatencyObjective is the time to the answer, or to a stream's first event, within
-	// which it is on time.
+	// LatencyObjective is the time to the answer, or to the first event of a stream,
+	// within which the answer is on time.
 	LatencyObjective time.Duration
 	// GapObjective is the longest pause between two events of a stream that is on time.
 	GapObjective time.Duration
-	// Priority is the rank of its requests; 0 is the highest.
+	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
-	// Split divides the requests among services by weight.
+	// Split distributes the requests over services by weight.
 	Split []WeightedService
-	// MaxAttempts bounds the targets that one attempt of a caller runs at.
+	// MaxAttempts bounds the targets at which one attempt of a caller runs.
 	MaxAttempts int
 	// Public requests need no key.
 	Public bool
-	// PromptAware requests name the parts of their prompt.
+	// PromptAware says that requests list the parts of their prompt.
 	PromptAware bool
-	// Resumable streams may go on at another target after the last event.
+	// Resumable streams may continue at another target after the last event.
 	Resumable bool
-	// ResultsDue is how long after a job was submitted its results are due.
+	// ResultsDue is the time from the submission of a job to the deadline of its results.
 	ResultsDue time.Duration
-	// Retention is how long after that an item may be given up.
+	// Retention is the time from the submission of a job after which items without a
+	// result may be failed.
 	Retention time.Duration
 }
 
@@ -69,42 +69,44 @@
 // Service is a set of interchangeable targets.
 type Service struct {
 	Name string
-	// MaxConnections bounds the connections that a target accepts from all
-	// instances together. 0: no bound is known.
+	// MaxConnections bounds the connections that a target accepts from all instances
+	// together; 0 if the bound is not known.
 	MaxConnections int
-	// Slots is how many requests a target runs at once. 0: not known.
+	// Slots is the number of requests that a target runs at the same time; 0 if it is
+	// not known.
 	Slots int
-	// MemoryTokens is how many prompt and output tokens a target's memory
-	// holds. 0: not known.
+	// MemoryTokens is the number of prompt and output tokens that fit into a target's
+	// memory; 0 if it is not known.
 	MemoryTokens int
-	// HealthPath is where a target says how it is.
+	// HealthPath is the path at which a target reports its health.
 	HealthPath string
-	// WarmUp is how long a target warms up after its start, WarmUpRate how many requests a
-	// second may begin at it meanwhile, from all instances together. 0: no bound.
+	// WarmUp is how long a target warms up after its start. WarmUpRate is the number of
+	// requests per second that all instances together may start at it in that time; 0
+	// means no bound.
 	WarmUp     time.Duration
 	WarmUpRate float64
 }
 
-// Organisation is who requests run for.
+// Organisation is a tenant, on whose behalf requests run.
 type Organisation struct {
 	Name string
-	// Secrets are the keys that its callers show.
+	// Secrets are the keys with which its callers authenticate.
 	Secrets []string
-	// Priority goes before that of the route, if it is there.
+	// Priority, if set, takes precedence over the route's.
 	Priority *int
-	// Rate is in requests a second over all instances, Burst in requests on
-	// top. A rate of 0 is no limit.
+	// Rate is the limit in requests per second over all instances, Burst the number of
+	// requests allowed beyond it at once. A rate of 0 means no limit.
 	Rate, Burst float64
 }
 
-// Limits bound what a caller may send and how long it may take. 0: no bound.
+// Limits bound the size of what a caller sends and the time it may take; 0 means no bound.
 type Limits struct {
 	HeaderBytes, BodyBytes int64
 	HeaderTimeout          time.Duration
 	IdleTimeout            time.Duration
 }
 
-// Config is one version of what operators publish.
+// Config is one version of the configuration that operators publish.
 type Config struct {
 	Version       int64
 	Routes        []Route
--- a/internal/state/route/table.go
+++ b/internal/state/route/table.go
@@ -17,7 +17,7 @@
 	byName   map[string]*Organisation
 }
 
-// NewTable prepares a configuration for look-ups.
+// NewTable builds the look-up table of a configuration.
 func NewTable(config Config) *Table {
 	t := &Table{
 		config:   config,
@@ -46,22 +46,22 @@
 	return t
 }
 
-// Version is the configuration's version.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Limits are the bounds on what callers send.
+// Limits returns the bounds on what callers send.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
 // RequiresKey says that requests of routes that are not public need a key.
 func (t *Table) RequiresKey() bool { return len(t.config.Organisations) > 0 }
 
-// Organisations are all organisations.
+// Organisations returns all organisations.
 func (t *Table) Organisations() []Organisation { return t.config.Organisations }
 
-// Services are all services.
+// Services returns all services.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// Match gives the route with the longest prefix of a path.
+// Match returns the route of a host with the longest prefix of a path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[hostKey(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -71,36 +71,36 @@
 	return nil, false
 }
 
-// HasBatchRoute says that a host has a route that takes jobs.
+// HasBatchRoute says that a host has a route that accepts jobs.
 func (t *Table) HasBatchRoute(host string) bool {
 	return slices.ContainsFunc(t.byHost[hostKey(host)], func(r *Route) bool { return r.Kind == Batch })
 }
 
-// HasAnyBatchRoute says that any host has a route that takes jobs.
+// HasAnyBatchRoute says that any host has a route that accepts jobs.
 func (t *Table) HasAnyBatchRoute() bool {
 	return slices.ContainsFunc(t.config.Routes, func(r Route) bool { return r.Kind == Batch })
 }
 
-// OrganisationBySecret gives the organisation that a secret belongs to.
+// OrganisationBySecret returns the organisation that a secret belongs to.
 func (t *Table) OrganisationBySecret(secret string) (*Organisation, bool) {
 	o, ok := t.bySecret[secret]
 	return o, ok
 }
 
-// Organisation gives an organisation by name.
+// Organisation returns the organisation with a name.
 func (t *Table) Organisation(name string) (*Organisation, bool) {
 	o, ok := t.byName[name]
 	return o, ok
 }
 
-// Service gives a service by name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Choose gives the service that a request of a route goes to. The same request
-// id goes to the same service at every instance and at every attempt.
+// Choose returns the service for a request of a route. All instances choose the same
+// service for a request id, at each attempt.
 func (r *Route) Choose(requestID string) (string, bool) {
 	total := 0.0
 	for _, w := range r.Split {
--- a/internal/state/route/table_test.go
+++ b/internal/state/route/table_test.go
@@ -39,7 +39,7 @@
 	require.False(t, ok)
 }
 
-func TestCallersAreFoundBySecret(t *testing.T) {
+func TestOrganisationBySecret(t *testing.T) {
 	table := NewTable(Config{Organisations: []Organisation{{Name: "one", Secrets: []string{"s1", "s2"}}, {Name: "two"}}})
 	caller, ok := table.OrganisationBySecret("s2")
 	require.True(t, ok)
