--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -26,7 +26,7 @@
 	// Position is the position of its last event.
 	Position int
 	// RunTime is the time that runs have taken so far.
-	RunTime time.Duration `cbor:"Worked"`
+	RunTime time.Duration
 	// Failures counts the runs that targets reported as failed.
 	Failures int
 }
--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -21,7 +21,7 @@
 // behind them late too, one after the other.
 func (r *Runner) sortWaiting(now time.Time) {
 	for _, t := range r.waiting {
-		t.late = now.Add(r.estimate.remaining(t.events)).After(t.job.Deadline)
+		t.late = now.Add(r.estimate.remaining(t.events)).After(t.job.Due)
 	}
 	slices.SortStableFunc(r.waiting, func(a, b *task) int {
 		if a.late != b.late {
@@ -30,7 +30,7 @@
 			}
 			return -1
 		}
-		return cmp.Or(a.job.Deadline.Compare(b.job.Deadline), cmp.Compare(a.id.job, b.id.job))
+		return cmp.Or(a.job.Due.Compare(b.job.Due), cmp.Compare(a.id.job, b.id.job))
 	})
 }
 
@@ -44,7 +44,7 @@
 	}
 	remaining := r.estimate.remaining(t.events)
 	return broker.Item{
-		Service: service, Due: t.job.Deadline, BeginBy: t.job.Deadline.Add(-remaining),
+		Service: service, Due: t.job.Due, BeginBy: t.job.Due.Add(-remaining),
 		Lasts: time.Duration(maxRuntimeFactor * float64(remaining)),
 	}, true
 }
--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -310,7 +310,7 @@
 		t.cancel()
 		itemYields.Inc()
 		_ = level.Info(r.opts.Logger).Log("event", "item_yields", "item", t.id.item, "job", t.id.job, "target", t.choice.ID,
-			"due_in_ms", time.Until(t.job.Deadline).Milliseconds())
+			"due_in_ms", time.Until(t.job.Due).Milliseconds())
 		return true
 	}
 	return false
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -23,10 +23,10 @@
 	// ConfigVersion is the version of the configuration that accepted the job.
 	ConfigVersion int64
 	Submitted     time.Time
-	// Deadline is when all results are due.
-	Deadline time.Time `cbor:"Due"`
+	// Due is when all results are due.
+	Due time.Time
 	// ExpiresAt is when items without a result may be failed.
-	ExpiresAt time.Time `cbor:"GiveUp"`
+	ExpiresAt time.Time
 	Items     []Item
 }
 
