--- a/internal/coordination/routed/batchjobs/runner_test.go
+++ b/internal/coordination/routed/batchjobs/runner_test.go
@@ -76,7 +76,7 @@
 // result although the item could still be done.
 func TestClockAheadDoesNotExpireItem(t *testing.T) {
 	now := time.Unix(1_000, 0)
-	item := &task{openItem: openItem{job: jobs.Job{ExpiresAt: now.Add(-clockMargin / 2)}}}
+	item := &task{openItem: openItem{job: jobs.Job{GiveUp: now.Add(-clockMargin / 2)}}}
 	table := route.NewTable(route.Config{})
 	require.NotEqual(t, "expired", item.failureReason(now, table))
 	require.Equal(t, "expired", item.failureReason(now.Add(clockMargin), table))
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -78,11 +78,11 @@
 const clockMargin = 10 * time.Second
 
 // expiresAt is when the item has expired by the clock of every instance.
-func (t *task) expiresAt() time.Time { return t.job.ExpiresAt.Add(clockMargin) }
+func (t *task) expiresAt() time.Time { return t.job.GiveUp.Add(clockMargin) }
 
 // failureReason says why an item can no longer be done, or is empty.
 func (t *task) failureReason(now time.Time, table *route.Table) string {
-	if !t.job.ExpiresAt.IsZero() && now.After(t.expiresAt()) {
+	if !t.job.GiveUp.IsZero() && now.After(t.expiresAt()) {
 		return "expired"
 	}
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
@@ -225,7 +225,7 @@
 		header.Set(name, value)
 	}
 	limit := maxRunTime
-	if !t.job.ExpiresAt.IsZero() {
+	if !t.job.GiveUp.IsZero() {
 		limit = min(limit, time.Until(t.expiresAt()))
 	}
 	return &exchange.Dispatch{
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -25,8 +25,8 @@
 	Submitted     time.Time
 	// Due is when all results are due.
 	Due time.Time
-	// ExpiresAt is when items without a result may be failed.
-	ExpiresAt time.Time
+	// GiveUp is when items without a result may be failed.
+	GiveUp time.Time
 	Items     []Item
 }
 
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -76,7 +76,7 @@
 	}
 	value, err := cbor.Marshal(headRecord{
 		Organisation: job.Organisation, Host: job.Host, Prefix: job.Prefix, ConfigVersion: job.ConfigVersion,
-		Submitted: job.Submitted.UnixMilli(), Deadline: job.Due.UnixMilli(), ExpiresAt: job.ExpiresAt.UnixMilli(),
+		Submitted: job.Submitted.UnixMilli(), Deadline: job.Due.UnixMilli(), ExpiresAt: job.GiveUp.UnixMilli(),
 		ItemRecords: len(records),
 	})
 	if err != nil {
--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -41,7 +41,7 @@
 	job := &jobs.Job{
 		ID: v.request.ID, Organisation: v.organisationName(),
 		Host: v.route.Host, Prefix: v.route.Prefix, ConfigVersion: v.table.Version(),
-		Submitted: now, Due: now.Add(v.route.ResultsDue), ExpiresAt: now.Add(v.route.Retention),
+		Submitted: now, Due: now.Add(v.route.ResultsDue), GiveUp: now.Add(v.route.Retention),
 		Items: items,
 	}
 	limit := submitTime
