--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -18,15 +18,16 @@
 	deliveryTimeout       = 10 * time.Second
 )
 
-// PartialOutput is the incomplete output of an item.
+// PartialOutput is the incomplete output of an item. net/rpc (gob) sends its fields
+// under their Go names.
 type PartialOutput struct {
 	Job, Item string
 	Text      string
 	Events    int
 	// Position is the position of its last event.
 	Position int
-	// RunTime is the time that runs have taken so far.
-	RunTime time.Duration
+	// Worked is the time that runs have taken so far.
+	Worked time.Duration
 	// Failures counts the runs that targets reported as failed.
 	Failures int
 }
@@ -102,7 +103,7 @@
 func (t *task) partialOutput() PartialOutput {
 	return PartialOutput{
 		Job: t.id.job, Item: t.id.item, Text: t.text.String(),
-		Events: t.events, Position: t.position, RunTime: t.runTime, Failures: t.failures,
+		Events: t.events, Position: t.position, Worked: t.runTime, Failures: t.failures,
 	}
 }
 
@@ -124,7 +125,7 @@
 	}
 	t.text.Reset()
 	t.text.WriteString(output.Text)
-	t.events, t.position, t.runTime = output.Events, output.Position, output.RunTime
+	t.events, t.position, t.runTime = output.Events, output.Position, output.Worked
 	t.output.reset()
 	t.output.add(output.Text, output.Events, output.Position)
 }
--- a/internal/state/jobs/job.go
+++ b/internal/state/jobs/job.go
@@ -13,7 +13,8 @@
 	Tokens int `cbor:"5,keyasint,omitempty"`
 }
 
-// Job is a batch job as submitted.
+// Job is a batch job as submitted. Instances exchange jobs over net/rpc, whose encoding
+// (gob) uses the Go names of the fields.
 type Job struct {
 	ID           string
 	Organisation string
@@ -23,11 +24,10 @@
 	// ConfigVersion is the version of the configuration that accepted the job.
 	ConfigVersion int64
 	Submitted     time.Time
-	// Due is when all results are due.
-	Due time.Time
-	// GiveUp is when items without a result may be failed.
-	GiveUp time.Time
-	Items     []Item
+	// Due is the deadline for all results. GiveUp is the time of expiry: from then
+	// on, items without a result may be failed.
+	Due, GiveUp time.Time
+	Items       []Item
 }
 
 // Outcome says how an item ended.
--- a/internal/state/jobs/partition.go
+++ b/internal/state/jobs/partition.go
@@ -179,7 +179,7 @@
 	job := &JobState{
 		Job: Job{
 			ID: id, Organisation: head.Organisation, Host: head.Host, Prefix: head.Prefix, ConfigVersion: head.ConfigVersion,
-			Submitted: fromMillis(head.Submitted), Due: fromMillis(head.Deadline), GiveUp: fromMillis(head.ExpiresAt),
+			Submitted: fromMillis(head.Submitted), Due: fromMillis(head.Due), GiveUp: fromMillis(head.GiveUp),
 		},
 		Cancelled:   p.cancelled[id],
 		hasResult:   map[string]bool{},
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -31,10 +31,10 @@
 	Host          string `cbor:"2,keyasint"`
 	Prefix        string `cbor:"3,keyasint"`
 	ConfigVersion int64  `cbor:"4,keyasint"`
-	// Submitted, Deadline and ExpiresAt are in Unix milliseconds.
+	// Submitted, Due and GiveUp are in Unix milliseconds.
 	Submitted int64 `cbor:"5,keyasint"`
-	Deadline  int64 `cbor:"6,keyasint"`
-	ExpiresAt int64 `cbor:"7,keyasint"`
+	Due       int64 `cbor:"6,keyasint"`
+	GiveUp    int64 `cbor:"7,keyasint"`
 	// ItemRecords is the number of records with items.
 	ItemRecords int `cbor:"8,keyasint"`
 }
@@ -76,7 +76,7 @@
 	}
 	value, err := cbor.Marshal(headRecord{
 		Organisation: job.Organisation, Host: job.Host, Prefix: job.Prefix, ConfigVersion: job.ConfigVersion,
-		Submitted: job.Submitted.UnixMilli(), Deadline: job.Due.UnixMilli(), ExpiresAt: job.GiveUp.UnixMilli(),
+		Submitted: job.Submitted.UnixMilli(), Due: job.Due.UnixMilli(), GiveUp: job.GiveUp.UnixMilli(),
 		ItemRecords: len(records),
 	})
 	if err != nil {
