--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -6,7 +6,7 @@
 	"merlintiller/internal/coordination/routed/mesh"
 )
 
-// claimsMaxAge is how long claims that were read are used.
+// claimsMaxAge is how long the claims are used before they are read again.
 const claimsMaxAge = 50 * time.Millisecond
 
 // Claims returns the items that run here, or whose results are being delivered, while
--- a/internal/coordination/routed/batchjobs/owner.go
+++ b/internal/coordination/routed/batchjobs/owner.go
@@ -31,7 +31,8 @@
 	generation int64
 	owned      map[int]*ownedPartition
 	leaving    bool
-	// hasLostPartition says that a partition was released in this incarnation.
+	// hasLostPartition says that this instance has released a partition in this
+	// incarnation.
 	hasLostPartition bool
 }
 
@@ -110,9 +111,9 @@
 // a later generation. While no instance reaches the store, nothing is reassigned and
 // partitions are kept.
 //
-// It covers a store that rejects only this instance and assigns its partitions to
-// others. Without it, both owners would run the items, and this one would not learn
-// that a job was cancelled.
+// It is needed when the store rejects only this instance and assigns its partitions to
+// others. Otherwise both owners would run the items, and this one would not learn that a
+// job was cancelled.
 func (o *PartitionOwner) releaseReassigned() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -176,7 +177,8 @@
 	return partitions, o.generation
 }
 
-// HasLostPartition says whether a partition was released in this incarnation.
+// HasLostPartition says whether this instance has released a partition in this
+// incarnation.
 func (o *PartitionOwner) HasLostPartition() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -16,9 +16,9 @@
 // sortWaiting sorts the waiting items by deadline, and puts those that can no longer
 // meet their deadlines at the end.
 //
-// It covers times with more items than slots, which last some seconds. Sorted by
-// deadline alone, items that are late already would take the slots and make the items
-// behind them late too, one after the other.
+// This matters while there are more items than slots, which lasts some seconds at a time.
+// Sorted by deadline alone, items that are late already would take the slots and make the
+// items behind them late too, one after the other.
 func (r *Runner) sortWaiting(now time.Time) {
 	for _, t := range r.waiting {
 		t.late = now.Add(r.estimate.remaining(t.events)).After(t.job.Due)
--- a/internal/coordination/routed/batchjobs/replica.go
+++ b/internal/coordination/routed/batchjobs/replica.go
@@ -41,15 +41,15 @@
 	loaded  bool
 	changed chan struct{}
 	// acquiredAt is when the replica was created: for an owned partition, the
-	// begin of the ownership.
+	// start of the ownership.
 	acquiredAt time.Time
 	// released says that the ownership has ended. The runner's lock guards it.
 	released bool
-	// onPartialOutput is called with output that another instance hands over;
-	// partialOutputs keeps such output until its item gets a task.
+	// onPartialOutput, if set, is called with output that another instance hands
+	// over. partialOutputs keeps such output until its item gets a task.
 	onPartialOutput func(itemID, PartialOutput)
 	partialOutputs  map[itemID]PartialOutput
-	// unstored returns the output of running items that is not stored yet.
+	// unstored, if set, returns the output of running items that is not stored yet.
 	unstored func(*partitionReplica) []unstoredSegment
 	// storeNow asks for that output to be stored at once.
 	storeNow chan struct{}
--- a/internal/coordination/routed/batchjobs/retention.go
+++ b/internal/coordination/routed/batchjobs/retention.go
@@ -28,7 +28,7 @@
 // removeExpired removes jobs that are closed and past their retention from the store,
 // some of them in each call.
 //
-// The store keeps the newest record of each key for ever. Without removal it would be
+// The store keeps the newest record of each key forever. Without removal it would be
 // full after some days and accept no more jobs, and a new owner would have to read
 // every job ever submitted.
 func (p *partitionReplica) removeExpired(ctx context.Context) error {
--- a/internal/coordination/routed/batchjobs/retention_test.go
+++ b/internal/coordination/routed/batchjobs/retention_test.go
@@ -23,7 +23,7 @@
 	return keys
 }
 
-// The store keeps the newest record of each key for ever and accepts no more when it is
+// The store keeps the newest record of each key forever and accepts no more when it is
 // full; every job would then be rejected. So an expired job must leave no records, and
 // must stay readable until it expires.
 func TestExpiredJobIsRemovedFromTheStore(t *testing.T) {
--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -108,8 +108,8 @@
 // maxDomains bounds the failure domains in which items are placed at the same time.
 const maxDomains = 4
 
-// placeItems places items in one failure domain. place is the index of the domain in
-// this instance's order of domains.
+// placeItems places items in one failure domain. domainIndex is the index of the domain
+// in this instance's order of domains.
 func (r *Runner) placeItems(ctx context.Context, domainIndex int) {
 	for ctx.Err() == nil {
 		item, ok := r.mostUrgent(time.Now())
@@ -128,9 +128,9 @@
 	}
 }
 
-// waitForWork waits until an item may be able to start. While no item waits it sets
-// no timer, since only a change can make one start: in a large fleet most instances own
-// no partition.
+// waitForWork waits until an item may be able to start. It polls only while items wait.
+// Otherwise only a change can bring work, and in a large fleet most instances own no
+// partition.
 func (r *Runner) waitForWork(ctx context.Context) {
 	r.mu.Lock()
 	changed, waiting := r.changed, len(r.waiting)
@@ -156,7 +156,7 @@
 
 // syncItems makes the tasks match the open items of a partition. It reads the items
 // while it holds the runner's lock. Otherwise, of two changes in quick succession, the
-// older set of items could be applied last and drop the items of the newer one.
+// older set of items could be applied last and remove the items that the newer one added.
 func (r *Runner) syncItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -52,9 +52,9 @@
 // submit writes a job, here or through another instance, and returns the first
 // success. Writing a job twice has no effect.
 //
-// The second path covers a store that rejects some instances and serves others.
-// Without it, a caller whose attempts reach two rejected instances would have its job
-// rejected or wait for the store, although the store is available.
+// The second path is needed when the store rejects some instances and serves others.
+// Otherwise a caller whose attempts reach two rejected instances would have its job
+// rejected, or would wait for the store although the store is available.
 func (s *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
 	if s.jobExists(ctx, job.ID) {
 		return Done
