--- a/internal/state/jobs/partition.go
+++ b/internal/state/jobs/partition.go
@@ -14,250 +14,251 @@
 
 // Partition is the state of one partition. It is not safe for concurrent use.
 type Partition struct {
-	jobs map[string]*Listed
-	// incomplete are jobs and results whose records are not all there.
-	incomplete map[string]*parts
-	texts      map[string]*parts
-	ended      map[string]bool
-	next       int64
+	jobs map[string]*JobState
+	// incompleteJobs and incompleteResults hold what has records missing, by id
+	// of the job or by key of the result.
+	incompleteJobs    map[string]*recordSet
+	incompleteResults map[string]*recordSet
+	cancelled         map[string]bool
+	next              int64
 }
 
-// parts collects the pieces of what did not fit into one record.
-type parts struct {
-	head   *head
-	entry  *entry
-	pieces map[int][]byte
+// recordSet collects the records of a job or result that is not complete yet.
+type recordSet struct {
+	head   *headRecord
+	result *resultRecord
+	values map[int][]byte
 }
 
 // NewPartition returns an empty state.
 func NewPartition() *Partition {
 	return &Partition{
-		jobs:       map[string]*Listed{},
-		incomplete: map[string]*parts{},
-		texts:      map[string]*parts{},
-		ended:      map[string]bool{},
+		jobs:              map[string]*JobState{},
+		incompleteJobs:    map[string]*recordSet{},
+		incompleteResults: map[string]*recordSet{},
+		cancelled:         map[string]bool{},
 	}
 }
 
 // Next is the offset that is applied next.
 func (p *Partition) Next() int64 { return p.next }
 
-// Load takes over the newest records of all keys, as a start. Records that can't
-// be read are left out, and the error tells of them; the rest holds.
+// Load replaces the state by the newest records of all keys. Unreadable records are
+// skipped and reported in the error; the other records are applied.
 func (p *Partition) Load(page external.KeyedPage) error {
 	*p = *NewPartition()
 	records := slices.Clone(page.Records)
 	slices.SortFunc(records, func(a, b external.KeyedRecord) int {
-		return cmp.Or(cmp.Compare(rank(a.Key), rank(b.Key)), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(loadOrder(a.Key), loadOrder(b.Key)), cmp.Compare(a.Key, b.Key))
 	})
 	var problems []error
 	for _, record := range records {
-		problems = append(problems, p.record(record))
+		problems = append(problems, p.applyRecord(record))
 	}
 	p.next = page.Next
 	return errors.Join(problems...)
 }
 
-// rank puts results behind the jobs that they belong to and behind the texts that
-// did not fit into them: a result that waits for its text would keep the ones after
-// it from their positions.
-func rank(key string) int {
+// loadOrder sorts results after the jobs that they belong to and after the records of
+// their texts. A result that waits for its text would prevent the next results from
+// getting their positions.
+func loadOrder(key string) int {
 	switch {
-	case strings.HasPrefix(key, resultKey):
+	case strings.HasPrefix(key, resultPrefix):
 		return 2
-	case strings.HasPrefix(key, textKey), strings.HasPrefix(key, pieceKey):
+	case strings.HasPrefix(key, textPrefix), strings.HasPrefix(key, segmentPrefix):
 		return 1
 	default:
 		return 0
 	}
 }
 
-// Apply takes over records that follow what is known. Those that are known
-// already are left out, and so are those that can't be read, of which the error
-// tells.
+// Apply applies records that follow the known state. Records that are already applied are
+// skipped. Unreadable records are skipped and reported in the error.
 func (p *Partition) Apply(page external.KeyedPage) error {
 	var problems []error
 	for _, record := range page.Records {
 		if record.Offset >= p.next {
-			problems = append(problems, p.record(record))
+			problems = append(problems, p.applyRecord(record))
 		}
 	}
 	p.next = max(p.next, page.Next)
 	return errors.Join(problems...)
 }
 
-// Job gives a job by id.
-func (p *Partition) Job(id string) (*Listed, bool) {
-	l, ok := p.jobs[id]
-	return l, ok
+// Job returns the job with an id.
+func (p *Partition) Job(id string) (*JobState, bool) {
+	job, ok := p.jobs[id]
+	return job, ok
 }
 
-// Jobs gives all jobs.
-func (p *Partition) Jobs() map[string]*Listed { return p.jobs }
+// Jobs returns all jobs by id.
+func (p *Partition) Jobs() map[string]*JobState { return p.jobs }
 
-func (p *Partition) record(record external.KeyedRecord) error {
-	if len(record.Key) < len(headKey) {
+func (p *Partition) applyRecord(record external.KeyedRecord) error {
+	if len(record.Key) < len(headPrefix) {
 		return nil
 	}
-	kind, rest := record.Key[:len(headKey)], record.Key[len(headKey):]
+	kind, rest := record.Key[:len(headPrefix)], record.Key[len(headPrefix):]
 	if len(record.Value) == 0 {
-		p.dropped(kind, rest)
+		p.applyRemoval(kind, rest)
 		return nil
 	}
 	switch kind {
-	case headKey:
-		return p.headRecord(rest, record.Value)
-	case itemsKey:
-		return p.itemsRecord(rest, record.Value)
-	case resultKey:
-		return p.resultRecord(rest, record.Value)
-	case textKey:
-		return p.textRecord(rest, record.Value)
-	case pieceKey:
-		return p.pieceRecord(rest, record.Value)
-	case endKey:
-		p.ended[rest] = true
+	case headPrefix:
+		return p.applyHead(rest, record.Value)
+	case itemsPrefix:
+		return p.applyItems(rest, record.Value)
+	case resultPrefix:
+		return p.applyResult(rest, record.Value)
+	case textPrefix:
+		return p.applyText(rest, record.Value)
+	case segmentPrefix:
+		return p.applySegment(rest, record.Value)
+	case cancelPrefix:
+		p.cancelled[rest] = true
 		if job := p.jobs[rest]; job != nil {
-			job.Ended = true
+			job.Cancelled = true
 		}
 	}
 	return nil
 }
 
-// dropped forgets a job whose head was dropped.
-func (p *Partition) dropped(kind, rest string) {
+// applyRemoval forgets what a removed record held. A job goes with its head record.
+func (p *Partition) applyRemoval(kind, rest string) {
 	switch kind {
-	case headKey:
+	case headPrefix:
 		delete(p.jobs, rest)
-	case endKey:
-		delete(p.ended, rest)
-	case itemsKey:
-		if job, _, ok := cutNumber(rest); ok {
-			delete(p.incomplete, job)
+	case cancelPrefix:
+		delete(p.cancelled, rest)
+	case itemsPrefix:
+		if job, _, ok := splitNumber(rest); ok {
+			delete(p.incompleteJobs, job)
 		}
 	}
 }
 
-func collect(in map[string]*parts, key string) *parts {
-	found := in[key]
-	if found == nil {
-		found = &parts{pieces: map[int][]byte{}}
-		in[key] = found
+// setFor returns the record set of a key and creates it if needed.
+func setFor(in map[string]*recordSet, key string) *recordSet {
+	set := in[key]
+	if set == nil {
+		set = &recordSet{values: map[int][]byte{}}
+		in[key] = set
 	}
-	return found
+	return set
 }
 
-func (p *Partition) headRecord(id string, value []byte) error {
-	var h head
-	if err := cbor.Unmarshal(value, &h); err != nil {
+func (p *Partition) applyHead(id string, value []byte) error {
+	var head headRecord
+	if err := cbor.Unmarshal(value, &head); err != nil {
 		return trace.Wrap(err, "head of job %s", id)
 	}
 	if p.jobs[id] != nil {
 		return nil
 	}
-	collect(p.incomplete, id).head = &h
-	return p.complete(id)
+	setFor(p.incompleteJobs, id).head = &head
+	return p.assembleJob(id)
 }
 
-func (p *Partition) itemsRecord(rest string, value []byte) error {
-	id, n, ok := cutNumber(rest)
+func (p *Partition) applyItems(rest string, value []byte) error {
+	id, n, ok := splitNumber(rest)
 	if !ok || p.jobs[id] != nil {
 		return nil
 	}
-	collect(p.incomplete, id).pieces[n] = value
-	return p.complete(id)
+	setFor(p.incompleteJobs, id).values[n] = value
+	return p.assembleJob(id)
 }
 
-// complete makes a job of its records once all are there.
-func (p *Partition) complete(id string) error {
-	found := p.incomplete[id]
-	if found.head == nil || len(found.pieces) < found.head.Parts {
+// assembleJob adds a job once all its records are present.
+func (p *Partition) assembleJob(id string) error {
+	set := p.incompleteJobs[id]
+	if set.head == nil || len(set.values) < set.head.ItemRecords {
 		return nil
 	}
-	h := found.head
-	job := &Listed{
+	head := set.head
+	job := &JobState{
 		Job: Job{
-			ID: id, Organisation: h.Organisation, Host: h.Host, Prefix: h.Prefix, ConfigVersion: h.ConfigVersion,
-			Submitted: fromMillis(h.Submitted), Due: fromMillis(h.Due), GiveUp: fromMillis(h.GiveUp),
+			ID: id, Organisation: head.Organisation, Host: head.Host, Prefix: head.Prefix, ConfigVersion: head.ConfigVersion,
+			Submitted: fromMillis(head.Submitted), Due: fromMillis(head.Due), GiveUp: fromMillis(head.GiveUp),
 		},
-		Ended:     p.ended[id],
-		done:      map[string]bool{},
-		itemParts: h.Parts,
-		textParts: map[int]int{},
-		progress:  map[int]*kept{},
+		Cancelled:   p.cancelled[id],
+		hasResult:   map[string]bool{},
+		itemRecords: head.ItemRecords,
+		textRecords: map[int]int{},
+		progress:    map[int]*storedOutput{},
 	}
-	for n := range h.Parts {
+	for n := range head.ItemRecords {
 		var items []Item
-		if err := cbor.Unmarshal(found.pieces[n], &items); err != nil {
+		if err := cbor.Unmarshal(set.values[n], &items); err != nil {
 			return trace.Wrap(err, "items of job %s", id)
 		}
 		job.Items = append(job.Items, items...)
 	}
-	delete(p.incomplete, id)
+	delete(p.incompleteJobs, id)
 	p.jobs[id] = job
 	return nil
 }
 
-func (p *Partition) textRecord(rest string, value []byte) error {
-	key, n, ok := cutNumber(rest)
+func (p *Partition) applyText(rest string, value []byte) error {
+	key, n, ok := splitNumber(rest)
 	if !ok {
 		return nil
 	}
-	collect(p.texts, key).pieces[n] = value
-	return p.joined(key)
+	setFor(p.incompleteResults, key).values[n] = value
+	return p.assembleResult(key)
 }
 
-func (p *Partition) resultRecord(rest string, value []byte) error {
-	var e entry
-	if err := cbor.Unmarshal(value, &e); err != nil {
+func (p *Partition) applyResult(rest string, value []byte) error {
+	var record resultRecord
+	if err := cbor.Unmarshal(value, &record); err != nil {
 		return trace.Wrap(err, "result %s", rest)
 	}
-	if e.Parts == 0 {
-		return p.result(rest, e)
+	if record.TextRecords == 0 {
+		return p.addResult(rest, record)
 	}
-	collect(p.texts, rest).entry = &e
-	return p.joined(rest)
+	setFor(p.incompleteResults, rest).result = &record
+	return p.assembleResult(rest)
 }
 
-// joined lists a result of several records once all are there.
-func (p *Partition) joined(key string) error {
-	found := p.texts[key]
-	if found.entry == nil || len(found.pieces) < found.entry.Parts {
+// assembleResult adds a result of several records once all of them are present.
+func (p *Partition) assembleResult(key string) error {
+	set := p.incompleteResults[key]
+	if set.result == nil || len(set.values) < set.result.TextRecords {
 		return nil
 	}
 	var text strings.Builder
-	for n := range found.entry.Parts {
-		text.Write(found.pieces[n])
+	for n := range set.result.TextRecords {
+		text.Write(set.values[n])
 	}
-	found.entry.Text = text.String()
-	delete(p.texts, key)
-	return p.result(key, *found.entry)
+	set.result.Text = text.String()
+	delete(p.incompleteResults, key)
+	return p.addResult(key, *set.result)
 }
 
-// result lists a result at its position.
-func (p *Partition) result(key string, e entry) error {
-	id, position, ok := cutNumber(key)
+// addResult adds a result at its position.
+func (p *Partition) addResult(key string, record resultRecord) error {
+	id, position, ok := splitNumber(key)
 	if !ok {
-		return trace.BadParameter("result under key %q", key)
+		return trace.BadParameter("result under invalid key %q", key)
 	}
 	job := p.jobs[id]
 	if job == nil || position < len(job.Results) {
 		return nil
 	}
 	if position > len(job.Results) {
-		return trace.BadParameter("result %d of job %s comes before result %d", position, id, len(job.Results))
+		return trace.BadParameter("result %d of job %s found before result %d", position, id, len(job.Results))
 	}
-	job.Results = append(job.Results, Result{Item: e.Item, Outcome: e.Outcome, Text: e.Text})
-	job.done[e.Item] = true
-	if e.Parts > 0 {
-		job.textParts[position] = e.Parts
+	job.Results = append(job.Results, Result{Item: record.Item, Outcome: record.Outcome, Text: record.Text})
+	job.hasResult[record.Item] = true
+	if record.TextRecords > 0 {
+		job.textRecords[position] = record.TextRecords
 	}
-	if item, place, ok := job.Item(e.Item); ok {
-		// The body is asked for only until the item is listed, and nobody goes on
-		// with it any more.
+	if item, index, ok := job.Item(record.Item); ok {
+		// Once an item has a result, its body and its stored output are not needed
+		// any more.
 		item.Body = nil
-		if found := job.progress[place]; found != nil {
-			found.Progress = Progress{}
+		if stored := job.progress[index]; stored != nil {
+			stored.Progress = Progress{}
 		}
 	}
 	return nil
--- a/internal/transport/front/visit.go
+++ b/internal/transport/front/visit.go
@@ -43,7 +43,7 @@
 		v.refuse(http.StatusServiceUnavailable, noConfigRetry, "no_config")
 		return
 	}
-	if call, ok := f.opts.Codec.DecodeJobCall(v.r); ok && v.table.HasBatch(v.r.Host) {
+	if call, ok := f.opts.Codec.DecodeJobCall(v.r); ok && v.table.HasBatchRoute(v.r.Host) {
 		v.jobCall(call)
 		return
 	}
@@ -69,11 +69,11 @@
 
 // authenticate finds the caller's organisation.
 func (v *visit) authenticate(public bool) bool {
-	if caller, ok := v.table.Caller(v.request.Secret); ok {
+	if caller, ok := v.table.OrganisationBySecret(v.request.Secret); ok {
 		v.organisation = caller
 		return true
 	}
-	if public || !v.table.Guarded() {
+	if public || !v.table.RequiresKey() {
 		return true
 	}
 	v.refuse(http.StatusUnauthorized, 0, "unknown_key")
