--- a/internal/coordination/routed/batchjobs/answer.go
+++ b/internal/coordination/routed/batchjobs/answer.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// results waits for results of a job and gives them.
-func (h *holding) results(ctx context.Context, call ResultsCall) ResultsReply {
+// results returns results of a job, and waits for the first one up to call.Wait.
+func (p *partitionReplica) results(ctx context.Context, call ResultsCall) ResultsReply {
 	ctx, cancel := context.WithTimeout(ctx, call.Wait)
 	defer cancel()
 	for {
-		found, changed := h.job(call.Job)
+		found, changed := p.job(call.Job)
 		if !found.known || found.organisation != call.Organisation {
-			return ResultsReply{Verdict: h.absent(found, call.Job, call.Organisation)}
+			return ResultsReply{Verdict: p.notFound(found, call.Job, call.Organisation)}
 		}
 		if len(found.results) > call.After || !found.open() || call.Wait <= 0 {
-			return page(&found, call.After)
+			return resultsPage(&found, call.After)
 		}
 		select {
 		case <-changed:
@@ -25,23 +25,24 @@
 	}
 }
 
-// absent is the verdict on a job that is not there.
-func (h *holding) absent(found snapshot, job, organisation string) Verdict {
+// notFound is the verdict on a job that is not in the state: NotDone if the partition
+// is not loaded yet, else Missing.
+func (p *partitionReplica) notFound(found jobSnapshot, job, organisation string) Verdict {
 	if !found.loaded {
 		return NotDone
 	}
-	h.missing(job, organisation)
+	p.logNotFound(job, organisation)
 	return Missing
 }
 
-// page gives the results from a position on, at least one if there is one, and
+// resultsPage returns the results from a position on: at least one if there is one, and
 // no more than fit into an answer.
-func page(s *snapshot, after int) ResultsReply {
+func resultsPage(s *jobSnapshot, after int) ResultsReply {
 	reply := ResultsReply{Verdict: Done, Total: s.total}
 	size := 0
 	for position := min(after, len(s.results)); position < len(s.results); position++ {
 		size += len(s.results[position].Text)
-		if len(reply.Results) > 0 && size > pageBytes {
+		if len(reply.Results) > 0 && size > maxPageBytes {
 			break
 		}
 		reply.Results = append(reply.Results, s.results[position])
@@ -49,28 +50,28 @@
 	return reply
 }
 
-// body gives the body of an item that is not listed.
-func (h *holding) body(call BodyCall) BodyReply {
-	found, _ := h.job(call.Job)
+// body returns the body of an item that has no published result.
+func (p *partitionReplica) body(call BodyCall) BodyReply {
+	found, _ := p.job(call.Job)
 	if !found.known || found.organisation != call.Organisation {
-		return BodyReply{Verdict: h.absent(found, call.Job, call.Organisation)}
+		return BodyReply{Verdict: p.notFound(found, call.Job, call.Organisation)}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	l, known := h.state.Job(call.Job)
-	if !known || l.Ended || l.Done(call.Item) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	job, known := p.state.Job(call.Job)
+	if !known || job.Cancelled || job.HasResult(call.Item) {
 		return BodyReply{Verdict: Missing}
 	}
-	item, _, ok := l.Item(call.Item)
+	item, _, ok := job.Item(call.Item)
 	if !ok {
 		return BodyReply{Verdict: Missing}
 	}
 	return BodyReply{Verdict: Done, Body: item.Body}
 }
 
-// known says whether a job is there.
-func (h *holding) known(job string) Verdict {
-	found, _ := h.job(job)
+// lookUp says whether a job exists.
+func (p *partitionReplica) lookUp(job string) Verdict {
+	found, _ := p.job(job)
 	switch {
 	case found.known:
 		return Done
@@ -81,9 +82,9 @@
 	}
 }
 
-// ready reads all that is new, and everything at first.
-func (h *holding) ready(ctx context.Context, within time.Duration) error {
+// catchUp reads all new records, or the whole partition if it is not loaded yet.
+func (p *partitionReplica) catchUp(ctx context.Context, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	return h.readToEnd(ctx)
+	return p.readToEnd(ctx)
 }
--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// hedgeAfter is how long one way of writing a job may take until the other is
-	// tried beside it: many times what the store takes, and a part of the time in which
-	// callers want a job accepted.
-	hedgeAfter = 150 * time.Millisecond
-	// appendRetry is the wait before an append is tried again, doubled each time,
-	// appendTries how often that is done: about a second in all.
-	appendRetry = 60 * time.Millisecond
-	appendTries = 4
-	// handOverTimeout bounds the writing through another instance.
-	handOverTimeout = 1200 * time.Millisecond
+	// hedgeDelay is how long one path of writing a job may take before the other is
+	// tried as well. It is many times the usual latency of the store, and a fraction
+	// of the time within which callers want a job accepted.
+	hedgeDelay = 150 * time.Millisecond
+	// appendBackoff is the delay before an append is retried. It doubles with each
+	// of the maxAppendRetries retries, to about a second in all.
+	appendBackoff    = 60 * time.Millisecond
+	maxAppendRetries = 4
+	// viaPeerTimeout bounds a call that another instance carries out for this one.
+	viaPeerTimeout = 1200 * time.Millisecond
 )
 
 var (
@@ -32,9 +32,9 @@
 	jobsUnsure   = metrics.NewCounter(`batch_jobs_total{outcome="unsure"}`)
 )
 
-// Submit has a job kept. Done means that it lasts.
-func (d *Desk) Submit(ctx context.Context, job *jobs.Job) Verdict {
-	verdict := d.submit(ctx, job)
+// Submit stores a job. Done means that the job is durable.
+func (s *JobService) Submit(ctx context.Context, job *jobs.Job) Verdict {
+	verdict := s.submit(ctx, job)
 	switch verdict {
 	case Done:
 		jobsAccepted.Inc()
@@ -43,85 +43,84 @@
 	default:
 		jobsUnsure.Inc()
 	}
-	_ = level.Info(d.opts.Logger).Log("event", "job_submitted", "job", job.ID, "organisation", job.Organisation,
-		"items", len(job.Items), "partition", d.opts.partitionOf(job.ID).Number, "outcome", verdict,
-		"store_age_ms", d.opts.StoreAge().Milliseconds())
+	_ = level.Info(s.opts.Logger).Log("event", "job_submitted", "job", job.ID, "organisation", job.Organisation,
+		"items", len(job.Items), "partition", s.opts.partitionOf(job.ID).Number, "outcome", verdict,
+		"store_age_ms", s.opts.StoreAge().Milliseconds())
 	return verdict
 }
 
-// submit writes a job, here or through another instance, whichever is answered
-// first. Writing it twice does no harm.
+// submit writes a job, here or through another instance, and returns the first
+// success. Writing a job twice has no effect.
 //
-// What goes wrong without the second way: the store turns some instances away
-// and serves the others. A caller whose attempts meet two of those has its job
-// refused, or waits for a store that does not answer, though the store is there.
-func (d *Desk) submit(ctx context.Context, job *jobs.Job) Verdict {
-	if d.known(ctx, job.ID) {
+// The second path is needed when the store rejects some instances and serves others.
+// Otherwise a caller whose attempts reach two rejected instances would have its job
+// rejected, or would wait for the store although the store is available.
+func (s *JobService) submit(ctx context.Context, job *jobs.Job) Verdict {
+	if s.jobExists(ctx, job.ID) {
 		return Done
 	}
-	first, second := d.write, d.handOver
-	if d.opts.StoreAge() >= storeAway {
+	first, second := s.writeJob, s.submitViaPeer
+	if s.opts.StoreAge() >= storeUnreachableAfter {
 		first, second = second, first
 	}
-	return hedged(ctx, hedgeAfter,
+	return hedged(ctx, hedgeDelay,
 		func(ctx context.Context) Verdict { return first(ctx, job) },
 		func(ctx context.Context) Verdict { return second(ctx, job) })
 }
 
-// hedged tries a call that may be done twice in two ways: the second one begins
-// when the first has taken a while, or has ended without being done.
+// hedged makes a call that may be repeated safely on two paths. The second path
+// starts when the first has taken longer than a delay, or has ended without success.
 func hedged(ctx context.Context, after time.Duration, first, second func(context.Context) Verdict) Verdict {
-	ways := make(chan Verdict, 2)
-	running, both := 1, false
-	go func() { ways <- first(ctx) }()
+	verdicts := make(chan Verdict, 2)
+	running, secondStarted := 1, false
+	go func() { verdicts <- first(ctx) }()
 	slow := time.NewTimer(after)
 	defer slow.Stop()
 	verdict := NotDone
 	for running > 0 {
 		select {
-		case way := <-ways:
+		case v := <-verdicts:
 			running--
-			if way == Done {
+			if v == Done {
 				return Done
 			}
-			if way != NotDone {
+			if v != NotDone {
 				verdict = Unsure
 			}
 		case <-slow.C:
 		}
-		if !both && ctx.Err() == nil {
-			both = true
+		if !secondStarted && ctx.Err() == nil {
+			secondStarted = true
 			running++
-			go func() { ways <- second(ctx) }()
+			go func() { verdicts <- second(ctx) }()
 		}
 	}
 	return verdict
 }
 
-// write appends a job's records. A job may be written twice: the second time
-// changes nothing.
-func (d *Desk) write(ctx context.Context, job *jobs.Job) Verdict {
-	records, err := jobs.EncodeJob(job, d.opts.RecordBytes)
+// writeJob appends a job's records. Writing a job a second time changes nothing.
+func (s *JobService) writeJob(ctx context.Context, job *jobs.Job) Verdict {
+	records, err := jobs.EncodeJob(job, s.opts.RecordBytes)
 	if err != nil {
-		_ = level.Warn(d.opts.Logger).Log("event", "job_not_encoded", "job", job.ID, "err", err)
+		_ = level.Warn(s.opts.Logger).Log("event", "job_not_encoded", "job", job.ID, "err", err)
 		return NotDone
 	}
-	return d.append(ctx, d.opts.partitionOf(job.ID), records)
+	return s.appendRecords(ctx, s.opts.partitionOf(job.ID), records)
 }
 
-// append writes records in as many calls as the store's bound wants, the last of
-// which makes them count.
-func (d *Desk) append(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+// appendRecords appends records in as many calls as the store's limits require. The
+// last record makes the others take effect.
+func (s *JobService) appendRecords(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	for len(records) > 0 {
 		n, size := 0, 0
 		for n < len(records) {
-			size += len(records[n].Key) + len(records[n].Value) + recordHead
-			if n > 0 && size > d.opts.CallBytes {
+			size += len(records[n].Key) + len(records[n].Value) + recordOverhead
+			if n > 0 && size > s.opts.CallBytes {
 				break
 			}
 			n++
 		}
-		if verdict := d.appendOnce(ctx, p, records[:n]); verdict != Done {
+		if verdict := s.appendWithRetry(ctx, p, records[:n]); verdict != Done {
 			return verdict
 		}
 		records = records[n:]
@@ -129,38 +128,38 @@
 	return Done
 }
 
-// recordHead is what the store counts beside a record's key and value.
-const recordHead = 8
+// recordOverhead is what the store counts for a record beyond its key and value.
+const recordOverhead = 8
 
-// appendOnce repeats one append a few times until it is answered or ctx ends.
-func (d *Desk) appendOnce(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
+// appendWithRetry makes one append, with retries, until it is acknowledged or ctx ends.
+func (s *JobService) appendWithRetry(ctx context.Context, p external.Partition, records []external.KeyedRecord) Verdict {
 	verdict := NotDone
-	for try := 0; ; try++ {
-		_, err := d.opts.Log.Append(ctx, p, records, external.AnyEnd)
+	for attempt := 0; ; attempt++ {
+		_, err := s.opts.Log.Append(ctx, p, records, external.AnyEnd)
 		if err == nil {
-			d.opts.StoreAnswered()
+			s.opts.StoreAnswered()
 			return Done
 		}
-		_ = level.Warn(d.opts.Logger).Log("event", "job_append_failed", "partition", p.Number, "err", err)
+		_ = level.Warn(s.opts.Logger).Log("event", "job_append_failed", "partition", p.Number, "err", err)
 		if errors.Is(err, external.ErrUnavailable) {
 			verdict = Unsure
 		}
-		if errors.Is(err, external.ErrFull) || try == appendTries {
+		if errors.Is(err, external.ErrFull) || attempt == maxAppendRetries {
 			return verdict
 		}
-		wait.For(ctx, appendRetry<<try)
+		wait.For(ctx, appendBackoff<<attempt)
 		if ctx.Err() != nil {
 			return verdict
 		}
 	}
 }
 
-// handOver has another instance write a job, one that the store answers.
-func (d *Desk) handOver(ctx context.Context, job *jobs.Job) Verdict {
+// submitViaPeer writes a job through another instance that reaches the store.
+func (s *JobService) submitViaPeer(ctx context.Context, job *jobs.Job) Verdict {
 	verdict := NotDone
-	d.elsewhere(ctx, func(ctx context.Context, address string) bool {
+	s.tryPeersWithStore(ctx, func(ctx context.Context, address string) bool {
 		var reply JobReply
-		err := d.opts.Caller.Call(ctx, address, methodAccept, &AcceptCall{Job: *job}, &reply)
+		err := s.opts.Caller.Call(ctx, address, methodAccept, &AcceptCall{Job: *job}, &reply)
 		switch {
 		case err == nil && reply.Verdict == Done:
 			verdict = Done
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -107,15 +107,15 @@
 func (f *rateFleet) move(key limiter.SlotKey, from, to protocol.InstanceID) {
 	target := f.byID(to)
 	if old := f.byID(from); old != nil && old.alive {
-		old.core.Extend(f.clock.Now().Add(time.Hour))
-		if balances, ok := old.core.GiveUp(f.clock.Now(), key); ok {
-			target.core.Receive(f.clock.Now(), balances)
+		old.core.SetUsableUntil(f.clock.Now().Add(time.Hour))
+		if balances, ok := old.core.CloseSlot(f.clock.Now(), key); ok {
+			target.core.ReceiveHandover(f.clock.Now(), balances)
 		}
-		old.core.Drop(key)
+		old.core.RemoveSlot(key)
 	}
 	f.fence++
-	target.core.Extend(f.clock.Now().Add(24 * time.Hour))
-	target.core.Hold(f.clock.Now(), key, f.fence)
+	target.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
+	target.core.AddSlot(f.clock.Now(), key, f.fence)
 }
 
 func (f *rateFleet) byID(id protocol.InstanceID) *rateInstance { return f.ids[id] }
@@ -193,27 +193,27 @@
 	for _, back := range verdict.Returns {
 		f.exchange(i, back, func() {})
 	}
-	if verdict.Ahead != nil {
-		f.exchange(i, verdict.Ahead, func() {})
+	if verdict.Prefetch != nil {
+		f.exchange(i, verdict.Prefetch, func() {})
 	}
 	switch {
 	case verdict.Granted:
 		decided(true)
-	case verdict.Ask != nil && f.clock.Now().Before(deadline):
-		f.exchange(i, verdict.Ask, func() { f.decide(i, request, deadline, decided) })
+	case verdict.Call != nil && f.clock.Now().Before(deadline):
+		f.exchange(i, verdict.Call, func() { f.decide(i, request, deadline, decided) })
 	default:
 		decided(false)
 	}
 }
 
 // exchange carries a Take to its holder and the answer back.
-func (f *rateFleet) exchange(i int, ask *limiter.Ask, then func()) {
+func (f *rateFleet) exchange(i int, ask *limiter.TakeCall, then func()) {
 	f.exchanges++
 	asker := f.instances[i]
 	holder := f.byID(ask.Holder)
 	if !holder.alive || f.isCut(i, ask.Args.Slot.Domain) {
-		f.clock.After(f.policy.settings.AskTimeout, func() {
-			asker.core.Answered(f.clock.Now(), ask, limiter.TakeReply{}, true)
+		f.clock.After(f.policy.settings.CallTimeout, func() {
+			asker.core.HandleReply(f.clock.Now(), ask, limiter.TakeReply{}, true)
 			then()
 		})
 		return
@@ -225,7 +225,7 @@
 	f.clock.After(hop, func() {
 		reply := holder.core.Take(f.clock.Now(), ask.Args)
 		f.clock.After(hop, func() {
-			asker.core.Answered(f.clock.Now(), ask, reply, false)
+			asker.core.HandleReply(f.clock.Now(), ask, reply, false)
 			then()
 		})
 	})
