--- a/internal/coordination/journal/gap_test.go
+++ b/internal/coordination/journal/gap_test.go
@@ -238,14 +238,14 @@
 		_, a, b := startTwo(t)
 		require.Equal(t, protocol.Accepted, b.put(change("1", protocol.NoOffset, organisation("o", 1), keyOf("k", "o", "1"))))
 		pass(time.Second)
-		require.True(t, a.Current())
+		require.True(t, a.ConfigCurrent())
 		a.link.pause(10 * time.Minute)
 		pass(5 * time.Second)
 		require.Equal(t, protocol.Accepted, b.put(protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: "k"}}))
 		pass(10*time.Minute - 6*time.Second)
 		require.True(t, a.KeyActive("k"), "the paused instance can't know yet")
-		require.False(t, a.Current())
-		await(t, 5*time.Second, "current again", a.Current)
+		require.False(t, a.ConfigCurrent())
+		await(t, 5*time.Second, "current again", a.ConfigCurrent)
 		require.False(t, a.KeyActive("k"))
 	})
 }
@@ -260,7 +260,7 @@
 			a.link.set(func(string, string, []byte) memlog.Fault { return fault })
 			for range 120 {
 				pass(500 * time.Millisecond)
-				require.True(t, a.Current())
+				require.True(t, a.ConfigCurrent())
 			}
 			a.kill()
 		}
--- a/internal/coordination/journal/journal.go
+++ b/internal/coordination/journal/journal.go
@@ -151,13 +151,13 @@
 	return j.isLoaded() && j.progress.up(time.Now(), j.timings.DownAfter)
 }
 
-// Current reports whether the configuration is as new as this instance can have
+// ConfigCurrent reports whether the configuration is as new as this instance can have
 // it. An instance that was paused for minutes wakes with requests waiting and
 // the keys of before the pause, and would let in callers whose keys were
 // withdrawn meanwhile. So after a pause it is not current until one read of the
 // log has come to an end. A read that fails counts too: an instance that is cut
 // off goes on serving what it knows.
-func (j *Journal) Current() bool {
+func (j *Journal) ConfigCurrent() bool {
 	oneRead := j.timings.PollWait + j.timings.ReadTimeout
 	return j.isLoaded() && j.progress.current(time.Now(), 2*(oneRead+j.timings.BackoffMax))
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -36,7 +36,7 @@
 		OnceTarget: d.outside.once,
 		Once:       d.batch.once,
 		Loads:      d.outside.control,
-		Current:    d.agreement.journal.Current,
+		Current:    d.agreement.journal.ConfigCurrent,
 		Observe:    d.operators.observe,
 		Logger:     d.logger,
 		Policy:     onlinePolicy(d.settings.Calls),
@@ -57,7 +57,7 @@
 // ready says that the instance knows a state to serve by. Before, it would
 // refuse every key; and after a pause of the process it would let in callers
 // whose keys were withdrawn meanwhile.
-func (d *Daemon) ready() bool { return d.agreement.journal.Current() }
+func (d *Daemon) ready() bool { return d.agreement.journal.ConfigCurrent() }
 
 // organisationOf names the organisation whose key came with the request.
 func organisationOf(r *http.Request) protocol.OrganisationID {
