--- a/internal/coordination/journal/gap_test.go
+++ b/internal/coordination/journal/gap_test.go
@@ -36,7 +36,7 @@
 		b := startNode(t, log, "b")
 		pass(time.Minute)
 		require.False(t, b.isLoaded())
-		require.Contains(t, b.Trouble(), "the control stream begins at 1 and there is no snapshot")
+		require.Contains(t, b.Problem(), "the control stream begins at 1 and there is no snapshot")
 		require.Equal(t, protocol.NotRun, b.Submit(t.Context(), claim("r", protocol.NoOffset)).Run)
 	})
 }
@@ -163,7 +163,7 @@
 		require.False(t, a.LogUp())
 		require.False(t, a.MayHold())
 		require.Equal(t, version, a.Fleet().Version)
-		require.Contains(t, a.Trouble(), "the log lost entries")
+		require.Contains(t, a.Problem(), "the log lost entries")
 	})
 }
 
--- a/internal/coordination/journal/heartbeats_test.go
+++ b/internal/coordination/journal/heartbeats_test.go
@@ -192,7 +192,7 @@
 		pass(30 * time.Second)
 		require.False(t, a.isLoaded())
 		require.False(t, b.isLoaded())
-		require.Contains(t, a.Trouble(), "can't start")
+		require.Contains(t, a.Problem(), "can't start")
 		log.SetFault(nil)
 		a.ready()
 		b.ready()
--- a/internal/coordination/journal/journal.go
+++ b/internal/coordination/journal/journal.go
@@ -175,9 +175,9 @@
 	}
 }
 
-// Trouble is a sentence for the operator while the journal can't start or
+// Problem is a sentence for the operator while the journal can't start or
 // can't go on, empty otherwise.
-func (j *Journal) Trouble() string { return j.status.get() }
+func (j *Journal) Problem() string { return j.status.get() }
 
 // Close ends the session with a record, so that others take over at once what
 // the instance held. After it the instance opens no session again.
--- a/internal/coordination/journal/world_test.go
+++ b/internal/coordination/journal/world_test.go
@@ -269,7 +269,7 @@
 	<-time.After(40 * time.Second)
 	for _, n := range w.alive() {
 		if !n.LogUp() || !n.MayHold() {
-			w.violate("%s does not work again: session=%v up=%v trouble=%q", n.opts.Instance, n.Session(), n.LogUp(), n.Trouble())
+			w.violate("%s does not work again: session=%v up=%v trouble=%q", n.opts.Instance, n.Session(), n.LogUp(), n.Problem())
 		}
 		applied, got, err := n.Snapshot()
 		if err != nil {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -80,7 +80,7 @@
 		Domain:   d.settings.Domain,
 		Journal:  j,
 		Draining: o.leaving.Load,
-		Trouble:  j.Trouble,
+		Trouble:  j.Problem,
 		Now:      time.Now,
 		Started:  time.Now(),
 	}
