--- a/internal/coordination/journal/broken_test.go
+++ b/internal/coordination/journal/broken_test.go
@@ -34,19 +34,20 @@
 	return fault{}
 }
 
-// requireRed runs a cell with a broken variant and demands that the checker
-// finds the fault that the variant causes.
-func requireRed(t *testing.T, stepName, faultName, finding string, broken func(*Options)) {
+// requireViolation runs a cell of the matrix with a faulty variant of the
+// journal and requires that the checker reports the violation that the variant
+// causes.
+func requireViolation(t *testing.T, stepName, faultName, finding string, broken func(*Options)) {
 	t.Run(stepName+"/"+faultName, func(t *testing.T) {
 		s, f := stepNamed(t, stepName), faultNamed(t, faultName)
 		synctest.Test(t, func(t *testing.T) {
 			violations := runCell(t, s, f, broken)
-			require.Condition(t, func() bool { return mentions(violations, finding) }, "%q not among %q", finding, violations)
+			require.Condition(t, func() bool { return anyContains(violations, finding) }, "no violation contains %q: %q", finding, violations)
 		})
 	})
 }
 
-func mentions(violations []string, finding string) bool {
+func anyContains(violations []string, finding string) bool {
 	for _, violation := range violations {
 		if strings.Contains(violation, finding) {
 			return true
@@ -55,37 +56,40 @@
 	return false
 }
 
-// The holder of a lease ignores its own hold time. Paused or cut off, it goes
-// on giving orders while another instance has taken its place.
-func TestBrokenHolderIgnoringItsHoldTimeTurnsCellsRed(t *testing.T) {
+// The faulty variant ignores its hold time. An instance that is paused or
+// isolated from the log continues exclusive work after another instance has
+// taken over its lease.
+func TestBrokenHolderIgnoringItsHoldTimeIsDetected(t *testing.T) {
 	broken := func(o *Options) {
 		o.Timings.Session = DefaultTimings().Session
 		o.Timings.Session.Hold = 24 * time.Hour
 	}
 	const finding = "believe that they hold"
-	requireRed(t, "renew", "pause-past-lease", finding, broken)
-	requireRed(t, "renew", "cut-from-log", finding, broken)
-	requireRed(t, "lease-claim", "cut-from-log", finding, broken)
+	requireViolation(t, "renew", "pause-past-lease", finding, broken)
+	requireViolation(t, "renew", "cut-from-log", finding, broken)
+	requireViolation(t, "lease-claim", "cut-from-log", finding, broken)
 }
 
-// Observers count the time of an outage as silence. The first that sees the log
-// again expires the sessions of all who see it a little later.
-func TestBrokenObserverCountingAnOutageTurnsCellsRed(t *testing.T) {
+// The faulty variant counts the time of an outage as silence. The first
+// observer that reads the log again expires the sessions of the instances that
+// reconnect slightly later.
+func TestBrokenObserverCountingAnOutageIsDetected(t *testing.T) {
 	broken := func(o *Options) {
 		o.Timings.Session = DefaultTimings().Session
 		o.Timings.Session.Hold = 24 * time.Hour
 		o.Timings.DownAfter = 24 * time.Hour
 	}
-	requireRed(t, "renew", "log-back-unevenly", "lost its session", broken)
+	requireViolation(t, "renew", "log-back-unevenly", "lost its session", broken)
 }
 
-// anyBase makes replay accept a change whatever it was made from.
-type anyBase struct {
+// rebasingLog disables the based-on check of replay: it rewrites the base
+// version of each configuration change to the current version.
+type rebasingLog struct {
 	external.Log
-	shadow *replica.State
+	state *replica.State
 }
 
-func (l *anyBase) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
+func (l *rebasingLog) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
 	page, err := l.Log.Read(ctx, stream, from, limit, wait)
 	if err != nil || stream != protocol.ControlStream {
 		return page, err
@@ -96,29 +100,30 @@
 	return page, nil
 }
 
-func (l *anyBase) rebase(entry external.Entry) []byte {
+func (l *rebasingLog) rebase(entry external.Entry) []byte {
 	frame, err := protocol.DecodeFrame(entry.Payload)
-	if err != nil || entry.Offset != l.shadow.Applied()+1 {
+	if err != nil || entry.Offset != l.state.Applied()+1 {
 		return entry.Payload
 	}
 	for i := range frame.Records {
 		if change := frame.Records[i].FleetChange; change != nil {
-			change.BasedOn = l.shadow.Fleet.Fleet().Version
+			change.BasedOn = l.state.Fleet.Fleet().Version
 		}
 	}
-	l.shadow.Apply(entry.Offset, frame)
+	l.state.Apply(entry.Offset, frame)
 	payload, _ := protocol.EncodeFrame(frame)
 	return payload
 }
 
-// Replay doesn't check what a change was made from. Of two operators who race,
-// the second undoes the first without either noticing.
-func TestBrokenReplayWithoutTheBasedOnCheckTurnsCellsRed(t *testing.T) {
+// The faulty variant does not check the version on which a configuration change
+// is based. If two operators change the configuration at the same time, the
+// second change overwrites the first without an error.
+func TestBrokenReplayWithoutTheBasedOnCheckIsDetected(t *testing.T) {
 	s := stepNamed(t, "apply")
 	synctest.Test(t, func(t *testing.T) {
 		violations := runRace(t, s, func(o *Options) {
-			o.Log = &anyBase{Log: o.Log, shadow: replica.New()}
+			o.Log = &rebasingLog{Log: o.Log, state: replica.New()}
 		})
-		require.Condition(t, func() bool { return mentions(violations, "outcome is accepted") }, "%q", violations)
+		require.Condition(t, func() bool { return anyContains(violations, "outcome is accepted") }, "%q", violations)
 	})
 }
--- a/internal/coordination/journal/data.go
+++ b/internal/coordination/journal/data.go
@@ -11,8 +11,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// dataDuty tells the jitter of data appends from that of the other duties.
-const dataDuty = 3
+// dataBackoffStream is the random stream for the jitter of data appends. The
+// reader uses stream 1, the writer streams 2 and 4.
+const dataBackoffStream = 3
 
 // AppendData implements coordination.Journal.
 func (j *Journal) AppendData(ctx context.Context, payload []byte) (protocol.Offset, error) {
@@ -22,24 +23,25 @@
 	if !j.LogUp() {
 		return protocol.NoOffset, trace.Wrap(ErrLogDown)
 	}
-	return j.appendRetrying(ctx, protocol.DataStream, payload)
+	return j.appendWithRetry(ctx, protocol.DataStream, payload)
 }
 
-// appendRetrying appends an entry whose second copy does no harm.
-func (j *Journal) appendRetrying(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
-	wait := newBackoff(j.timings.BackoffBase, j.timings.BackoffMax, j.opts.Seed, dataDuty)
+// appendWithRetry appends an entry and retries until it succeeds. It is only
+// for entries that may be stored twice without harm.
+func (j *Journal) appendWithRetry(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
+	wait := newBackoff(j.timings.BackoffBase, j.timings.BackoffMax, j.opts.Seed, dataBackoffStream)
 	for {
-		j.awaitPlace(ctx)
+		j.awaitPacer(ctx)
 		appendCtx, cancel := context.WithTimeout(ctx, j.timings.AppendTimeout)
 		offset, err := j.log.Append(appendCtx, stream, payload)
 		cancel()
 		if err == nil {
-			j.pacer.succeeded(time.Now())
+			j.pacer.onSuccess(time.Now())
 			return offset, nil
 		}
 		if errors.Is(err, external.ErrThrottled) {
 			counters.Add(countThrottled, 1)
-			j.pacer.throttled(time.Now())
+			j.pacer.onThrottled(time.Now())
 		}
 		if errors.Is(err, external.ErrEntryTooLarge) || ctx.Err() != nil {
 			return protocol.NoOffset, trace.Wrap(err)
@@ -48,14 +50,15 @@
 	}
 }
 
-// awaitPlace waits for the pacer, one after the other.
-func (j *Journal) awaitPlace(ctx context.Context) {
+// awaitPacer waits until the pacer permits an append. Callers wait one after
+// another.
+func (j *Journal) awaitPacer(ctx context.Context) {
 	select {
-	case j.pacing <- struct{}{}:
+	case j.pacerTurn <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-j.pacing }()
+	defer func() { <-j.pacerTurn }()
 	for ctx.Err() == nil {
 		wait := j.pacer.take(time.Now())
 		if wait == 0 {
--- a/internal/coordination/journal/digests.go
+++ b/internal/coordination/journal/digests.go
@@ -2,28 +2,30 @@
 
 import "merlintiller/internal/protocol"
 
-// keptDigests is how many of the latest entries a peer's digest can be compared
-// at. At 100 entries a second it reaches back 40 s, longer than a heartbeat
-// takes.
+// keptDigests is the number of latest entries whose digests are kept for
+// comparison with a peer's digest. At 100 entries a second they cover 40 s,
+// which is longer than a heartbeat takes.
 const keptDigests = 4096
 
-// digests holds the digests of the latest entries.
+// digests maps the offsets of the latest entries to the digest of the state
+// after each entry.
 type digests map[protocol.Offset]uint64
 
-func (d digests) note(at protocol.Offset, digest uint64) {
+func (d digests) add(at protocol.Offset, digest uint64) {
 	d[at] = digest
 	delete(d, at-keptDigests)
 }
 
-// Digest returns the position of the replayed state with its digest.
+// Digest returns the offset of the last applied entry and the digest of the
+// replayed state.
 func (j *Journal) Digest() (protocol.Offset, uint64) {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	return j.state.Applied(), j.state.Digest()
 }
 
-// DigestAt returns the digest that the state had at an offset, if it is one of
-// the latest.
+// DigestAt returns the digest of the state after the entry at an offset. It
+// reports false if the offset is not among the latest.
 func (j *Journal) DigestAt(at protocol.Offset) (uint64, bool) {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
--- a/internal/coordination/journal/doc.go
+++ b/internal/coordination/journal/doc.go
@@ -1,17 +1,18 @@
-// Package journal is the instance's client of the platform's log: it
-// implements coordination.Journal.
+// Package journal is the instance's client of the platform's log. It implements
+// coordination.Journal.
 //
-// Its duties are services of the instance's supervision tree, joined by a ring
-// and by the replayed state:
+// Its background services run in the instance's supervision tree. They
+// communicate through a ring of submissions and through the replayed state:
 //
-//   - writer: group commit. It gathers waiting records into one frame, has one
-//     frame in flight, and retries a frame whose answer was lost under the same
-//     record ids.
-//   - reader: replays the control stream and settles the records that it reads
-//     back. A record's fate is learned only here, never from an append's answer.
-//   - renewer and observer: keep the own session and propose the expiry of
-//     silent ones (decided by package member).
+//   - writer: appends records by group commit. It collects waiting records into
+//     one frame and has one frame in flight. If the answer to an append is lost,
+//     it retries the frame with the same record IDs.
+//   - reader: replays the control stream and resolves the submissions whose
+//     records it reads. A record's outcome is known only from replay, never from
+//     the answer to an append.
+//   - renewer and observer: renew the instance's own session and propose the
+//     expiry of silent sessions. Package member makes these decisions.
 //   - snapshotter: writes the replayed state to the snapshot stream, so that
 //     instances can start after the first records have left retention.
-//   - withdrawer: appends the keys that were withdrawn while the log was away.
+//   - withdrawer: appends key withdrawals that were made while the log was down.
 package journal
--- a/internal/coordination/journal/errors.go
+++ b/internal/coordination/journal/errors.go
@@ -2,29 +2,31 @@
 
 import "errors"
 
-// Causes of an outcome that is not Completed. All but ErrGap, ErrStopped and a
-// context's error come only with NotRun.
+// Causes of an outcome that is not Completed. All except ErrGap, ErrStopped and
+// a context's error occur only with NotRun.
 var (
-	// ErrStarting: the replayed state is not loaded yet.
+	// ErrStarting reports that the replayed state is not loaded yet.
 	ErrStarting = errors.New("journal is starting")
-	// ErrNoSession: the instance has no session to write under.
+	// ErrNoSession reports that the instance has no open session.
 	ErrNoSession = errors.New("instance has no session")
-	// ErrLogDown: the end of the control stream was not read lately.
+	// ErrLogDown reports that the end of the control stream was not read within
+	// DownAfter.
 	ErrLogDown = errors.New("platform log is down")
-	// ErrBusy: too many submissions wait already.
-	ErrBusy = errors.New("submission queue is full")
-	// ErrSessionEnded: the session ended before the record stood in the
-	// stream, so replay refuses it wherever it may still turn up.
-	ErrSessionEnded = errors.New("session ended before the record")
-	// ErrGap: the record may stand among entries that left retention unread.
-	ErrGap = errors.New("record's fate lies in a gap of the stream")
-	// ErrStopped: the writer has stopped.
+	// ErrQueueFull reports that the queue of submissions is full.
+	ErrQueueFull = errors.New("submission queue is full")
+	// ErrSessionEnded reports that the session ended before the record was in
+	// the stream. Replay rejects the record if it appears later.
+	ErrSessionEnded = errors.New("session ended before the record was in the stream")
+	// ErrGap reports that the record may be among entries that left retention
+	// before this instance read them.
+	ErrGap = errors.New("record may be in a gap of the control stream")
+	// ErrStopped reports that the writer has stopped.
 	ErrStopped = errors.New("journal stopped")
 )
 
-// Faults of the stream that the reader finds.
+// Errors that the reader finds in the streams.
 var (
-	errMissing    = errors.New("entries are missing in the control stream")
-	errNoSnapshot = errors.New("no snapshot found")
-	errStale      = errors.New("snapshot is not ahead of the replayed state")
+	errMissingEntries = errors.New("entries are missing in the control stream")
+	errNoSnapshot     = errors.New("no snapshot found")
+	errStaleSnapshot  = errors.New("snapshot is not ahead of the replayed state")
 )
--- a/internal/coordination/journal/gap_test.go
+++ b/internal/coordination/journal/gap_test.go
@@ -17,56 +17,56 @@
 	"merlintiller/internal/state/replica"
 )
 
-func nextOf(t *testing.T, log external.Log, stream string) protocol.Offset {
+func nextOffset(t *testing.T, log external.Log, stream string) protocol.Offset {
 	page, err := log.Read(t.Context(), stream, 1<<40, 1, 0)
 	require.NoError(t, err)
 	return page.Next
 }
 
-// A new instance finds a control stream whose first entries have left
-// retention, no snapshot and no peer. If it began at the oldest kept entry, it
-// would not know the keys and would run finished items again.
+// A new instance starts when the first entries of the control stream have left
+// retention, with no snapshot and no peer. If it started at the oldest retained
+// entry, it would not know the keys and would run finished items again.
 func TestStartWithoutTheBeginningIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
 		a := startNode(t, log, "a")
-		a.ready()
+		a.waitReady()
 		a.kill()
 		log.Trim(protocol.ControlStream, 1)
 		b := startNode(t, log, "b")
-		pass(time.Minute)
+		sleep(time.Minute)
 		require.False(t, b.isLoaded())
 		require.Contains(t, b.Problem(), "the control stream begins at 1 and there is no snapshot")
-		require.Equal(t, protocol.NotRun, b.Submit(t.Context(), claim("r", protocol.NoOffset)).Run)
+		require.Equal(t, protocol.NotRun, b.Submit(t.Context(), leaseClaim("r", protocol.NoOffset)).Run)
 	})
 }
 
 // A new instance starts long after the first entries have left retention. The
-// state it needs is larger than one log entry.
+// snapshot that it needs is larger than one log entry.
 func TestStartFromTheSnapshotStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
-		a := startNode(t, log, "a", func(o *Options) { o.Timings.SnapshotEvery = 50 })
-		a.ready()
-		a.put(change("1", protocol.NoOffset, bigOrganisations()...))
+		a := startNode(t, log, "a", func(o *Options) { o.Timings.SnapshotEntries = 50 })
+		a.waitReady()
+		a.mustSubmit(fleetChange("1", protocol.NoOffset, bigOrganisations()...))
 		for i := range 60 {
-			a.put(claim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset))
+			a.mustSubmit(leaseClaim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset))
 		}
-		await(t, 30*time.Second, "a snapshot in several chunks", func() bool { return nextOf(t, log, protocol.SnapshotStream) >= 3 })
-		data, err := a.newestSnapshot(t.Context())
+		await(t, 30*time.Second, "a snapshot in several chunks", func() bool { return nextOffset(t, log, protocol.SnapshotStream) >= 3 })
+		data, err := a.latestSnapshot(t.Context())
 		require.NoError(t, err)
 		covered, err := replica.Restore(data)
 		require.NoError(t, err)
 		log.Trim(protocol.ControlStream, covered.Applied()+1)
 		b := startNode(t, log, "b")
-		b.ready()
+		b.waitReady()
 		require.Len(t, b.Fleet().Organisations, 2500)
-		require.Equal(t, protocol.AlreadyHeld, b.put(claim("r59", protocol.NoOffset)))
+		require.Equal(t, protocol.AlreadyHeld, b.mustSubmit(leaseClaim("r59", protocol.NoOffset)))
 	})
 }
 
-// bigOrganisations take more than one log entry in a snapshot and less than
-// one in a change.
+// bigOrganisations returns organisations that exceed one log entry in a
+// snapshot but fit into one in a configuration change.
 func bigOrganisations() []protocol.FleetObject {
 	var objects []protocol.FleetObject
 	for i := range 2500 {
@@ -77,13 +77,14 @@
 	return objects
 }
 
-// The newest snapshot is damaged, or its writer died before its manifest. An
-// instance that used it would start with a torn state.
-func TestDamagedSnapshotIsPassedOver(t *testing.T) {
+// The newest snapshot is damaged, or its writer died before it appended the
+// manifest. An instance that used this snapshot would start with incomplete
+// state.
+func TestDamagedSnapshotIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
 		a := startNode(t, log, "a")
-		a.ready()
+		a.waitReady()
 		applied, data, err := a.Snapshot()
 		require.NoError(t, err)
 		require.NoError(t, a.appendSnapshot(t.Context(), applied, data))
@@ -101,65 +102,66 @@
 		}
 		_, err = log.Append(t.Context(), protocol.SnapshotStream, []byte{0xff})
 		require.NoError(t, err)
-		found, err := a.newestSnapshot(t.Context())
+		found, err := a.latestSnapshot(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, data, found)
 	})
 }
 
-// An instance is cut off so long that the entries it needs are gone, with a
-// record of its own among them. It must not tell its submitter that the record
-// did not run, and must go on from a peer's state.
+// An instance is isolated for so long that the entries it needs have left
+// retention, among them a record of its own. It must not report that the record
+// did not run, and must continue from a peer's state.
 func TestRecordInAGapMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, network := memlog.New(memlog.Options{}), newNetwork()
 		a := startPeer(t, log, network, "a", "pnw-sea")
 		b := startPeer(t, log, network, "b", "pnw-sea")
-		a.ready()
-		b.ready()
-		network.setCut("a:7000", true)
+		a.waitReady()
+		b.waitReady()
+		network.setDisconnected("a:7000", true)
 		reads := func(operation, _ string, _ []byte) memlog.Fault {
 			if operation == "read" {
 				return memlog.Down
 			}
 			return memlog.None
 		}
-		a.link.set(reads)
-		// The read that was under way still brings entries.
-		pass(1500 * time.Millisecond)
+		a.logLink.setFault(reads)
+		// The read that was in flight still returns entries.
+		sleep(1500 * time.Millisecond)
 		outcome := make(chan coordination.Outcome, 1)
-		go func() { outcome <- a.Submit(t.Context(), claim("r", protocol.NoOffset)) }()
-		await(t, 5*time.Second, "the claim at b", func() bool { return holdsNamed(b, "r") })
-		pass(time.Minute)
-		log.Trim(protocol.ControlStream, nextOf(t, log, protocol.ControlStream))
-		network.setCut("a:7000", false)
-		a.link.set(nil)
+		go func() { outcome <- a.Submit(t.Context(), leaseClaim("r", protocol.NoOffset)) }()
+		await(t, 5*time.Second, "the claim at b", func() bool { return isHeld(b, "r") })
+		sleep(time.Minute)
+		log.Trim(protocol.ControlStream, nextOffset(t, log, protocol.ControlStream))
+		network.setDisconnected("a:7000", false)
+		a.logLink.setFault(nil)
 		got := <-outcome
 		require.Equal(t, protocol.MayHaveRun, got.Run)
 		require.ErrorIs(t, got.Err, ErrGap)
-		a.ready()
+		a.waitReady()
 		require.Equal(t, a.Applied(), b.Applied())
 	})
 }
 
-func holdsNamed(n *node, resource protocol.Resource) bool {
+func isHeld(n *node, resource protocol.Resource) bool {
 	found := false
 	n.View(func(s *replica.State) { _, _, found = s.Leases.Holder(resource) })
 	return found
 }
 
-// The platform loses the end of its log and gives offsets out again. What an
-// instance has replayed can't be taken back, so it stops following instead of
-// letting configuration go back, and says so.
+// The log loses its most recent entries and assigns their offsets again. An
+// instance can't undo the entries that it has replayed. It must stop following
+// the log, so that its configuration does not return to an older version, and
+// must report the problem.
 func TestShrunkLogIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		old, fresh := memlog.New(memlog.Options{}), memlog.New(memlog.Options{})
 		a := startNode(t, old, "a")
-		a.ready()
-		a.put(change("1", protocol.NoOffset, organisation("o", 1)))
+		a.waitReady()
+		a.mustSubmit(fleetChange("1", protocol.NoOffset, organisation("o", 1)))
 		version := a.Fleet().Version
-		a.link.replace(fresh)
-		pass(10 * time.Minute)
+		a.logLink.replace(fresh)
+		sleep(10 * time.Minute)
 		require.False(t, a.LogUp())
 		require.False(t, a.MayHold())
 		require.Equal(t, version, a.Fleet().Version)
@@ -167,49 +169,51 @@
 	})
 }
 
-// laggingLog takes appends and answers reads from another, empty copy.
+// laggingLog sends appends to one log and reads from another, empty one.
 type laggingLog struct {
 	external.Log
-	copied external.Log
+	lagging external.Log
 }
 
 func (l laggingLog) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
-	return l.copied.Read(ctx, stream, from, limit, wait)
+	return l.lagging.Read(ctx, stream, from, limit, wait)
 }
 
-// The platform answers for a while from a copy that lags behind what was read
-// already. That is no loss, and the instance goes on when the copy has caught up.
+// The platform temporarily serves reads from a replica that lags behind the
+// entries that the instance has read. No entry is lost, and the instance must
+// continue once the replica has caught up.
 func TestLaggingLogIsFollowedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
 		a := startNode(t, log, "a")
-		a.ready()
-		a.link.replace(laggingLog{Log: log, copied: memlog.New(memlog.Options{})})
-		pass(time.Second)
-		await(t, 20*time.Second, "log doubted", func() bool { return !a.LogUp() })
-		a.link.replace(log)
-		a.ready()
-		require.Equal(t, protocol.Accepted, a.put(claim("r", protocol.NoOffset)))
+		a.waitReady()
+		a.logLink.replace(laggingLog{Log: log, lagging: memlog.New(memlog.Options{})})
+		sleep(time.Second)
+		await(t, 20*time.Second, "log reported as down", func() bool { return !a.LogUp() })
+		a.logLink.replace(log)
+		a.waitReady()
+		require.Equal(t, protocol.Accepted, a.mustSubmit(leaseClaim("r", protocol.NoOffset)))
 	})
 }
 
-// An instance that is cut off takes a peer's state while its own read is still
-// on its way. The page that arrives then must not be applied a second time.
-func TestPageThatCrossesASnapshotIsPassedOver(t *testing.T) {
+// An instance that is isolated from the log installs a peer's snapshot while
+// its own read is in flight. The entries of the page that then arrives must not
+// be applied a second time.
+func TestPageReadBeforeASnapshotInstallIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b := startTwo(t)
-		a.link.pause(10 * time.Second)
+		a.logLink.suspend(10 * time.Second)
 		for i := range 5 {
-			require.Equal(t, protocol.Accepted, b.put(claim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset)))
+			require.Equal(t, protocol.Accepted, b.mustSubmit(leaseClaim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset)))
 		}
-		pass(5 * time.Second)
+		sleep(5 * time.Second)
 		_, data, err := b.Snapshot()
 		require.NoError(t, err)
-		a.link.setReadHook(func(page external.Page) (external.Page, func() error, bool) {
+		a.logLink.setReadHook(func(page external.Page) (external.Page, func() error, bool) {
 			return page, func() error { return a.InstallSnapshot(data) }, len(page.Entries) > 0
 		})
-		pass(10 * time.Second)
-		a.ready()
+		sleep(10 * time.Second)
+		a.waitReady()
 		await(t, time.Second, "the same position", func() bool { return a.Applied() == b.Applied() })
 		_, mine, err := a.Snapshot()
 		require.NoError(t, err)
@@ -219,47 +223,48 @@
 	})
 }
 
-// A faulty writer appends bytes that are no frame. All readers must pass over
-// them alike and go on.
-func TestMalformedEntryStopsNobody(t *testing.T) {
+// A faulty writer appends bytes that are not a frame. All readers must skip the
+// entry and continue.
+func TestMalformedEntryIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, a, b := startTwo(t)
 		_, err := log.Append(t.Context(), protocol.ControlStream, []byte("no frame"))
 		require.NoError(t, err)
-		require.Equal(t, protocol.Accepted, a.put(claim("r", protocol.NoOffset)))
-		await(t, time.Second, "the claim at b", func() bool { return holdsNamed(b, "r") })
+		require.Equal(t, protocol.Accepted, a.mustSubmit(leaseClaim("r", protocol.NoOffset)))
+		await(t, time.Second, "the claim at b", func() bool { return isHeld(b, "r") })
 	})
 }
 
-// An instance is paused for ten minutes, and a key is withdrawn meanwhile. Woken
-// with requests waiting, it must not let them in by the keys of before.
+// An instance is paused for ten minutes, and a key is withdrawn in that time.
+// When it resumes with requests waiting, it must not admit them with the keys
+// from before the pause.
 func TestPausedInstanceIsNotCurrentWhenItWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b := startTwo(t)
-		require.Equal(t, protocol.Accepted, b.put(change("1", protocol.NoOffset, organisation("o", 1), keyOf("k", "o", "1"))))
-		pass(time.Second)
+		require.Equal(t, protocol.Accepted, b.mustSubmit(fleetChange("1", protocol.NoOffset, organisation("o", 1), keyObject("k", "o", "1"))))
+		sleep(time.Second)
 		require.True(t, a.ConfigCurrent())
-		a.link.pause(10 * time.Minute)
-		pass(5 * time.Second)
-		require.Equal(t, protocol.Accepted, b.put(protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: "k"}}))
-		pass(10*time.Minute - 6*time.Second)
-		require.True(t, a.KeyActive("k"), "the paused instance can't know yet")
+		a.logLink.suspend(10 * time.Minute)
+		sleep(5 * time.Second)
+		require.Equal(t, protocol.Accepted, b.mustSubmit(protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: "k"}}))
+		sleep(10*time.Minute - 6*time.Second)
+		require.True(t, a.KeyActive("k"), "the paused instance has not read the withdrawal yet")
 		require.False(t, a.ConfigCurrent())
 		await(t, 5*time.Second, "current again", a.ConfigCurrent)
 		require.False(t, a.KeyActive("k"))
 	})
 }
 
-// An instance that is cut off from the log for long goes on serving what it
-// knows.
-func TestCutOffInstanceStaysCurrent(t *testing.T) {
+// An instance that is isolated from the log for a long time must continue to
+// serve with the configuration that it has.
+func TestIsolatedInstanceKeepsConfigCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, fault := range []memlog.Fault{memlog.Down, memlog.Hang} {
 			a := startNode(t, memlog.New(memlog.Options{}), "a")
-			a.ready()
-			a.link.set(func(string, string, []byte) memlog.Fault { return fault })
+			a.waitReady()
+			a.logLink.setFault(func(string, string, []byte) memlog.Fault { return fault })
 			for range 120 {
-				pass(500 * time.Millisecond)
+				sleep(500 * time.Millisecond)
 				require.True(t, a.ConfigCurrent())
 			}
 			a.kill()
@@ -276,7 +281,7 @@
 		log := memlog.New(memlog.Options{})
 		_, err := log.Append(t.Context(), protocol.SnapshotStream, data)
 		require.NoError(t, err)
-		found, err := New(Options{Log: log}).newestSnapshot(t.Context())
+		found, err := New(Options{Log: log}).latestSnapshot(t.Context())
 		if err == nil {
 			require.NotNil(t, entry.Manifest)
 			require.Len(t, found, entry.Manifest.Bytes)
--- a/internal/coordination/journal/harness_test.go
+++ b/internal/coordination/journal/harness_test.go
@@ -18,96 +18,100 @@
 	"merlintiller/internal/standin/memlog"
 )
 
-// node is one instance under test, with a switch between it and the log.
+// node is one instance under test. Faults can be injected between it and the
+// log.
 type node struct {
 	*Journal
-	t      *testing.T
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	link   *link
-	// heartbeats and their log lines are set by startPeer.
+	t       *testing.T
+	ctx     context.Context
+	cancel  context.CancelFunc
+	done    sync.WaitGroup
+	logLink *logLink
+	// heartbeats and events, its log lines, are set by startPeer.
 	heartbeats *member.Heartbeats
 	events     *bytes.Buffer
 }
 
-// link is the way of one instance to the log. It can be cut for this instance
-// alone.
-type link struct {
+// logLink is the connection of one instance to the log. Its faults affect this
+// instance only.
+type logLink struct {
 	external.Log
 	mu    sync.Mutex
 	fault memlog.FaultFunc
-	// hook and readHook meet one append, or one page, and are then removed.
+	// hook applies to one append and readHook to one page. Each is removed
+	// after use.
 	hook     appendHook
 	readHook readHook
 }
 
-// appendHook returns what to do instead of an append, if it wants that one.
-type appendHook func(stream string, payload []byte) (do func() error, hit bool)
+// appendHook returns a function to run in place of an append. It reports false
+// if it does not apply to the append.
+type appendHook func(stream string, payload []byte) (do func() error, applies bool)
 
-// readHook returns the page to deliver, and what happens before.
-type readHook func(page external.Page) (changed external.Page, do func() error, hit bool)
+// readHook returns the page to deliver and a function to run before delivery.
+// It reports false if it does not apply to the page.
+type readHook func(page external.Page) (changed external.Page, do func() error, applies bool)
 
-func (l *link) setHook(hook appendHook) {
+func (l *logLink) setHook(hook appendHook) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hook = hook
 }
 
-func (l *link) setReadHook(hook readHook) {
+func (l *logLink) setReadHook(hook readHook) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readHook = hook
 }
 
-// struckAppend takes the hook if it wants an append.
-func (l *link) struckAppend(stream string, payload []byte) (func() error, bool) {
+// takeAppendHook removes and returns the hook if it applies to an append.
+func (l *logLink) takeAppendHook(stream string, payload []byte) (func() error, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hook == nil {
 		return nil, false
 	}
-	do, hit := l.hook(stream, payload)
-	if hit {
+	do, applies := l.hook(stream, payload)
+	if applies {
 		l.hook = nil
 	}
-	return do, hit
+	return do, applies
 }
 
-// struckRead takes the hook if it wants a page.
-func (l *link) struckRead(page external.Page) (external.Page, func() error, bool) {
+// takeReadHook removes and returns the hook if it applies to a page.
+func (l *logLink) takeReadHook(page external.Page) (external.Page, func() error, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.readHook == nil {
 		return page, nil, false
 	}
-	changed, do, hit := l.readHook(page)
-	if hit {
+	changed, do, applies := l.readHook(page)
+	if applies {
 		l.readHook = nil
 	}
-	return changed, do, hit
+	return changed, do, applies
 }
 
-func (l *link) set(fault memlog.FaultFunc) {
+func (l *logLink) setFault(fault memlog.FaultFunc) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
 }
 
-// replace puts another log in the place of the present one.
-func (l *link) replace(log external.Log) {
+// replace replaces the log behind the link.
+func (l *logLink) replace(log external.Log) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Log = log
 }
 
-func (l *link) log() external.Log {
+func (l *logLink) log() external.Log {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.Log
 }
 
-func (l *link) decide(operation, stream string, payload []byte) memlog.Fault {
+func (l *logLink) faultFor(operation, stream string, payload []byte) memlog.Fault {
 	l.mu.Lock()
 	fault := l.fault
 	l.mu.Unlock()
@@ -117,11 +121,11 @@
 	return fault(operation, stream, payload)
 }
 
-func (l *link) Append(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
-	if do, hit := l.struckAppend(stream, payload); hit {
+func (l *logLink) Append(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
+	if do, applies := l.takeAppendHook(stream, payload); applies {
 		return protocol.NoOffset, do()
 	}
-	switch l.decide("append", stream, payload) {
+	switch l.faultFor("append", stream, payload) {
 	case memlog.Down:
 		return protocol.NoOffset, external.ErrUnavailable
 	case memlog.Throttle:
@@ -136,14 +140,14 @@
 	return l.log().Append(ctx, stream, payload)
 }
 
-func (l *link) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
-	switch l.decide("read", stream, nil) {
+func (l *logLink) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
+	switch l.faultFor("read", stream, nil) {
 	case memlog.None:
 		page, err := l.log().Read(ctx, stream, from, limit, wait)
 		if stream != protocol.ControlStream {
 			return page, err
 		}
-		if changed, do, hit := l.struckRead(page); hit {
+		if changed, do, applies := l.takeReadHook(page); applies {
 			return changed, do()
 		}
 		return page, err
@@ -153,9 +157,9 @@
 	return external.Page{}, external.ErrUnavailable
 }
 
-func down(string, string, []byte) memlog.Fault { return memlog.Down }
+func allDown(string, string, []byte) memlog.Fault { return memlog.Down }
 
-// appendsDown lets reads pass.
+// appendsDown makes appends fail and lets reads succeed.
 func appendsDown(operation, _ string, _ []byte) memlog.Fault {
 	if operation == "append" {
 		return memlog.Down
@@ -163,10 +167,11 @@
 	return memlog.None
 }
 
-// once shows a fault on the first matching append to the control stream.
-func once(fault memlog.Fault, matches func(*protocol.Frame) bool) memlog.FaultFunc {
+// faultOnce injects a fault into the first matching append to the control
+// stream.
+func faultOnce(fault memlog.Fault, matches func(*protocol.Frame) bool) memlog.FaultFunc {
 	var mu sync.Mutex
-	shown := false
+	injected := false
 	return func(operation, stream string, payload []byte) memlog.Fault {
 		if operation != "append" || stream != protocol.ControlStream {
 			return memlog.None
@@ -174,40 +179,42 @@
 		frame, err := protocol.DecodeFrame(payload)
 		mu.Lock()
 		defer mu.Unlock()
-		if err != nil || shown || !matches(&frame) {
+		if err != nil || injected || !matches(&frame) {
 			return memlog.None
 		}
-		shown = true
+		injected = true
 		return fault
 	}
 }
 
-// startTwo starts two instances over one log and waits until both may serve.
+// startTwo starts two instances on one log and waits until both may hold
+// leases.
 func startTwo(t *testing.T) (log *memlog.Log, a, b *node) {
 	t.Helper()
 	log = memlog.New(memlog.Options{})
 	a, b = startNode(t, log, "a"), startNode(t, log, "b")
-	a.ready()
-	b.ready()
+	a.waitReady()
+	b.waitReady()
 	return log, a, b
 }
 
-// startNode runs an instance on a log until the test ends or it is killed.
+// startNode runs an instance on a log until the test ends or the instance is
+// killed.
 func startNode(t *testing.T, log external.Log, name string, adjust ...func(*Options)) *node {
 	t.Helper()
-	l := &link{Log: log}
+	l := &logLink{Log: log}
 	opts := Options{
 		Log:         l,
 		Instance:    protocol.InstanceID(name),
 		Domain:      "pnw-sea",
 		PeerAddress: name + ":7000",
 		Seed:        uint64(len(name)),
-		NewSession:  sessionsOf(name),
+		NewSession:  sessionIDs(name),
 	}
 	for _, f := range adjust {
 		f(&opts)
 	}
-	n := &node{Journal: New(opts), t: t, link: l}
+	n := &node{Journal: New(opts), t: t, logLink: l}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	for _, service := range n.Services() {
 		n.run(service)
@@ -220,8 +227,8 @@
 	n.done.Go(func() { _ = service.Serve(n.ctx) })
 }
 
-// sessionsOf draws distinct, repeatable session ids.
-func sessionsOf(name string) func() protocol.SessionID {
+// sessionIDs returns a generator of distinct, reproducible session IDs.
+func sessionIDs(name string) func() protocol.SessionID {
 	var count uint64
 	var base uint64
 	for _, char := range name {
@@ -233,14 +240,15 @@
 	}
 }
 
-// kill ends an instance without any farewell, as SIGKILL does.
+// kill ends an instance without closing its session, as SIGKILL does.
 func (n *node) kill() {
 	n.cancel()
 	n.done.Wait()
 }
 
-// await lets virtual time pass until a condition holds.
-func await(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
+// await lets virtual time pass until a condition holds, and returns the time
+// that passed.
+func await(t *testing.T, limit time.Duration, description string, condition func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for {
@@ -249,31 +257,31 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > limit {
-			require.Fail(t, fmt.Sprintf("not within %v: %s", limit, what))
+			require.Fail(t, fmt.Sprintf("not within %v: %s", limit, description))
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 }
 
-func (n *node) ready() {
+func (n *node) waitReady() {
 	n.t.Helper()
 	await(n.t, 20*time.Second, "session of "+string(n.opts.Instance), func() bool { return n.Session() != 0 && n.MayHold() && n.LogUp() })
 }
 
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
 
-func (n *node) put(rec protocol.Record) protocol.Verdict {
+func (n *node) mustSubmit(rec protocol.Record) protocol.Verdict {
 	n.t.Helper()
 	outcome := n.Submit(n.t.Context(), rec)
 	require.Equal(n.t, protocol.Completed, outcome.Run, "cause: %v", outcome.Err)
 	return outcome.Verdict
 }
 
-func claim(resource protocol.Resource, replaces protocol.Offset) protocol.Record {
+func leaseClaim(resource protocol.Resource, replaces protocol.Offset) protocol.Record {
 	return protocol.Record{LeaseClaim: &protocol.LeaseClaim{Resource: resource, Replaces: replaces}}
 }
 
-func isClaim(frame *protocol.Frame) bool {
+func hasLeaseClaim(frame *protocol.Frame) bool {
 	for i := range frame.Records {
 		if frame.Records[i].LeaseClaim != nil {
 			return true
--- a/internal/coordination/journal/journal.go
+++ b/internal/coordination/journal/journal.go
@@ -24,7 +24,7 @@
 	logger  log.Logger
 
 	submissions *ring.Ring[*submission]
-	// stopped is closed when the writer has stopped for good.
+	// stopped is closed when the writer has stopped.
 	stopped  chan struct{}
 	stopOnce sync.Once
 
@@ -34,34 +34,37 @@
 	changed chan struct{}
 	digests digests
 
-	// fleet is the replayed configuration with the locally withdrawn keys.
-	fleet atomic.Pointer[protocol.Fleet]
-	// published is the replayed configuration that fleet was made of, and soft
-	// the keys that were withdrawn without the log. fleetMu orders the changes
-	// of all three.
-	fleetMu   sync.Mutex
-	published *protocol.Fleet
-	soft      *member.Tombstones
-
-	// pending guards waiting, renewals and the phases of submissions.
-	pending sync.Mutex
-	waiting map[protocol.RecordID]*submission
-	// renewals holds when the own renewals were first sent, until confirmed.
-	renewals map[protocol.RecordID]time.Time
-
-	// holderMu guards holder; wake tells the renewer that the session ended.
-	holderMu sync.Mutex
-	holder   *member.Holder
-	wake     chan struct{}
+	// effectiveFleet is the replayed configuration with the local key
+	// withdrawals applied.
+	effectiveFleet atomic.Pointer[protocol.Fleet]
+	// replayedFleet is the replayed configuration from which effectiveFleet was
+	// made. localTombstones holds the keys that were withdrawn without the log.
+	// fleetMu serialises the changes of all three.
+	fleetMu         sync.Mutex
+	replayedFleet   *protocol.Fleet
+	localTombstones *member.Tombstones
+
+	// pendingMu guards unresolved, renewalSentAt and the phases of submissions.
+	pendingMu  sync.Mutex
+	unresolved map[protocol.RecordID]*submission
+	// renewalSentAt holds the time at which each of the instance's own session
+	// opens and renewals was first sent, until it is confirmed.
+	renewalSentAt map[protocol.RecordID]time.Time
+
+	// holderMu guards holder. renewerWake notifies the renewer that the session
+	// ended.
+	holderMu    sync.Mutex
+	holder      *member.Holder
+	renewerWake chan struct{}
 
 	pacer *pacer
-	// pacing is held by the one data append that waits for the pacer.
-	pacing   chan struct{}
-	progress progress
-	status   status
+	// pacerTurn is held by the one data append that waits for the pacer.
+	pacerTurn chan struct{}
+	progress  progress
+	status    status
 }
 
-// New returns a journal that does nothing until its services run.
+// New returns a journal. It does nothing until its services run.
 func New(opts Options) *Journal {
 	timings := opts.Timings.withDefaults()
 	if opts.Logger == nil {
@@ -71,37 +74,37 @@
 		opts.NewSession = randomSession
 	}
 	j := &Journal{
-		opts:        opts,
-		timings:     timings,
-		log:         opts.Log,
-		logger:      log.With(opts.Logger, "duty", "journal"),
-		submissions: ring.New[*submission](opts.RingName, timings.Queue),
-		stopped:     make(chan struct{}),
-		state:       replica.New(),
-		changed:     make(chan struct{}),
-		digests:     digests{},
-		soft:        member.NewTombstones(),
-		waiting:     map[protocol.RecordID]*submission{},
-		renewals:    map[protocol.RecordID]time.Time{},
-		holder:      member.NewHolder(timings.Session),
-		wake:        make(chan struct{}, 1),
-		pacer:       newPacer(timings.Pace),
-		pacing:      make(chan struct{}, 1),
+		opts:            opts,
+		timings:         timings,
+		log:             opts.Log,
+		logger:          log.With(opts.Logger, "duty", "journal"),
+		submissions:     ring.New[*submission](opts.RingName, timings.QueueLength),
+		stopped:         make(chan struct{}),
+		state:           replica.New(),
+		changed:         make(chan struct{}),
+		digests:         digests{},
+		localTombstones: member.NewTombstones(),
+		unresolved:      map[protocol.RecordID]*submission{},
+		renewalSentAt:   map[protocol.RecordID]time.Time{},
+		holder:          member.NewHolder(timings.Session),
+		renewerWake:     make(chan struct{}, 1),
+		pacer:           newPacer(timings.Pacer),
+		pacerTurn:       make(chan struct{}, 1),
 	}
 	j.status.loaded = make(chan struct{})
-	j.published = j.state.Fleet.Fleet()
-	j.fleet.Store(j.published)
+	j.replayedFleet = j.state.Fleet.Fleet()
+	j.effectiveFleet.Store(j.replayedFleet)
 	return j
 }
 
-// Services returns the duties of the journal.
+// Services returns the background services of the journal.
 func (j *Journal) Services() []suture.Service {
 	t := j.timings
 	return []suture.Service{
 		&reader{Journal: j, backoff: newBackoff(t.BackoffBase, t.BackoffMax, j.opts.Seed, 1)},
 		j.newWriter(),
 		&renewer{Journal: j},
-		&observer{Journal: j, decide: member.NewObserver(t.Session)},
+		&observer{Journal: j, detector: member.NewObserver(t.Session)},
 		&snapshotter{Journal: j},
 		&withdrawer{Journal: j},
 	}
@@ -114,16 +117,16 @@
 	read(j.state)
 }
 
-// Applied is the offset of the last applied entry.
+// Applied returns the offset of the last applied entry.
 func (j *Journal) Applied() protocol.Offset {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	return j.state.Applied()
 }
 
-// Fleet implements coordination.Journal. Keys that were withdrawn without the
-// log are withdrawn in it too.
-func (j *Journal) Fleet() *protocol.Fleet { return j.fleet.Load() }
+// Fleet implements coordination.Journal. The configuration includes key
+// withdrawals that are not in the log yet.
+func (j *Journal) Fleet() *protocol.Fleet { return j.effectiveFleet.Load() }
 
 // Session implements coordination.Journal.
 func (j *Journal) Session() protocol.SessionID {
@@ -148,22 +151,23 @@
 
 // LogUp implements coordination.Journal.
 func (j *Journal) LogUp() bool {
-	return j.isLoaded() && j.progress.up(time.Now(), j.timings.DownAfter)
+	return j.isLoaded() && j.progress.endReachedWithin(time.Now(), j.timings.DownAfter)
 }
 
-// ConfigCurrent reports whether the configuration is as new as this instance can have
-// it. An instance that was paused for minutes wakes with requests waiting and
-// the keys of before the pause, and would let in callers whose keys were
-// withdrawn meanwhile. So after a pause it is not current until one read of the
-// log has come to an end. A read that fails counts too: an instance that is cut
-// off goes on serving what it knows.
+// ConfigCurrent reports whether the configuration is as recent as this instance
+// can have it. An instance that was paused for minutes resumes with requests
+// waiting and with the keys from before the pause. It would admit callers whose
+// keys were withdrawn during the pause. After a pause the configuration is
+// therefore not current until one read of the log has finished. A failed read
+// counts too, so that an instance that is isolated from the log continues to
+// serve with the configuration that it has.
 func (j *Journal) ConfigCurrent() bool {
 	oneRead := j.timings.PollWait + j.timings.ReadTimeout
-	return j.isLoaded() && j.progress.current(time.Now(), 2*(oneRead+j.timings.BackoffMax))
+	return j.isLoaded() && j.progress.attemptedWithin(time.Now(), 2*(oneRead+j.timings.BackoffMax))
 }
 
-// Loaded returns a channel that is closed once the replayed state is there.
-// Before that the configuration is empty and the instance isn't ready.
+// Loaded returns a channel that is closed once the replayed state is loaded.
+// Before that the configuration is empty and the instance is not ready.
 func (j *Journal) Loaded() <-chan struct{} { return j.status.loaded }
 
 func (j *Journal) isLoaded() bool {
@@ -175,12 +179,13 @@
 	}
 }
 
-// Problem is a sentence for the operator while the journal can't start or
-// can't go on, empty otherwise.
+// Problem returns a sentence for the operator while the journal can't start or
+// can't continue, and an empty string otherwise.
 func (j *Journal) Problem() string { return j.status.get() }
 
-// Close ends the session with a record, so that others take over at once what
-// the instance held. After it the instance opens no session again.
+// Close appends a record that ends the session, so that other instances can
+// take over at once what the session held. The journal opens no session
+// afterwards.
 func (j *Journal) Close(ctx context.Context) error {
 	j.holderMu.Lock()
 	j.holder.Closing()
@@ -194,13 +199,13 @@
 	return outcome.Err
 }
 
-func (j *Journal) stop() {
+func (j *Journal) markStopped() {
 	j.stopOnce.Do(func() { close(j.stopped) })
 }
 
 func (j *Journal) wakeRenewer() {
 	select {
-	case j.wake <- struct{}{}:
+	case j.renewerWake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/coordination/journal/journal_test.go
+++ b/internal/coordination/journal/journal_test.go
@@ -20,10 +20,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{AppendsPerSecond: 300})
 		a, b := startNode(t, log, "a"), startNode(t, log, "b")
-		a.ready()
-		b.ready()
-		require.Equal(t, protocol.Accepted, a.put(claim("orders/t1", protocol.NoOffset)))
-		require.Equal(t, protocol.AlreadyHeld, b.put(claim("orders/t1", protocol.NoOffset)))
+		a.waitReady()
+		b.waitReady()
+		require.Equal(t, protocol.Accepted, a.mustSubmit(leaseClaim("orders/t1", protocol.NoOffset)))
+		require.Equal(t, protocol.AlreadyHeld, b.mustSubmit(leaseClaim("orders/t1", protocol.NoOffset)))
 		b.View(func(s *replica.State) {
 			holder, _, ok := s.Leases.Holder("orders/t1")
 			require.True(t, ok)
@@ -32,28 +32,28 @@
 	})
 }
 
-// The append takes effect and its answer is lost. Retried under another id, it
-// would be refused as held by somebody, the instance's own lease, and nobody
-// would do the work.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+// The append takes effect and its answer is lost. If the writer retried with
+// another record ID, replay would reject the claim because the instance's own
+// first claim holds the lease, and no instance would do the work.
+func TestLostAppendAnswerIsResolvedByReplay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
 		a := startNode(t, log, "a")
-		a.ready()
-		a.link.set(once(memlog.LoseAnswer, isClaim))
-		require.Equal(t, protocol.Accepted, a.put(claim("r", protocol.NoOffset)))
+		a.waitReady()
+		a.logLink.setFault(faultOnce(memlog.LoseAnswer, hasLeaseClaim))
+		require.Equal(t, protocol.Accepted, a.mustSubmit(leaseClaim("r", protocol.NoOffset)))
 	})
 }
 
-// The platform refuses everything for a while. A caller whose record was never
-// sent is told that it did not run, and one whose record may stand in the
-// stream is not told so.
-func TestRunStateOfAGivenUpRecordIsTrue(t *testing.T) {
+// The platform rejects all appends. A caller whose record was never sent must
+// be told that the record did not run. A caller whose record may be in the
+// stream must not be told so.
+func TestRunStateOfACancelledSubmissionIsCorrect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{})
 		a := startNode(t, log, "a")
-		a.ready()
-		a.link.set(func(operation, _ string, _ []byte) memlog.Fault {
+		a.waitReady()
+		a.logLink.setFault(func(operation, _ string, _ []byte) memlog.Fault {
 			if operation == "append" {
 				return memlog.Throttle
 			}
@@ -61,13 +61,13 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		throttled := a.Submit(ctx, claim("r", protocol.NoOffset))
+		throttled := a.Submit(ctx, leaseClaim("r", protocol.NoOffset))
 		require.Equal(t, protocol.NotRun, throttled.Run)
 
-		a.link.set(appendsDown)
+		a.logLink.setFault(appendsDown)
 		ctx, cancel = context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		uncertain := a.Submit(ctx, claim("r", protocol.NoOffset))
+		uncertain := a.Submit(ctx, leaseClaim("r", protocol.NoOffset))
 		require.Equal(t, protocol.MayHaveRun, uncertain.Run)
 	})
 }
--- a/internal/coordination/journal/load.go
+++ b/internal/coordination/journal/load.go
@@ -13,10 +13,10 @@
 	"merlintiller/internal/state/replica"
 )
 
-// load gets a state to replay from, and tries until there is one: from a peer,
-// else from the snapshot stream, else from the first entry of the control
-// stream.
-func (r *reader) load(ctx context.Context) {
+// loadState loads the initial state and retries until it succeeds. It asks a
+// peer first, then reads the snapshot stream, and otherwise starts from the
+// first entry of the control stream.
+func (r *reader) loadState(ctx context.Context) {
 	for ctx.Err() == nil {
 		state, source, err := r.findState(ctx)
 		if err == nil {
@@ -30,39 +30,39 @@
 	}
 }
 
-// adopt makes a loaded state the instance's own.
+// adopt sets the loaded state as the journal's state.
 func (r *reader) adopt(state *replica.State, source string) {
 	r.mu.Lock()
 	r.state = state
 	r.mu.Unlock()
 	r.backoff.reset()
 	r.status.set("")
-	r.progress.finished(time.Now())
-	r.publish()
+	r.progress.recordAttempt(time.Now())
+	r.publishFleet()
 	close(r.status.loaded)
-	r.announce()
+	r.notifyChanged()
 	r.event("state_loaded", "source", source, "applied", state.Applied(), "fleet", state.Fleet.Fleet().Version)
 }
 
 func (r *reader) findState(ctx context.Context) (*replica.State, string, error) {
-	state, err := r.fromPeer(ctx)
+	state, err := r.loadFromPeer(ctx)
 	if err == nil {
 		return state, "peer", nil
 	}
-	state, err = r.fromStream(ctx)
+	state, err = r.loadFromSnapshotStream(ctx)
 	if err == nil {
 		return state, "snapshot stream", nil
 	}
 	if !errors.Is(err, errNoSnapshot) {
 		return nil, "", trace.Wrap(err)
 	}
-	if err := r.wholeStream(ctx); err != nil {
+	if err := r.checkStreamComplete(ctx); err != nil {
 		return nil, "", trace.Wrap(err)
 	}
 	return replica.New(), "control stream", nil
 }
 
-func (r *reader) fromPeer(ctx context.Context) (*replica.State, error) {
+func (r *reader) loadFromPeer(ctx context.Context) (*replica.State, error) {
 	if r.opts.Snapshots == nil {
 		return nil, errNoSnapshot
 	}
@@ -73,18 +73,18 @@
 	return replica.Restore(data)
 }
 
-func (r *reader) fromStream(ctx context.Context) (*replica.State, error) {
-	data, err := r.newestSnapshot(ctx)
+func (r *reader) loadFromSnapshotStream(ctx context.Context) (*replica.State, error) {
+	data, err := r.latestSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return replica.Restore(data)
 }
 
-// wholeStream reports whether the control stream still holds its first entry.
-// An instance that began at a later one would lack what was agreed before: it
-// would let withdrawn keys in and run finished items again.
-func (r *reader) wholeStream(ctx context.Context) error {
+// checkStreamComplete returns an error if the control stream no longer holds
+// its first entry. An instance that started at a later entry would lack earlier
+// records: it would admit withdrawn keys and run finished items again.
+func (r *reader) checkStreamComplete(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timings.ReadTimeout)
 	defer cancel()
 	page, err := r.log.Read(ctx, protocol.ControlStream, 0, 1, 0)
@@ -94,31 +94,33 @@
 	return err
 }
 
-// repair replaces the state after entries left retention unread, or are
-// missing. Until it succeeds nothing is applied: a reader that went on at the
-// oldest kept entry would silently lack what it missed, and would disagree
-// with the others from there on.
-func (r *reader) repair(ctx context.Context, from, oldest protocol.Offset) error {
-	r.progress.behind()
+// repairGap replaces the state after entries left retention before they were
+// read, or are missing. Until it succeeds no entry is applied. A reader that
+// continued at the oldest retained entry would lack the missed entries without
+// any error, and its state would differ from that of the other instances from
+// then on.
+func (r *reader) repairGap(ctx context.Context, from, oldest protocol.Offset) error {
+	r.progress.recordBehind()
 	if r.status.set(fmt.Sprintf("control stream has a gap from %d to %d", from, oldest)) {
 		counters.Add(countGaps, 1)
 		r.event("control_gap", "from", from, "oldest", oldest)
 	}
-	state, err := r.fromPeer(ctx)
+	state, err := r.loadFromPeer(ctx)
 	if err == nil && state.Applied()+1 >= oldest {
 		if err = r.install(state); err == nil {
 			return nil
 		}
 	}
-	state, streamErr := r.fromStream(ctx)
+	state, streamErr := r.loadFromSnapshotStream(ctx)
 	if streamErr != nil {
 		return trace.Wrap(streamErr, "gap at %d not repaired (peer: %v)", from, err)
 	}
 	return r.install(state)
 }
 
-// InstallSnapshot replaces the state by a peer's that is ahead of it. It
-// brings configuration into a failure domain that is cut off from the log.
+// InstallSnapshot replaces the state with a peer's state if the peer is ahead.
+// This brings configuration into a failure domain that is isolated from the
+// log.
 func (j *Journal) InstallSnapshot(data []byte) error {
 	state, err := replica.Restore(data)
 	if err != nil {
@@ -130,38 +132,39 @@
 	return j.install(state)
 }
 
-// install replaces the state by one that is ahead, and settles what may have
-// happened in between.
+// install replaces the state with one that is ahead, and resolves submissions
+// whose records may be among the skipped entries.
 func (j *Journal) install(state *replica.State) error {
 	j.mu.Lock()
 	if state.Applied() <= j.state.Applied() || state.Fleet.Fleet().Version < j.state.Fleet.Fleet().Version {
 		j.mu.Unlock()
-		return errStale
+		return errStaleSnapshot
 	}
 	j.state = state
 	clear(j.digests)
 	j.mu.Unlock()
 	counters.Add(countInstalls, 1)
 	j.event("state_installed", "applied", state.Applied())
-	j.publish()
-	j.settleGap()
-	j.announce()
+	j.publishFleet()
+	j.resolveGap()
+	j.notifyChanged()
 	return nil
 }
 
-// settleGap ends the submissions whose records may stand among the entries
-// that were not read, and notices if the own session ended there.
-func (j *Journal) settleGap() {
+// resolveGap resolves the submissions whose records may be among the entries
+// that were not read. It also checks whether the instance's own session ended
+// in the gap.
+func (j *Journal) resolveGap() {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
-	j.pending.Lock()
-	for id, sub := range j.waiting {
-		if j.stillAhead(id, sub) {
+	j.pendingMu.Lock()
+	for id, sub := range j.unresolved {
+		if j.notCovered(id, sub) {
 			continue
 		}
-		j.settle(sub, mayHaveRun(ErrGap))
+		j.resolve(sub, mayHaveRun(ErrGap))
 	}
-	j.pending.Unlock()
+	j.pendingMu.Unlock()
 	j.holderMu.Lock()
 	defer j.holderMu.Unlock()
 	session := j.holder.Session()
@@ -172,9 +175,9 @@
 	}
 }
 
-// stillAhead reports whether a record is certainly not among the entries that
-// the state covers. The caller holds j.mu and j.pending.
-func (j *Journal) stillAhead(id protocol.RecordID, sub *submission) bool {
+// notCovered reports whether a record is certainly not among the entries that
+// the state covers. The caller holds j.mu and j.pendingMu.
+func (j *Journal) notCovered(id protocol.RecordID, sub *submission) bool {
 	info, open := j.state.Sessions.Get(id.Session)
 	if open {
 		return id.Seq > info.Seq
--- a/internal/coordination/journal/matrix_test.go
+++ b/internal/coordination/journal/matrix_test.go
@@ -14,222 +14,234 @@
 	"merlintiller/internal/state/replica"
 )
 
-// patience is how long a submitter waits: past any fault.
-const patience = 60 * time.Second
+// submitTimeout is how long a submitter waits. It is longer than any fault.
+const submitTimeout = 60 * time.Second
 
-// step is one row of the matrix: something that instance a does, or that
-// happens on its behalf.
+// step is one row of the matrix: an operation of instance a, or one that
+// another service does for it.
 type step struct {
 	name string
-	// matches finds the record of the step.
+	// matches reports whether a record belongs to the step.
 	matches func(*protocol.Record) bool
-	// atRead says that the fault meets the reading back, not the append.
+	// atRead reports that the fault is injected when the record is read back,
+	// not when it is appended.
 	atRead bool
-	// submit makes the record that a submits; nil if a duty does the step.
-	submit func(w *world, a *node) protocol.Record
-	// prompt causes a duty to do the step.
-	prompt func(w *world, a *node)
-	// rival is what another instance gets in first; nil if the step has none.
-	rival func(w *world, b *node) protocol.Record
-	// verify checks the end of the run.
-	verify func(w *world)
+	// submit returns the record that instance a submits. It is nil if a
+	// background service does the step.
+	submit func(cl *cluster, a *node) protocol.Record
+	// trigger causes a background service to do the step.
+	trigger func(cl *cluster, a *node)
+	// competing returns the record that another instance appends first. It is
+	// nil if the step has none.
+	competing func(cl *cluster, b *node) protocol.Record
+	// verify checks the state at the end of the run.
+	verify func(cl *cluster)
 }
 
-const wanted protocol.Resource = "wanted"
+const claimedResource protocol.Resource = "wanted"
 
-func ofSession(session protocol.SessionID, has func(*protocol.Record) bool) func(*protocol.Record) bool {
-	return func(rec *protocol.Record) bool { return rec.ID.Session == session && has(rec) }
+func inSession(session protocol.SessionID, matches func(*protocol.Record) bool) func(*protocol.Record) bool {
+	return func(rec *protocol.Record) bool { return rec.ID.Session == session && matches(rec) }
 }
 
-func claimsWanted(rec *protocol.Record) bool {
-	return rec.LeaseClaim != nil && rec.LeaseClaim.Resource == wanted
+func claimsResource(rec *protocol.Record) bool {
+	return rec.LeaseClaim != nil && rec.LeaseClaim.Resource == claimedResource
 }
 
-func changes(id string) func(*protocol.Record) bool {
+func isChange(id string) func(*protocol.Record) bool {
 	return func(rec *protocol.Record) bool { return rec.FleetChange != nil && rec.FleetChange.ChangeID == id }
 }
 
-func withdraws(rec *protocol.Record) bool { return rec.KeyWithdraw != nil }
-func renews(rec *protocol.Record) bool    { return rec.SessionRenew != nil }
-func opens(rec *protocol.Record) bool     { return rec.SessionOpen != nil }
-func expires(rec *protocol.Record) bool   { return rec.SessionExpire != nil }
+func isWithdrawal(rec *protocol.Record) bool { return rec.KeyWithdraw != nil }
+func isRenewal(rec *protocol.Record) bool    { return rec.SessionRenew != nil }
+func isOpen(rec *protocol.Record) bool       { return rec.SessionOpen != nil }
+func isExpiry(rec *protocol.Record) bool     { return rec.SessionExpire != nil }
 
 var steps = []step{
-	{name: "append", matches: claimsWanted, submit: submitWanted, rival: rivalWanted, verify: (*world).verifyWanted},
-	{name: "read-back", matches: claimsWanted, atRead: true, submit: submitWanted, verify: (*world).verifyWanted},
-	{name: "lease-claim", matches: claimsWanted, submit: submitWanted, rival: rivalWanted, verify: (*world).verifyWanted},
-	{name: "apply", matches: changes("second"), submit: submitChange, rival: rivalChange, verify: (*world).verifyChange},
-	{name: "withdraw", matches: withdraws, submit: submitWithdraw, rival: rivalRevive, verify: (*world).verifyWithdrawn},
-	{name: "renew", matches: renews},
-	{name: "open", matches: opens, prompt: promptOpen, verify: (*world).verifyOneSessionEach},
-	{name: "expire", matches: expires, prompt: promptExpire, verify: (*world).verifyOneSessionEach},
+	{name: "append", matches: claimsResource, submit: claimRecord, competing: competingClaim, verify: (*cluster).verifyClaimable},
+	{name: "read-back", matches: claimsResource, atRead: true, submit: claimRecord, verify: (*cluster).verifyClaimable},
+	{name: "lease-claim", matches: claimsResource, submit: claimRecord, competing: competingClaim, verify: (*cluster).verifyClaimable},
+	{name: "apply", matches: isChange("second"), submit: changeRecord, competing: competingChange, verify: (*cluster).verifyChange},
+	{name: "withdraw", matches: isWithdrawal, submit: withdrawRecord, competing: competingRevive, verify: (*cluster).verifyWithdrawn},
+	{name: "renew", matches: isRenewal},
+	{name: "open", matches: isOpen, trigger: triggerOpen, verify: (*cluster).verifyOneSessionEach},
+	{name: "expire", matches: isExpiry, trigger: triggerExpire, verify: (*cluster).verifyOneSessionEach},
 }
 
-func submitWanted(*world, *node) protocol.Record { return claim(wanted, protocol.NoOffset) }
-func rivalWanted(*world, *node) protocol.Record  { return claim(wanted, protocol.NoOffset) }
+func claimRecord(*cluster, *node) protocol.Record {
+	return leaseClaim(claimedResource, protocol.NoOffset)
+}
+
+func competingClaim(*cluster, *node) protocol.Record {
+	return leaseClaim(claimedResource, protocol.NoOffset)
+}
 
-func submitChange(_ *world, a *node) protocol.Record {
-	return change("second", a.Fleet().Version, organisation("o", 2))
+func changeRecord(_ *cluster, a *node) protocol.Record {
+	return fleetChange("second", a.Fleet().Version, organisation("o", 2))
 }
 
-func rivalChange(_ *world, b *node) protocol.Record {
-	return change("rival", b.Fleet().Version, organisation("o", 3))
+func competingChange(_ *cluster, b *node) protocol.Record {
+	return fleetChange("competing", b.Fleet().Version, organisation("o", 3))
 }
 
-func submitWithdraw(*world, *node) protocol.Record {
-	return protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: given, Operator: "op"}}
+func withdrawRecord(*cluster, *node) protocol.Record {
+	return protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: knownKey, Operator: "op"}}
 }
 
-func rivalRevive(_ *world, b *node) protocol.Record {
-	return change("rival", b.Fleet().Version, keyOf(given, "o", "1"))
+func competingRevive(_ *cluster, b *node) protocol.Record {
+	return fleetChange("competing", b.Fleet().Version, keyObject(knownKey, "o", "1"))
 }
 
-// promptOpen takes a's session away, so that it opens another.
-func promptOpen(w *world, a *node) {
+// triggerOpen expires the session of instance a, so that a opens another one.
+func triggerOpen(cl *cluster, a *node) {
 	session := a.Session()
 	var last protocol.Offset
 	a.View(func(s *replica.State) {
 		info, _ := s.Sessions.Get(session)
 		last = info.LastRenewal
 	})
-	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+	ctx, cancel := context.WithTimeout(cl.ctx, time.Second)
 	defer cancel()
-	w.nodes[1].Submit(ctx, protocol.Record{SessionExpire: &protocol.SessionExpire{Session: session, LastRenewal: last}})
+	cl.nodes[1].Submit(ctx, protocol.Record{SessionExpire: &protocol.SessionExpire{Session: session, LastRenewal: last}})
 }
 
-// promptExpire kills c, so that the others have a session to expire.
-func promptExpire(w *world, _ *node) { w.die(w.nodes[2]) }
+// triggerExpire kills instance c, so that the other instances have a session to
+// expire.
+func triggerExpire(cl *cluster, _ *node) { cl.killNode(cl.nodes[2]) }
 
-// verifyWanted: whatever happened, the resource can be had by a live instance.
-func (w *world) verifyWanted() {
-	n := w.alive()[len(w.alive())-1]
+// verifyClaimable checks that a live instance can claim the resource after any
+// fault.
+func (cl *cluster) verifyClaimable() {
+	n := cl.liveNodes()[len(cl.liveNodes())-1]
 	last := protocol.NoOffset
 	n.View(func(s *replica.State) {
-		lease, _ := s.Leases.Last(wanted)
+		lease, _ := s.Leases.Last(claimedResource)
 		last = lease.Fence
 	})
-	outcome := n.Submit(w.ctx, claim(wanted, last))
+	outcome := n.Submit(cl.ctx, leaseClaim(claimedResource, last))
 	if outcome.Verdict != protocol.Accepted && outcome.Verdict != protocol.AlreadyHeld {
-		w.violate("%s can't be had: %s %v", wanted, outcome.Verdict, outcome.Err)
+		cl.addViolation("%s can't be claimed: %s %v", claimedResource, outcome.Verdict, outcome.Err)
 	}
 }
 
-// verifyChange: of the change and its rival at most one was accepted, and the
-// accepted one is in force at every live instance.
-func (w *world) verifyChange() {
-	second, rival := w.stood(changes("second")), w.stood(changes("rival"))
-	if second+rival > 1 {
-		w.violate("two changes made from the same version were accepted")
+// verifyChange checks that at most one of the change and its competing change
+// was accepted, and that every live instance applies the accepted one.
+func (cl *cluster) verifyChange() {
+	second, competing := cl.countAccepted(isChange("second")), cl.countAccepted(isChange("competing"))
+	if second+competing > 1 {
+		cl.addViolation("two changes based on the same version were accepted")
 	}
-	rate := 1 + float64(second) + 2*float64(rival)
-	for _, n := range w.alive() {
+	rate := 1 + float64(second) + 2*float64(competing)
+	for _, n := range cl.liveNodes() {
 		if got := n.Fleet().Organisations["o"].Rate; got != rate {
-			w.violate("rate %v in force at %s, want %v", got, n.opts.Instance, rate)
+			cl.addViolation("rate %v in force at %s, want %v", got, n.opts.Instance, rate)
 		}
 	}
 }
 
-// verifyWithdrawn: the key is refused everywhere if the withdrawal stands.
-func (w *world) verifyWithdrawn() {
-	stands := w.stood(withdraws) > 0
-	for _, n := range w.alive() {
-		if n.KeyActive(given) == stands {
-			w.violate("key active=%v at %s, withdrawal stands=%v", !stands, n.opts.Instance, stands)
+// verifyWithdrawn checks that every live instance rejects the key if the
+// withdrawal was accepted.
+func (cl *cluster) verifyWithdrawn() {
+	accepted := cl.countAccepted(isWithdrawal) > 0
+	for _, n := range cl.liveNodes() {
+		if n.KeyActive(knownKey) == accepted {
+			cl.addViolation("key active=%v at %s, withdrawal accepted=%v", !accepted, n.opts.Instance, accepted)
 		}
 	}
 }
 
-// verifyOneSessionEach: sessions of dead processes are gone, and each live
-// instance has exactly one.
-func (w *world) verifyOneSessionEach() {
-	alive := w.alive()
-	for _, n := range alive {
-		if got := openSessions(n); got != len(alive) {
-			w.violate("%d sessions are open at %s, want %d", got, n.opts.Instance, len(alive))
+// verifyOneSessionEach checks that sessions of dead processes have ended and
+// that each live instance has exactly one session.
+func (cl *cluster) verifyOneSessionEach() {
+	live := cl.liveNodes()
+	for _, n := range live {
+		if got := openSessions(n); got != len(live) {
+			cl.addViolation("%d sessions are open at %s, want %d", got, n.opts.Instance, len(live))
 		}
 	}
 }
 
-// striker is the instance that meets the fault: a, but for an expiry the one
-// that happens to propose it.
-func (s *step) strikers(w *world) []*node {
+// affected returns the instances into which the fault may be injected: instance
+// a, or for an expiry both instances that may propose it.
+func (s *step) affected(cl *cluster) []*node {
 	if s.name == "expire" {
-		return w.nodes[:2]
+		return cl.nodes[:2]
 	}
-	return w.nodes[:1]
+	return cl.nodes[:1]
 }
 
-// strikeOnce lets a fault meet a step once, and returns how often the step came
-// where the fault waits.
-func (w *world) strikeOnce(s step, f fault) *atomic.Int32 {
-	var struck atomic.Int32
-	do := func(w *world, n *node, forward func() error) error {
-		if struck.Add(1) > 1 {
+// injectOnce injects a fault into a step once. It returns the number of times
+// that the step reached the point of injection.
+func (cl *cluster) injectOnce(s step, f fault) *atomic.Int32 {
+	var injections atomic.Int32
+	inject := func(cl *cluster, n *node, forward func() error) error {
+		if injections.Add(1) > 1 {
 			return forward()
 		}
-		return f.strike(w, n, forward)
+		return f.inject(cl, n, forward)
 	}
-	for _, n := range s.strikers(w) {
+	for _, n := range s.affected(cl) {
 		if s.atRead {
-			w.strikeRead(n, ofSession(n.Session(), s.matches), do)
+			cl.injectOnRead(n, inSession(n.Session(), s.matches), inject)
 			continue
 		}
-		w.strikeAppend(n, s.matches, do)
+		cl.injectOnAppend(n, s.matches, inject)
 	}
-	return &struck
+	return &injections
 }
 
-// runCell runs a step with a fault and returns what was violated.
+// runCell runs a step with a fault and returns the violations.
 func runCell(t *testing.T, s step, f fault, adjust ...func(*Options)) []string {
-	w := newWorld(t, adjust...)
-	defer w.close()
-	w.single = true
-	a, _, _ := w.begin()
+	cl := newCluster(t, adjust...)
+	defer cl.close()
+	cl.singleFault = true
+	a, _, _ := cl.startAll()
 	sessions := map[*node]protocol.SessionID{}
-	for _, n := range w.nodes {
+	for _, n := range cl.nodes {
 		sessions[n] = n.Session()
 	}
-	struck := w.strikeOnce(s, f)
-	if s.prompt != nil {
-		s.prompt(w, a)
+	injections := cl.injectOnce(s, f)
+	if s.trigger != nil {
+		s.trigger(cl, a)
 	}
 	if s.submit != nil {
-		outcome := w.submitPatiently(a, s.submit(w, a))
-		w.judge(outcome, s.matches)
-		if f.settles && !outcome.Accepted() {
-			w.violate("a patient submitter got %s %s %v", outcome.Run, outcome.Verdict, outcome.Err)
+		outcome := cl.submitWithTimeout(a, s.submit(cl, a))
+		cl.checkOutcome(outcome, s.matches)
+		if f.mustBeAccepted && !outcome.Accepted() {
+			cl.addViolation("the submitter received %s %s %v", outcome.Run, outcome.Verdict, outcome.Err)
 		}
 	}
-	<-time.After(2*away + 10*time.Second)
+	<-time.After(2*faultDuration + 10*time.Second)
 	if f.kills {
-		w.start("later", "a")
+		cl.startInstance("later", "a")
 	}
-	w.settleDown()
-	if struck.Load() == 0 {
-		w.violate("the fault never met its step")
+	cl.checkRecovered()
+	if injections.Load() == 0 {
+		cl.addViolation("the fault was never injected")
 	}
-	if f.keeps && s.prompt == nil {
-		for _, n := range w.alive() {
+	if f.keepsSessions && s.trigger == nil {
+		for _, n := range cl.liveNodes() {
 			if n.Session() != sessions[n] {
-				w.violate("%s lost its session", n.opts.Instance)
+				cl.addViolation("%s lost its session", n.opts.Instance)
 			}
 		}
 	}
 	if s.verify != nil {
-		s.verify(w)
+		s.verify(cl)
 	}
-	return w.violations
+	return cl.violations
 }
 
-func (w *world) submitPatiently(n *node, rec protocol.Record) coordination.Outcome {
-	ctx, cancel := context.WithTimeout(w.ctx, patience)
+func (cl *cluster) submitWithTimeout(n *node, rec protocol.Record) coordination.Outcome {
+	ctx, cancel := context.WithTimeout(cl.ctx, submitTimeout)
 	defer cancel()
 	return n.Submit(ctx, rec)
 }
 
-// TestMatrix meets every step of the agreement with every fault. Instance a
-// does the step and is struck; the others must neither hold what it holds nor
-// lose what they have, and all that anybody was told must be true.
+// TestMatrix runs every step of the agreement protocol with every fault.
+// Instance a does the step and has the fault. The other instances must not hold
+// what a holds and must not lose what they hold, and every outcome that a
+// submitter received must be true.
 func TestMatrix(t *testing.T) {
 	for _, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
@@ -239,7 +251,7 @@
 					t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, f.name, "")
 				})
 			}
-			t.Run("operators-racing", func(t *testing.T) { racingCell(t, s) })
+			t.Run("operators-racing", func(t *testing.T) { runRacingCell(t, s) })
 			for _, name := range []string{"crossed", "target-dead"} {
 				t.Run(name, func(t *testing.T) {
 					t.Logf("matrix step=%s fault=%s result=not-applicable reason=%q", s.name, name, "the step calls no target")
@@ -249,9 +261,9 @@
 	}
 }
 
-func racingCell(t *testing.T, s step) {
+func runRacingCell(t *testing.T, s step) {
 	const name = "operators-racing"
-	if s.rival == nil {
+	if s.competing == nil {
 		t.Logf("matrix step=%s fault=%s result=not-applicable reason=%q", s.name, name, "no operator takes part in the step")
 		return
 	}
@@ -259,27 +271,27 @@
 	t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, name, "")
 }
 
-// runRace lets instance b get its rival record in while that of a, made from
-// the same view, is on its way.
+// runRace lets instance b append its competing record while the record of a,
+// which is based on the same state, is in flight.
 func runRace(t *testing.T, s step, adjust ...func(*Options)) []string {
-	w := newWorld(t, adjust...)
-	defer w.close()
-	a, b, _ := w.begin()
-	rival := s.rival(w, b)
+	cl := newCluster(t, adjust...)
+	defer cl.close()
+	a, b, _ := cl.startAll()
+	competing := s.competing(cl, b)
 	var second coordination.Outcome
-	w.strikeAppend(a, s.matches, func(w *world, _ *node, forward func() error) error {
-		second = w.submitPatiently(b, rival)
+	cl.injectOnAppend(a, s.matches, func(cl *cluster, _ *node, forward func() error) error {
+		second = cl.submitWithTimeout(b, competing)
 		return forward()
 	})
-	first := w.submitPatiently(a, s.submit(w, a))
-	w.judge(first, ofSession(a.Session(), s.matches))
+	first := cl.submitWithTimeout(a, s.submit(cl, a))
+	cl.checkOutcome(first, inSession(a.Session(), s.matches))
 	if !second.Accepted() {
-		w.violate("the first of two racing records was not accepted: %s", second.Verdict)
+		cl.addViolation("the first of two competing records was not accepted: %s", second.Verdict)
 	}
 	if first.Run != protocol.Completed {
-		w.violate("the second of two racing records has no verdict: %v", first.Err)
+		cl.addViolation("the second of two competing records has no verdict: %v", first.Err)
 	}
-	w.settleDown()
-	s.verify(w)
-	return w.violations
+	cl.checkRecovered()
+	s.verify(cl)
+	return cl.violations
 }
--- a/internal/coordination/journal/measure_test.go
+++ b/internal/coordination/journal/measure_test.go
@@ -15,7 +15,7 @@
 	"merlintiller/internal/state/replica"
 )
 
-// Modelled delays of the platform's log.
+// Simulated delays of the platform's log.
 const (
 	appendDelay = 5 * time.Millisecond
 	readDelay   = 2 * time.Millisecond
@@ -31,8 +31,9 @@
 	return memlog.None
 }
 
-// fleetOf starts 12 instances in three failure domains on a log with delays.
-func fleetOf(t *testing.T) (*memlog.Log, *network, []*node) {
+// startFleet starts 12 instances in three failure domains on a log with
+// simulated delays.
+func startFleet(t *testing.T) (*memlog.Log, *network, []*node) {
 	log, network := memlog.New(memlog.Options{AppendsPerSecond: 300}), newNetwork()
 	log.SetFault(slowLog)
 	var nodes []*node
@@ -41,30 +42,30 @@
 		nodes = append(nodes, startPeer(t, log, network, name, protocol.Domain(fmt.Sprint("d", i%3))))
 	}
 	for _, n := range nodes {
-		n.ready()
+		n.waitReady()
 	}
-	nodes[0].put(change("first", protocol.NoOffset, organisation("o", 0)))
-	pass(5 * time.Second)
+	nodes[0].mustSubmit(fleetChange("first", protocol.NoOffset, organisation("o", 0)))
+	sleep(5 * time.Second)
 	return log, network, nodes
 }
 
-func everywhere(nodes []*node, condition func(*node) bool) func() bool {
+func onAll(nodes []*node, condition func(*node) bool) func() bool {
 	return func() bool { return !slices.ContainsFunc(nodes, func(n *node) bool { return !condition(n) }) }
 }
 
-// report prints the worst and the median of several trials.
-func report(t *testing.T, name string, took []time.Duration) {
-	slices.Sort(took)
-	worst, median := took[len(took)-1], took[len(took)/2]
-	t.Logf("measure name=%s unit=s now=%.3f median=%.3f trials=%d instances=12", name, worst.Seconds(), median.Seconds(), len(took))
+// reportTimes logs the maximum and the median of several trials.
+func reportTimes(t *testing.T, name string, durations []time.Duration) {
+	slices.Sort(durations)
+	worst, median := durations[len(durations)-1], durations[len(durations)/2]
+	t.Logf("measure name=%s unit=s now=%.3f median=%.3f trials=%d instances=12", name, worst.Seconds(), median.Seconds(), len(durations))
 }
 
-// TestMeasureInForce prints, in virtual time, how long a change and a withdrawn
-// key take until they are in force at 12 instances, from the moment at which
-// the operator's instance gets them.
+// TestMeasureInForce logs how long a configuration change and a key withdrawal
+// take, in virtual time, until they are in force at 12 instances. The time
+// starts when the operator's instance receives them.
 func TestMeasureInForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, _, nodes := fleetOf(t)
+		_, _, nodes := startFleet(t)
 		random := rand.New(rand.NewPCG(1, 1))
 		var changed, withdrawn []time.Duration
 		for i := range trials {
@@ -72,68 +73,68 @@
 			key := protocol.KeyID(fmt.Sprint("k", i))
 			hash := fmt.Sprintf("%064x", i)
 			began := time.Now()
-			rec := change(fmt.Sprint(i), nodes[0].Fleet().Version, organisation("o", rate))
+			rec := fleetChange(fmt.Sprint(i), nodes[0].Fleet().Version, organisation("o", rate))
 			rec.FleetChange.Set = append(rec.FleetChange.Set, protocol.FleetObject{Key: &protocol.Key{ID: key, Organisation: "o", SHA256: hash}})
-			require.Equal(t, protocol.Accepted, nodes[0].put(rec))
-			await(t, 10*time.Second, "change", everywhere(nodes, func(n *node) bool { return n.Fleet().Organisations["o"].Rate == rate }))
+			require.Equal(t, protocol.Accepted, nodes[0].mustSubmit(rec))
+			await(t, 10*time.Second, "change", onAll(nodes, func(n *node) bool { return n.Fleet().Organisations["o"].Rate == rate }))
 			changed = append(changed, time.Since(began))
 
 			began = time.Now()
-			nodes[1].put(protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: key}})
-			await(t, 10*time.Second, "withdrawal", everywhere(nodes, func(n *node) bool { return !n.KeyActive(key) }))
+			nodes[1].mustSubmit(protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: key}})
+			await(t, 10*time.Second, "withdrawal", onAll(nodes, func(n *node) bool { return !n.KeyActive(key) }))
 			withdrawn = append(withdrawn, time.Since(began))
-			pass(time.Duration(random.Int64N(int64(3 * time.Second))))
+			sleep(time.Duration(random.Int64N(int64(3 * time.Second))))
 		}
-		report(t, "config.in_force_s", changed)
-		report(t, "key.withdrawn_s", withdrawn)
+		reportTimes(t, "config.in_force_s", changed)
+		reportTimes(t, "key.withdrawn_s", withdrawn)
 	})
 }
 
-// TestMeasureInForceCut prints the same for a failure domain that is cut off
-// from the platform and reaches its neighbours.
+// TestMeasureInForceCut logs the same time for a failure domain that is
+// isolated from the platform and reaches the other domains.
 func TestMeasureInForceCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, _, nodes := fleetOf(t)
+		_, _, nodes := startFleet(t)
 		random := rand.New(rand.NewPCG(2, 2))
 		for i := 2; i < len(nodes); i += 3 {
-			nodes[i].link.set(down)
+			nodes[i].logLink.setFault(allDown)
 		}
-		pass(10 * time.Second)
+		sleep(10 * time.Second)
 		var changed []time.Duration
 		for i := range trials {
 			rate := float64(i + 1)
 			began := time.Now()
-			require.Equal(t, protocol.Accepted, nodes[0].put(change(fmt.Sprint(i), nodes[0].Fleet().Version, organisation("o", rate))))
-			await(t, 30*time.Second, "change", everywhere(nodes, func(n *node) bool { return n.Fleet().Organisations["o"].Rate == rate }))
+			require.Equal(t, protocol.Accepted, nodes[0].mustSubmit(fleetChange(fmt.Sprint(i), nodes[0].Fleet().Version, organisation("o", rate))))
+			await(t, 30*time.Second, "change", onAll(nodes, func(n *node) bool { return n.Fleet().Organisations["o"].Rate == rate }))
 			changed = append(changed, time.Since(began))
-			pass(time.Duration(random.Int64N(int64(3 * time.Second))))
+			sleep(time.Duration(random.Int64N(int64(3 * time.Second))))
 		}
-		report(t, "config.in_force_cut_s", changed)
+		reportTimes(t, "config.in_force_cut_s", changed)
 	})
 }
 
-// TestMeasureExpiry prints how long the session of a killed instance lasts, and
-// how many expiries are proposed for one death.
+// TestMeasureExpiry logs how long the session of a killed instance stays open,
+// and how many expiries are proposed for one killed instance.
 func TestMeasureExpiry(t *testing.T) {
 	var took []time.Duration
 	proposals := 0
 	for seed := range uint64(trials) {
 		synctest.Test(t, func(t *testing.T) {
-			log, _, nodes := fleetOf(t)
-			pass(time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(2 * time.Second))))
+			log, _, nodes := startFleet(t)
+			sleep(time.Duration(rand.New(rand.NewPCG(seed, 3)).Int64N(int64(2 * time.Second))))
 			victim := nodes[seed%12].Session()
 			nodes[seed%12].kill()
 			rest := slices.Delete(slices.Clone(nodes), int(seed%12), int(seed%12)+1)
-			took = append(took, await(t, 30*time.Second, "expiry", everywhere(rest, func(n *node) bool {
+			took = append(took, await(t, 30*time.Second, "expiry", onAll(rest, func(n *node) bool {
 				open := true
 				n.View(func(s *replica.State) { open = s.Sessions.Open(victim) })
 				return !open
 			})))
-			pass(10 * time.Second)
+			sleep(10 * time.Second)
 			proposals += expiriesIn(t, log)
 		})
 	}
-	report(t, "session.expired_s", took)
+	reportTimes(t, "session.expired_s", took)
 	t.Logf("measure name=session.expiries_per_death unit=records now=%.2f", float64(proposals)/trials)
 }
 
@@ -142,7 +143,7 @@
 	require.NoError(t, err)
 	count := 0
 	for _, entry := range page.Entries {
-		if frameHas(entry.Payload, expires) {
+		if frameContains(entry.Payload, isExpiry) {
 			count++
 		}
 	}
--- a/internal/coordination/journal/metrics.go
+++ b/internal/coordination/journal/metrics.go
@@ -2,7 +2,7 @@
 
 import "expvar"
 
-// counters are published as "journal" in expvar.
+// counters are published under "journal" in expvar.
 var counters = expvar.NewMap("journal")
 
 // Names of the counters.
--- a/internal/coordination/journal/options.go
+++ b/internal/coordination/journal/options.go
@@ -20,72 +20,77 @@
 	FetchSnapshot(ctx context.Context) ([]byte, error)
 }
 
-// Timings are the durations and sizes that the journal works by. Zero fields
-// take the default.
+// Timings holds the durations, rates and sizes of the journal. Zero fields take
+// the default.
 type Timings struct {
-	// Session are the durations of sessions.
+	// Session holds the durations of sessions.
 	Session member.Timings
-	// PollWait is how long a read waits for a new entry. Shorter polls notice
-	// an outage earlier, longer ones cost fewer reads.
+	// PollWait is how long a read waits for a new entry. A shorter wait detects
+	// an outage earlier, a longer one needs fewer reads.
 	PollWait time.Duration
-	// AppendTimeout and ReadTimeout bound one operation of the log. A read may
+	// AppendTimeout and ReadTimeout limit one operation on the log. A read may
 	// take PollWait in addition.
 	AppendTimeout time.Duration
 	ReadTimeout   time.Duration
-	// DownAfter is how long the end of the stream may stay unread until the
-	// log counts as down. It must exceed PollWait, and is 2 s more by default.
+	// DownAfter is the time without a read of the stream's end after which the
+	// log counts as down. It must exceed PollWait. The default is PollWait plus
+	// 2 s.
 	DownAfter time.Duration
-	// FrameSpacing is the least time between two appends of the writer. The
-	// platform takes several hundred appends a second from all instances: 12
-	// instances at 20 ms stay at 600 when all are busy at once.
+	// FrameSpacing is the minimum time between two appends of the writer. The
+	// platform accepts several hundred appends a second from all instances
+	// together. 12 instances at 20 ms make at most 600 when all are busy at
+	// once.
 	FrameSpacing time.Duration
-	// ReadSpacing is the least time between two reads that brought entries, 0
-	// by default. With hundreds of instances it lets entries gather into fewer
-	// reads, at the price of as much delay.
+	// ReadSpacing is the minimum time between two reads that return entries, 0
+	// by default. With hundreds of instances it reduces the number of reads,
+	// because more entries arrive in each, but adds the same time to the delay
+	// of an entry.
 	ReadSpacing time.Duration
-	// BackoffBase and BackoffMax bound the wait before a retry.
+	// BackoffBase and BackoffMax limit the wait before a retry.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// ThrottledWait bounds the wait after a control record was refused for the
-	// rate limit. Control records are few and urgent, and data gives way.
+	// ThrottledWait is the maximum wait after the platform's rate limit
+	// rejected a control record. Control records are few and urgent, so data
+	// appends slow down instead.
 	ThrottledWait time.Duration
-	// Pace spaces the appends of bulk data.
-	Pace Pace
-	// Queue is how many submissions may wait for the writer.
-	Queue int
-	// PageEntries is how many entries one read asks for.
+	// Pacer holds the rates for appends of bulk data.
+	Pacer PacerSettings
+	// QueueLength is the number of submissions that may wait for the writer.
+	QueueLength int
+	// PageEntries is the number of entries that one read requests.
 	PageEntries int
-	// SnapshotEvery is the number of entries, and SnapshotAfter the time,
+	// SnapshotEntries and SnapshotAfter are the number of entries and the time
 	// after which a new snapshot is due. SnapshotAfter must be a small part of
 	// the platform's retention time.
-	SnapshotEvery int64
-	SnapshotAfter time.Duration
-	// Tick is how often the observer and the snapshotter look.
-	Tick time.Duration
+	SnapshotEntries int64
+	SnapshotAfter   time.Duration
+	// CheckInterval is the interval at which the observer, the snapshotter and
+	// the withdrawer run.
+	CheckInterval time.Duration
 }
 
-// downMargin is what a read may take beyond its wait before the log counts as
-// down. One lost answer with its retry fits into it.
+// downMargin is the time that a read may take beyond PollWait before the log
+// counts as down. It is long enough for one lost answer and its retry.
 const downMargin = 2 * time.Second
 
 // DefaultTimings returns the defaults.
 func DefaultTimings() Timings {
 	return Timings{
-		Session:       member.DefaultTimings(),
-		PollWait:      time.Second,
-		AppendTimeout: 2 * time.Second,
-		ReadTimeout:   2 * time.Second,
-		DownAfter:     time.Second + downMargin,
-		FrameSpacing:  20 * time.Millisecond,
-		BackoffBase:   50 * time.Millisecond,
-		BackoffMax:    2 * time.Second,
-		ThrottledWait: 250 * time.Millisecond,
-		Pace:          DefaultPace(),
-		Queue:         4096,
-		PageEntries:   256,
-		SnapshotEvery: 20000,
-		SnapshotAfter: 10 * time.Minute,
-		Tick:          500 * time.Millisecond,
+		Session:         member.DefaultTimings(),
+		PollWait:        time.Second,
+		AppendTimeout:   2 * time.Second,
+		ReadTimeout:     2 * time.Second,
+		DownAfter:       time.Second + downMargin,
+		FrameSpacing:    20 * time.Millisecond,
+		BackoffBase:     50 * time.Millisecond,
+		BackoffMax:      2 * time.Second,
+		ThrottledWait:   250 * time.Millisecond,
+		Pacer:           DefaultPacerSettings(),
+		QueueLength:     4096,
+		PageEntries:     256,
+		SnapshotEntries: 20000,
+		SnapshotAfter:   10 * time.Minute,
+		CheckInterval:   500 * time.Millisecond,
 	}
 }
 
@@ -100,16 +105,16 @@
 	defaults.Set(&t.BackoffBase, d.BackoffBase)
 	defaults.Set(&t.BackoffMax, d.BackoffMax)
 	defaults.Set(&t.ThrottledWait, d.ThrottledWait)
-	defaults.Set(&t.Pace, d.Pace)
-	defaults.Set(&t.Queue, d.Queue)
+	defaults.Set(&t.Pacer, d.Pacer)
+	defaults.Set(&t.QueueLength, d.QueueLength)
 	defaults.Set(&t.PageEntries, d.PageEntries)
-	defaults.Set(&t.SnapshotEvery, d.SnapshotEvery)
+	defaults.Set(&t.SnapshotEntries, d.SnapshotEntries)
 	defaults.Set(&t.SnapshotAfter, d.SnapshotAfter)
-	defaults.Set(&t.Tick, d.Tick)
+	defaults.Set(&t.CheckInterval, d.CheckInterval)
 	return t
 }
 
-// Check reports the first setting that can't work.
+// Check returns an error for the first invalid combination of settings.
 func (t Timings) Check() error {
 	t = t.withDefaults()
 	if err := t.Session.Check(); err != nil {
@@ -126,29 +131,30 @@
 	return nil
 }
 
-// Options make a Journal.
+// Options configures a Journal.
 type Options struct {
 	Log      external.Log
 	Instance protocol.InstanceID
 	Domain   protocol.Domain
-	// PeerAddress and CallerAddress are published in the open record.
+	// PeerAddress and CallerAddress are published in the session's open record.
 	PeerAddress   string
 	CallerAddress string
-	// Snapshots fetches the state from a peer; nil if there are no peers.
+	// Snapshots fetches the state from a peer. It is nil if there are no peers.
 	Snapshots SnapshotSource
-	// Logger gets one line an event; nil logs nothing.
+	// Logger receives one line for each event. If it is nil, nothing is logged.
 	Logger log.Logger
-	// Seed drives the jitter of retries.
+	// Seed is the random seed for the jitter of retries.
 	Seed uint64
-	// NewSession draws a session id; nil draws from the system's randomness.
+	// NewSession generates a session ID. If it is nil, IDs come from the
+	// system's random source.
 	NewSession func() protocol.SessionID
-	// RingName publishes the ring's depth under this name in expvar. Empty
-	// publishes nothing.
+	// RingName is the expvar name under which the number of queued submissions
+	// is published. If it is empty, the number is not published.
 	RingName string
 	Timings  Timings
 }
 
-// randomSession draws an id that no instance used before: 64 random bits.
+// randomSession generates a 64-bit random ID, so that no ID is used twice.
 func randomSession() protocol.SessionID {
 	for {
 		var buffer [8]byte
--- a/internal/coordination/journal/overload_test.go
+++ b/internal/coordination/journal/overload_test.go
@@ -13,9 +13,10 @@
 	"merlintiller/internal/standin/memlog"
 )
 
-// Twelve instances store batch data as fast as the platform lets them, and it
-// throttles. If renewals lost against the data, healthy instances would expire
-// each other, their work would start over, and the load would grow by it.
+// Twelve instances append batch data as fast as the platform permits, and the
+// platform throttles. If renewals were throttled like data, healthy instances
+// would expire each other's sessions. Their work would start again and add to
+// the load.
 func TestRenewalsSurviveAFloodOfData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{AppendsPerSecond: 100})
@@ -25,7 +26,7 @@
 			nodes = append(nodes, startNode(t, log, string(rune('a'+i))))
 		}
 		for _, n := range nodes {
-			n.ready()
+			n.waitReady()
 			sessions = append(sessions, n.Session())
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -42,7 +43,7 @@
 		}
 		lapsed, before := 0, log.Appends()
 		for range 600 {
-			pass(100 * time.Millisecond)
+			sleep(100 * time.Millisecond)
 			for _, n := range nodes {
 				if !n.MayHold() {
 					lapsed++
@@ -51,7 +52,7 @@
 		}
 		cancel()
 		floods.Wait()
-		t.Logf("lapsed=%d of %d looks, appends=%d in 60 s", lapsed, 600*len(nodes), log.Appends()-before)
+		t.Logf("lapsed=%d of %d checks, appends=%d in 60 s", lapsed, 600*len(nodes), log.Appends()-before)
 		require.Zero(t, lapsed)
 		for i, n := range nodes {
 			require.Equal(t, sessions[i], n.Session())
--- a/internal/coordination/journal/pacer.go
+++ b/internal/coordination/journal/pacer.go
@@ -5,97 +5,101 @@
 	"time"
 )
 
-// Pace are the rates of the appends of bulk data, in appends a second. The
-// platform takes several hundred from all instances; what one instance's part
-// is it finds out by asking.
-type Pace struct {
-	// Start is the first rate. 100 lets an upload of 25,000 items through in a
-	// second where nothing else is going on.
-	Start float64
-	// Burst is how many appends may go at once after a rest, so that the few
-	// appends of a small request don't wait for each other.
+// PacerSettings holds the rates of the appends of bulk data, in appends a
+// second. The platform accepts several hundred appends a second from all
+// instances together. Each instance finds its share by raising its rate until
+// the platform rejects an append.
+type PacerSettings struct {
+	// InitialRate is the rate at the start. At 100, an upload of 25,000 items
+	// takes one second if the log has no other load.
+	InitialRate float64
+	// Burst is the number of appends that may be sent at once after an idle
+	// time, so that the few appends of a small request don't wait for each
+	// other.
 	Burst float64
-	// Least and Most bound the rate.
-	Least, Most float64
-	// Step is the rise a second while nothing is refused. In trials 3, 5 and 10
-	// came out alike.
-	Step float64
-	// Deaf is the time after a halving in which further refusals count as part
-	// of the same congestion.
-	Deaf time.Duration
+	// MinRate and MaxRate limit the rate.
+	MinRate, MaxRate float64
+	// IncreasePerSecond is added to the rate for each second without a
+	// rejection. Trials with 3, 5 and 10 gave similar results.
+	IncreasePerSecond float64
+	// Cooldown is the time after a decrease during which further rejections
+	// count as part of the same congestion.
+	Cooldown time.Duration
 }
 
-// DefaultPace returns the defaults.
-func DefaultPace() Pace {
-	return Pace{Start: 100, Burst: 16, Least: 1, Most: 400, Step: 5, Deaf: 500 * time.Millisecond}
+// DefaultPacerSettings returns the defaults.
+func DefaultPacerSettings() PacerSettings {
+	return PacerSettings{InitialRate: 100, Burst: 16, MinRate: 1, MaxRate: 400, IncreasePerSecond: 5, Cooldown: 500 * time.Millisecond}
 }
 
-// pacer spaces the appends of bulk data by additive increase and multiplicative
-// decrease.
+// pacer limits the rate of bulk data appends by additive increase and
+// multiplicative decrease.
 //
-// All instances share the platform's limit on appends. When batch data alone
-// reaches it, renewals are refused as often as data; sessions of healthy
-// instances lapse, their work starts over elsewhere and adds to the load. One
-// would notice sessions expiring under load with no instance dead. So data
-// gives way: any refusal, of a renewal too, halves the rate of this instance's
-// data appends, and control records aren't paced at all.
+// All instances share the platform's limit on appends. If batch data alone
+// reaches the limit, the platform rejects renewals as often as data. Sessions
+// of healthy instances then expire, and their work starts again on other
+// instances and adds to the load. The symptom is sessions that expire under
+// load although no instance is dead. Each rejection, also of a renewal,
+// therefore halves the rate of this instance's data appends. Control records
+// are not paced.
 //
-// It is pure: time comes in as an argument. Those who wait for a place hold
-// none in advance. With places given out ahead, a fall of the rate came into
-// force only when the last of them was used, and the rate swung between a
-// trickle and several times the limit.
+// It reads no clock: callers pass the time. Waiting callers reserve no tokens
+// in advance. When they did, a lower rate took effect only after the last
+// reserved token was used, and the rate oscillated between almost zero and
+// several times the limit.
 type pacer struct {
-	pace Pace
+	settings PacerSettings
 
-	mu     sync.Mutex
-	rate   float64
-	places float64
-	filled time.Time
-	halved time.Time
-	grown  time.Time
+	mu            sync.Mutex
+	rate          float64
+	tokens        float64
+	refilledAt    time.Time
+	halvedAt      time.Time
+	lastOutcomeAt time.Time
 }
 
-func newPacer(pace Pace) *pacer {
-	return &pacer{pace: pace, rate: pace.Start, places: pace.Burst}
+func newPacer(settings PacerSettings) *pacer {
+	return &pacer{settings: settings, rate: settings.InitialRate, tokens: settings.Burst}
 }
 
-// take takes a place if there is one, and else returns how long to wait before
-// asking again.
+// take uses a token if one is available. Otherwise it returns how long to wait
+// before the next attempt.
 func (p *pacer) take(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.filled.IsZero() {
-		p.places += p.rate * now.Sub(p.filled).Seconds()
-		p.places = min(p.places, p.pace.Burst)
+	if !p.refilledAt.IsZero() {
+		p.tokens += p.rate * now.Sub(p.refilledAt).Seconds()
+		p.tokens = min(p.tokens, p.settings.Burst)
 	}
-	p.filled = now
-	if p.places < 1 {
-		missing := (1 - p.places) / p.rate
+	p.refilledAt = now
+	if p.tokens < 1 {
+		missing := (1 - p.tokens) / p.rate
 		return time.Duration(missing*float64(time.Second)) + time.Microsecond
 	}
-	p.places--
+	p.tokens--
 	return 0
 }
 
-// throttled notes that the platform refused an append.
-func (p *pacer) throttled(now time.Time) {
+// onThrottled records that the platform rejected an append because of its rate
+// limit.
+func (p *pacer) onThrottled(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.grown = now
-	if now.Sub(p.halved) < p.pace.Deaf {
+	p.lastOutcomeAt = now
+	if now.Sub(p.halvedAt) < p.settings.Cooldown {
 		return
 	}
-	p.halved = now
-	p.places = 0
-	p.rate = max(p.pace.Least, p.rate/2)
+	p.halvedAt = now
+	p.tokens = 0
+	p.rate = max(p.settings.MinRate, p.rate/2)
 }
 
-// succeeded notes that the platform took a data append.
-func (p *pacer) succeeded(now time.Time) {
+// onSuccess records that the platform accepted a data append.
+func (p *pacer) onSuccess(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// A pause without appends is no evidence that more would pass.
-	elapsed := min(now.Sub(p.grown), time.Second)
-	p.grown = now
-	p.rate = min(p.pace.Most, p.rate+p.pace.Step*elapsed.Seconds())
+	// Time without appends does not show that a higher rate would be accepted.
+	elapsed := min(now.Sub(p.lastOutcomeAt), time.Second)
+	p.lastOutcomeAt = now
+	p.rate = min(p.settings.MaxRate, p.rate+p.settings.IncreasePerSecond*elapsed.Seconds())
 }
--- a/internal/coordination/journal/pairs_test.go
+++ b/internal/coordination/journal/pairs_test.go
@@ -12,21 +12,22 @@
 	"merlintiller/internal/protocol"
 )
 
-// pairSeeds is the number of seeded pairs of faults.
+// pairSeeds is the number of fault pairs. Each is drawn from its own random
+// seed.
 const pairSeeds = 60
 
-// pair is two faults: the first meets a step of instance a, the second meets
-// whatever some instance appends a little later.
-type pair struct {
+// faultPair is two faults. The first is injected into a step of instance a, the
+// second into the next append of the victim after the delay.
+type faultPair struct {
 	step          step
 	first, second fault
 	victim        int
 	delay         time.Duration
 }
 
-func pairOf(seed uint64) pair {
+func randomPair(seed uint64) faultPair {
 	random := rand.New(rand.NewPCG(seed, 0))
-	return pair{
+	return faultPair{
 		step:   steps[random.IntN(len(steps))],
 		first:  faults[random.IntN(len(faults))],
 		second: faults[random.IntN(len(faults))],
@@ -35,15 +36,16 @@
 	}
 }
 
-func (p pair) name() string {
+func (p faultPair) name() string {
 	return fmt.Sprintf("%s/%s+%s-%d", p.step.name, p.first.name, p.second.name, p.victim)
 }
 
-// TestMatrixPairs meets steps with two faults at once. What anybody was told
-// must still be true, and those who live must work again in the end.
+// TestMatrixPairs runs steps with two faults. Every outcome that a submitter
+// received must still be true, and the instances that are alive must work again
+// at the end.
 func TestMatrixPairs(t *testing.T) {
 	for seed := range uint64(pairSeeds) {
-		p := pairOf(seed)
+		p := randomPair(seed)
 		t.Run(p.name(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { require.Empty(t, runPair(t, p)) })
 			t.Logf("matrix step=%s fault=%s+%s result=held reason=%q", p.step.name, p.first.name, p.second.name, "")
@@ -51,29 +53,29 @@
 	}
 }
 
-func runPair(t *testing.T, p pair) []string {
-	w := newWorld(t)
-	defer w.close()
-	a, _, _ := w.begin()
-	w.strikeOnce(p.step, p.first)
-	victim := w.nodes[p.victim]
-	w.later(p.delay, func() {
-		w.strikeAppend(victim, func(*protocol.Record) bool { return true }, p.second.strike)
+func runPair(t *testing.T, p faultPair) []string {
+	cl := newCluster(t)
+	defer cl.close()
+	a, _, _ := cl.startAll()
+	cl.injectOnce(p.step, p.first)
+	victim := cl.nodes[p.victim]
+	cl.after(p.delay, func() {
+		cl.injectOnAppend(victim, func(*protocol.Record) bool { return true }, p.second.inject)
 	})
-	if p.step.prompt != nil {
-		p.step.prompt(w, a)
+	if p.step.trigger != nil {
+		p.step.trigger(cl, a)
 	}
 	if p.step.submit != nil {
-		w.judge(w.submitPatiently(a, p.step.submit(w, a)), p.step.matches)
+		cl.checkOutcome(cl.submitWithTimeout(a, p.step.submit(cl, a)), p.step.matches)
 	}
-	<-time.After(3*away + 15*time.Second)
+	<-time.After(3*faultDuration + 15*time.Second)
 	if p.first.kills || p.second.kills {
-		w.start("later", "a")
+		cl.startInstance("later", "a")
 	}
-	<-time.After(away)
-	w.settleDown()
+	<-time.After(faultDuration)
+	cl.checkRecovered()
 	if p.step.verify != nil {
-		p.step.verify(w)
+		p.step.verify(cl)
 	}
-	return w.violations
+	return cl.violations
 }
--- a/internal/coordination/journal/publish.go
+++ b/internal/coordination/journal/publish.go
@@ -5,68 +5,69 @@
 	"merlintiller/internal/state/fleet"
 )
 
-// publish makes the replayed configuration, with the locally withdrawn keys,
-// the one that Fleet returns. It never goes back to an older version, and gives
-// a new pointer only if something changed, since readers index a configuration
-// once for each pointer.
-func (j *Journal) publish() {
+// publishFleet sets the configuration that Fleet returns: the replayed
+// configuration with the local key withdrawals applied. It never returns to an
+// older version. It sets a new pointer only if something changed, because
+// readers build an index for each new pointer.
+func (j *Journal) publishFleet() {
 	j.fleetMu.Lock()
 	defer j.fleetMu.Unlock()
 	j.mu.RLock()
 	replayed := j.state.Fleet.Fleet()
 	j.mu.RUnlock()
-	if replayed == j.published || replayed.Version < j.fleet.Load().Version {
+	if replayed == j.replayedFleet || replayed.Version < j.effectiveFleet.Load().Version {
 		return
 	}
-	j.published = replayed
-	j.overlay()
+	j.replayedFleet = replayed
+	j.applyLocalTombstones()
 }
 
-// overlay withdraws the local keys in the replayed configuration. The caller
-// holds j.fleetMu.
-func (j *Journal) overlay() {
-	next := j.published
-	for _, tombstone := range j.soft.All() {
-		if j.published.Keys[tombstone.Key].Withdrawn {
-			j.soft.Forget(tombstone.Key)
+// applyLocalTombstones applies the local key withdrawals to the replayed
+// configuration. The caller holds j.fleetMu.
+func (j *Journal) applyLocalTombstones() {
+	next := j.replayedFleet
+	for _, tombstone := range j.localTombstones.All() {
+		if j.replayedFleet.Keys[tombstone.Key].Withdrawn {
+			j.localTombstones.Forget(tombstone.Key)
 			continue
 		}
 		next = fleet.Withdraw(next, tombstone.Key)
 	}
-	j.fleet.Store(next)
+	j.effectiveFleet.Store(next)
 }
 
 // WithdrawLocally withdraws a key at once on this instance, also while the log
-// is away. Heartbeats carry the withdrawal on, and it is appended to the
-// control stream when the log is back.
+// is down. Heartbeats send the withdrawal to other instances, and the
+// withdrawer appends it to the control stream when the log is up again.
 func (j *Journal) WithdrawLocally(key protocol.KeyID, operator string) {
 	j.MergeTombstones([]protocol.KeyWithdraw{{Key: key, Operator: operator}})
 }
 
-// MergeTombstones takes over withdrawals that another instance knows.
+// MergeTombstones adds key withdrawals that another instance sent.
 func (j *Journal) MergeTombstones(tombstones []protocol.KeyWithdraw) {
-	news := false
+	added := false
 	fleet := j.Fleet()
 	for _, tombstone := range tombstones {
 		if tombstone.Key == "" || fleet.Keys[tombstone.Key].Withdrawn {
 			continue
 		}
-		if j.soft.Add(tombstone) {
-			news = true
+		if j.localTombstones.Add(tombstone) {
+			added = true
 			j.event("key_withdrawn_locally", "key", tombstone.Key, "operator", tombstone.Operator)
 		}
 	}
-	if !news {
+	if !added {
 		return
 	}
 	j.fleetMu.Lock()
-	j.overlay()
+	j.applyLocalTombstones()
 	j.fleetMu.Unlock()
-	j.announce()
+	j.notifyChanged()
 }
 
-// Tombstones returns the withdrawals that are not yet in the replayed state.
-func (j *Journal) Tombstones() []protocol.KeyWithdraw { return j.soft.All() }
+// Tombstones returns the key withdrawals that are not yet in the replayed
+// state.
+func (j *Journal) Tombstones() []protocol.KeyWithdraw { return j.localTombstones.All() }
 
 // KeyActive reports whether a key is known and not withdrawn.
 func (j *Journal) KeyActive(id protocol.KeyID) bool {
--- a/internal/coordination/journal/reader.go
+++ b/internal/coordination/journal/reader.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// reader is the duty that replays the control stream.
+// reader is the background service that replays the control stream.
 type reader struct {
 	*Journal
 	backoff *backoff
@@ -23,11 +23,11 @@
 // Serve loads the state and replays the stream until ctx ends.
 func (r *reader) Serve(ctx context.Context) error {
 	if !r.isLoaded() {
-		r.load(ctx)
+		r.loadState(ctx)
 	}
 	for ctx.Err() == nil {
-		if err := r.step(ctx); err != nil {
-			r.failed(ctx, err)
+		if err := r.readOnce(ctx); err != nil {
+			r.handleReadError(ctx, err)
 			continue
 		}
 		r.backoff.reset()
@@ -36,45 +36,45 @@
 	return ctx.Err()
 }
 
-// step does one read and applies what it brings.
-func (r *reader) step(ctx context.Context) error {
-	asked := time.Now()
+// readOnce does one read and applies the entries that it returns.
+func (r *reader) readOnce(ctx context.Context) error {
+	requestedAt := time.Now()
 	from := r.Applied() + 1
-	page, err := r.read(ctx, from)
+	page, err := r.readPage(ctx, from)
 	if err != nil {
-		r.progress.finished(asked)
+		r.progress.recordAttempt(requestedAt)
 	}
 	if errors.Is(err, external.ErrTrimmed) {
-		return r.repair(ctx, from, page.Oldest)
+		return r.repairGap(ctx, from, page.Oldest)
 	}
 	if err != nil {
 		return err
 	}
-	if err := r.sameLog(ctx, page, from); err != nil {
+	if err := r.checkContinuity(ctx, page, from); err != nil {
 		return err
 	}
 	if err := r.applyPage(page, from); err != nil {
-		return r.repair(ctx, from, page.Oldest)
+		return r.repairGap(ctx, from, page.Oldest)
 	}
 	if r.Applied()+1 < page.Next {
-		r.progress.behind()
+		r.progress.recordBehind()
 		return nil
 	}
-	r.progress.atEnd(asked, time.Now(), r.timings.DownAfter)
-	r.progress.finished(asked)
+	r.progress.recordEndReached(requestedAt, time.Now(), r.timings.DownAfter)
+	r.progress.recordAttempt(requestedAt)
 	if len(page.Entries) > 0 && r.timings.ReadSpacing > 0 {
 		pause(ctx, r.timings.ReadSpacing, nil)
 	}
 	return nil
 }
 
-func (r *reader) read(ctx context.Context, from protocol.Offset) (external.Page, error) {
+func (r *reader) readPage(ctx context.Context, from protocol.Offset) (external.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timings.PollWait+r.timings.ReadTimeout)
 	defer cancel()
 	return r.log.Read(ctx, protocol.ControlStream, from, r.timings.PageEntries, r.timings.PollWait)
 }
 
-func (r *reader) failed(ctx context.Context, err error) {
+func (r *reader) handleReadError(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -85,27 +85,27 @@
 }
 
 // applyPage applies the entries of a page. It fails if an entry is missing
-// among them; entries delivered again are passed over.
+// among them, and skips entries that were applied before.
 func (r *reader) applyPage(page external.Page, from protocol.Offset) error {
 	if len(page.Entries) == 0 {
 		return nil
 	}
-	frames, err := r.decode(page.Entries, from)
+	frames, err := r.decodeEntries(page.Entries, from)
 	if err != nil {
 		return err
 	}
-	results := r.replay(from, frames)
-	r.last.note(page.Entries[len(page.Entries)-1])
+	results := r.applyFrames(from, frames)
+	r.last.record(page.Entries[len(page.Entries)-1])
 	counters.Add(countEntries, int64(len(frames)))
-	r.publish()
-	r.conclude(results)
-	r.announce()
+	r.publishFleet()
+	r.handleResults(results)
+	r.notifyChanged()
 	return nil
 }
 
-// decode decodes the entries from an offset on; one that does not decode gives
-// nil.
-func (r *reader) decode(entries []external.Entry, from protocol.Offset) ([]*protocol.Frame, error) {
+// decodeEntries decodes the entries from an offset on. The result holds nil for
+// an entry that does not decode.
+func (r *reader) decodeEntries(entries []external.Entry, from protocol.Offset) ([]*protocol.Frame, error) {
 	frames := make([]*protocol.Frame, 0, len(entries))
 	for _, entry := range entries {
 		next := from + protocol.Offset(len(frames))
@@ -113,7 +113,7 @@
 			continue
 		}
 		if entry.Offset > next {
-			return nil, errMissing
+			return nil, errMissingEntries
 		}
 		frame, err := protocol.DecodeFrame(entry.Payload)
 		if err != nil {
@@ -127,18 +127,18 @@
 	return frames, nil
 }
 
-// result is the verdict on one record that this instance may care about.
-type result struct {
+// recordResult is the verdict of replay on one record.
+type recordResult struct {
 	rec     *protocol.Record
 	at      protocol.Offset
 	verdict protocol.Verdict
 }
 
-// replay applies frames from an offset on; nil stands for an entry that does
-// not decode. A peer's snapshot may have been installed while the page was on
-// its way, so what the state covers already is passed over.
-func (r *reader) replay(from protocol.Offset, frames []*protocol.Frame) []result {
-	var results []result
+// applyFrames applies frames from an offset on. A nil frame represents an entry
+// that does not decode. Entries that the state covers already are skipped: a
+// peer's snapshot may have been installed while the read was in flight.
+func (r *reader) applyFrames(from protocol.Offset, frames []*protocol.Frame) []recordResult {
+	var results []recordResult
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, frame := range frames {
@@ -146,72 +146,73 @@
 		if at <= r.state.Applied() {
 			continue
 		}
-		results = append(results, r.replayOne(at, frame)...)
-		r.digests.note(at, r.state.Digest())
+		results = append(results, r.applyFrame(at, frame)...)
+		r.digests.add(at, r.state.Digest())
 	}
 	return results
 }
 
-func (r *reader) replayOne(at protocol.Offset, frame *protocol.Frame) []result {
+func (r *reader) applyFrame(at protocol.Offset, frame *protocol.Frame) []recordResult {
 	if frame == nil {
 		r.state.Skip(at)
 		return nil
 	}
 	verdicts := r.state.Apply(at, *frame)
-	results := make([]result, len(verdicts))
+	results := make([]recordResult, len(verdicts))
 	for i, verdict := range verdicts {
-		results[i] = result{rec: &frame.Records[i], at: at, verdict: verdict}
+		results[i] = recordResult{rec: &frame.Records[i], at: at, verdict: verdict}
 	}
 	return results
 }
 
-// conclude tells the holder and the waiting submitters about verdicts.
-func (r *reader) conclude(results []result) {
+// handleResults applies the verdicts to the session holder and to the waiting
+// submissions.
+func (r *reader) handleResults(results []recordResult) {
 	for _, res := range results {
-		r.concludeSession(res)
-		r.concludeRecord(res)
+		r.handleSessionRecord(res)
+		r.resolveRecord(res)
 	}
 }
 
-func (r *reader) concludeRecord(res result) {
-	r.pending.Lock()
-	defer r.pending.Unlock()
-	sub, ok := r.waiting[res.rec.ID]
+func (r *reader) resolveRecord(res recordResult) {
+	r.pendingMu.Lock()
+	defer r.pendingMu.Unlock()
+	sub, ok := r.unresolved[res.rec.ID]
 	if !ok {
 		return
 	}
-	r.settle(sub, coordination.Outcome{Verdict: res.verdict, Offset: res.at, Run: protocol.Completed})
+	r.resolve(sub, coordination.Outcome{Verdict: res.verdict, Offset: res.at, Run: protocol.Completed})
 }
 
-// concludeSession notes the confirmation of the own renewals and the end of
-// sessions.
-func (r *reader) concludeSession(res result) {
+// handleSessionRecord handles the confirmation of the instance's own opens and
+// renewals, and the end of any session.
+func (r *reader) handleSessionRecord(res recordResult) {
 	if res.verdict != protocol.Accepted {
 		return
 	}
 	switch {
 	case res.rec.SessionOpen != nil:
-		r.confirm(res.rec.ID, true)
+		r.confirmRenewal(res.rec.ID, true)
 	case res.rec.SessionRenew != nil:
-		r.confirm(res.rec.ID, false)
+		r.confirmRenewal(res.rec.ID, false)
 	case res.rec.SessionExpire != nil:
 		counters.Add(countExpired, 1)
 		r.event("session_expired", "session", res.rec.SessionExpire.Session, "offset", res.at)
-		r.sessionEnded(res.rec.SessionExpire.Session)
+		r.endSession(res.rec.SessionExpire.Session)
 	case res.rec.SessionClose != nil:
-		r.concludeRecord(res)
-		r.sessionEnded(res.rec.ID.Session)
+		r.resolveRecord(res)
+		r.endSession(res.rec.ID.Session)
 	}
 }
 
-func (r *reader) confirm(id protocol.RecordID, open bool) {
+func (r *reader) confirmRenewal(id protocol.RecordID, opened bool) {
 	sentAt, own := r.takeRenewal(id)
 	if !own {
 		return
 	}
 	r.holderMu.Lock()
 	defer r.holderMu.Unlock()
-	if open {
+	if opened {
 		counters.Add(countSessionOpened, 1)
 		r.event("session_opened", "session", id.Session)
 		r.holder.Opened(id.Session, sentAt)
@@ -220,45 +221,45 @@
 	r.holder.Renewed(id.Session, sentAt)
 }
 
-// takeRenewal returns when an own renewal was sent and forgets it with all
-// earlier ones.
+// takeRenewal returns the time at which one of this instance's renewals was
+// sent. It removes that renewal, all earlier ones and those of other sessions.
 func (r *reader) takeRenewal(id protocol.RecordID) (time.Time, bool) {
-	r.pending.Lock()
-	defer r.pending.Unlock()
-	sentAt, own := r.renewals[id]
+	r.pendingMu.Lock()
+	defer r.pendingMu.Unlock()
+	sentAt, own := r.renewalSentAt[id]
 	if !own {
 		return time.Time{}, false
 	}
-	for other := range r.renewals {
+	for other := range r.renewalSentAt {
 		if other.Session != id.Session || other.Seq <= id.Seq {
-			delete(r.renewals, other)
+			delete(r.renewalSentAt, other)
 		}
 	}
 	return sentAt, true
 }
 
-// sessionEnded settles the records that the session can't write any more. They
-// certainly did not run: replay refuses them wherever they turn up.
-func (j *Journal) sessionEnded(session protocol.SessionID) {
+// endSession resolves the records that the session can no longer write. They
+// have certainly not run: replay rejects them if they appear later.
+func (j *Journal) endSession(session protocol.SessionID) {
 	j.holderMu.Lock()
 	own := j.holder.Session() == session
 	j.holder.Ended(session)
 	j.holderMu.Unlock()
-	j.pending.Lock()
-	for id, sub := range j.waiting {
+	j.pendingMu.Lock()
+	for id, sub := range j.unresolved {
 		if id.Session == session {
-			j.settle(sub, notRun(ErrSessionEnded))
+			j.resolve(sub, notRun(ErrSessionEnded))
 		}
 	}
-	j.pending.Unlock()
+	j.pendingMu.Unlock()
 	if own {
 		j.event("own_session_ended", "session", session)
 		j.wakeRenewer()
 	}
 }
 
-// announce tells those who wait for a change.
-func (j *Journal) announce() {
+// notifyChanged wakes the callers that wait on Changed.
+func (j *Journal) notifyChanged() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	close(j.changed)
--- a/internal/coordination/journal/sessions.go
+++ b/internal/coordination/journal/sessions.go
@@ -11,7 +11,8 @@
 	"merlintiller/internal/wait"
 )
 
-// renewer is the duty that keeps the own session.
+// renewer is the background service that opens and renews the instance's own
+// session.
 type renewer struct {
 	*Journal
 }
@@ -27,12 +28,12 @@
 		return ctx.Err()
 	}
 	for ctx.Err() == nil {
-		r.step(ctx)
+		r.runNextAction(ctx)
 	}
 	return ctx.Err()
 }
 
-func (r *renewer) step(ctx context.Context) {
+func (r *renewer) runNextAction(ctx context.Context) {
 	r.holderMu.Lock()
 	action, wait := r.holder.Next(time.Now())
 	session := r.holder.Session()
@@ -45,12 +46,13 @@
 	case member.Leave:
 		<-ctx.Done()
 	default:
-		pause(ctx, wait, r.wake)
+		pause(ctx, wait, r.renewerWake)
 	}
 }
 
-// open submits an open record and waits for its fate as long as it takes: a
-// second session opened beside a first of unknown fate would have to expire.
+// open submits an open record and waits for its outcome without a time limit.
+// If it opened a second session while the outcome of the first was unknown, one
+// of the two would have to expire.
 func (r *renewer) open(ctx context.Context) {
 	id := r.opts.NewSession()
 	outcome := r.submit(ctx, protocol.Record{SessionOpen: &protocol.SessionOpen{
@@ -66,8 +68,8 @@
 	pause(ctx, r.timings.BackoffMax, nil)
 }
 
-// renew submits a renewal and gives it up when the next is due, so that a slow
-// log doesn't keep the holder at an old time of sending.
+// renew submits a renewal and cancels it when the next one is due. A slow log
+// then does not keep the holder at an old sending time.
 func (r *renewer) renew(ctx context.Context, session protocol.SessionID) {
 	r.holderMu.Lock()
 	r.holder.Tried(time.Now())
@@ -80,34 +82,36 @@
 	}
 }
 
-// observer is the duty that proposes the expiry of silent sessions.
+// observer is the background service that proposes the expiry of silent
+// sessions.
 type observer struct {
 	*Journal
-	decide *member.Observer
+	detector *member.Observer
 }
 
 // String names the service.
 func (o *observer) String() string { return "session observer" }
 
-// Serve looks at the open sessions at each tick until ctx ends.
+// Serve checks the open sessions every CheckInterval until ctx ends.
 func (o *observer) Serve(ctx context.Context) error {
-	return wait.Every(ctx, o.timings.Tick, func() { o.look(ctx) })
+	return wait.Every(ctx, o.timings.CheckInterval, func() { o.checkSessions(ctx) })
 }
 
-func (o *observer) look(ctx context.Context) {
+func (o *observer) checkSessions(ctx context.Context) {
 	evidence, atEnd := o.progress.evidence()
 	evidence.Own = o.Session()
 	evidence.Confirmed = atEnd && o.LogUp() && o.MayHold()
 	var open []session.Info
 	o.View(func(s *replica.State) { open = s.Sessions.All() })
-	for _, proposal := range o.decide.Observe(time.Now(), evidence, open) {
-		o.propose(ctx, proposal)
+	for _, proposal := range o.detector.Observe(time.Now(), evidence, open) {
+		o.proposeExpiry(ctx, proposal)
 	}
 }
 
-// propose submits an expiry. Its fate shows in the replayed state; a proposal
-// that gets stuck is given up and made again from a fresh view.
-func (o *observer) propose(ctx context.Context, proposal protocol.SessionExpire) {
+// proposeExpiry submits an expiry. Its outcome is visible in the replayed
+// state. A proposal that takes longer than a renewal interval is cancelled and
+// made again from the current state.
+func (o *observer) proposeExpiry(ctx context.Context, proposal protocol.SessionExpire) {
 	ctx, cancel := context.WithTimeout(ctx, o.timings.Session.Renew)
 	defer cancel()
 	outcome := o.Submit(ctx, protocol.Record{SessionExpire: &proposal})
--- a/internal/coordination/journal/snapshotstream.go
+++ b/internal/coordination/journal/snapshotstream.go
@@ -14,33 +14,37 @@
 )
 
 const (
-	// snapshotChunkBytes leaves room in an entry for the encoding.
+	// snapshotChunkBytes is the size of a chunk. It leaves 1,024 bytes of an
+	// entry for the encoding.
 	snapshotChunkBytes = protocol.MaxEntryBytes - 1024
-	// snapshotScan is how many entries are read at a time when the stream is
-	// searched backwards for the newest manifest.
-	snapshotScan = 8
-	// maxSnapshotBytes bounds what a forged manifest can make a reader load.
+	// snapshotScanEntries is the number of entries in each read of the backward
+	// search for the newest manifest.
+	snapshotScanEntries = 8
+	// maxSnapshotBytes limits the memory that a reader allocates for a forged
+	// manifest.
 	maxSnapshotBytes = 256 << 20
 )
 
-// snapshotEntry is one entry of the snapshot stream: a chunk, or the manifest
-// that is appended after all chunks and makes the snapshot complete.
+// snapshotEntry is one entry of the snapshot stream: either a chunk or the
+// manifest. The manifest is appended after all chunks. A snapshot without a
+// manifest is incomplete.
 type snapshotEntry struct {
 	Chunk    []byte            `cbor:"1,keyasint,omitempty"`
 	Manifest *snapshotManifest `cbor:"2,keyasint,omitempty"`
 }
 
-// snapshotManifest names the chunks of a snapshot in order.
+// snapshotManifest lists the chunks of a snapshot in order.
 type snapshotManifest struct {
-	// Applied is the offset of the control stream that the snapshot covers.
+	// Applied is the offset of the last entry of the control stream that the
+	// snapshot covers.
 	Applied protocol.Offset   `cbor:"1,keyasint"`
 	Chunks  []protocol.Offset `cbor:"2,keyasint"`
-	// Bytes and Sum (xxhash64) are of the whole snapshot.
+	// Bytes is the size and Sum the xxhash64 of the whole snapshot.
 	Bytes int    `cbor:"3,keyasint"`
 	Sum   uint64 `cbor:"4,keyasint"`
 }
 
-// appendSnapshot writes a snapshot to the stream.
+// appendSnapshot writes a snapshot to the snapshot stream.
 func (j *Journal) appendSnapshot(ctx context.Context, applied protocol.Offset, data []byte) error {
 	manifest := snapshotManifest{Applied: applied, Bytes: len(data), Sum: xxhash.Sum64(data)}
 	for rest := data; len(rest) > 0; {
@@ -61,25 +65,25 @@
 	if err != nil {
 		return protocol.NoOffset, trace.Wrap(err)
 	}
-	return j.appendRetrying(ctx, protocol.SnapshotStream, payload)
+	return j.appendWithRetry(ctx, protocol.SnapshotStream, payload)
 }
 
-// newestSnapshot finds the newest complete snapshot. A manifest whose chunks
-// have left retention, or don't match its sum, is passed over. The error is
-// errNoSnapshot if the stream holds none.
-func (j *Journal) newestSnapshot(ctx context.Context) ([]byte, error) {
+// latestSnapshot returns the newest complete snapshot. It skips a manifest
+// whose chunks have left retention or don't match its sum. It returns
+// errNoSnapshot if the stream holds no complete snapshot.
+func (j *Journal) latestSnapshot(ctx context.Context) ([]byte, error) {
 	oldest, next, err := j.snapshotBounds(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for end := next; end > oldest; {
-		begin := max(oldest, end-snapshotScan)
+		begin := max(oldest, end-snapshotScanEntries)
 		entries, err := j.readSnapshotEntries(ctx, begin, int(end-begin))
 		if err != nil {
 			return nil, err
 		}
 		for i := len(entries) - 1; i >= 0; i-- {
-			data, err := j.assemble(ctx, entries[i])
+			data, err := j.assembleSnapshot(ctx, entries[i])
 			if err == nil {
 				return data, nil
 			}
@@ -106,8 +110,8 @@
 	return j.log.Read(ctx, protocol.SnapshotStream, from, limit, 0)
 }
 
-// readSnapshotEntries reads entries; those that left retention or don't decode
-// come back empty.
+// readSnapshotEntries reads entries. The result lacks entries that have left
+// retention, and holds an empty entry in place of one that does not decode.
 func (j *Journal) readSnapshotEntries(ctx context.Context, from protocol.Offset, count int) ([]snapshotEntry, error) {
 	page, err := j.readSnapshotPage(ctx, from, count)
 	if err != nil && !errors.Is(err, external.ErrTrimmed) {
@@ -120,7 +124,8 @@
 	return entries, nil
 }
 
-// decodeSnapshotEntry decodes an entry; one that is malformed is empty.
+// decodeSnapshotEntry decodes an entry. It returns an empty entry for a
+// malformed payload.
 func decodeSnapshotEntry(payload []byte) snapshotEntry {
 	var entry snapshotEntry
 	if err := protocol.Unmarshal(payload, &entry); err != nil {
@@ -129,25 +134,25 @@
 	return entry
 }
 
-// assemble reads the chunks that a manifest names.
-func (j *Journal) assemble(ctx context.Context, entry snapshotEntry) ([]byte, error) {
+// assembleSnapshot reads and joins the chunks that a manifest lists.
+func (j *Journal) assembleSnapshot(ctx context.Context, entry snapshotEntry) ([]byte, error) {
 	manifest := entry.Manifest
 	if manifest == nil || manifest.Bytes < 0 || manifest.Bytes > maxSnapshotBytes {
 		return nil, errNoSnapshot
 	}
-	var whole bytes.Buffer
+	var assembled bytes.Buffer
 	for _, at := range manifest.Chunks {
 		entries, err := j.readSnapshotEntries(ctx, at, 1)
 		if err != nil {
 			return nil, err
 		}
-		if len(entries) == 0 || whole.Len() > manifest.Bytes {
+		if len(entries) == 0 || assembled.Len() > manifest.Bytes {
 			return nil, errNoSnapshot
 		}
-		whole.Write(entries[0].Chunk)
+		assembled.Write(entries[0].Chunk)
 	}
-	if whole.Len() != manifest.Bytes || xxhash.Sum64(whole.Bytes()) != manifest.Sum {
-		return nil, fmt.Errorf("%w: sum differs", errNoSnapshot)
+	if assembled.Len() != manifest.Bytes || xxhash.Sum64(assembled.Bytes()) != manifest.Sum {
+		return nil, fmt.Errorf("%w: checksum differs", errNoSnapshot)
 	}
-	return whole.Bytes(), nil
+	return assembled.Bytes(), nil
 }
--- a/internal/coordination/journal/snapshotter.go
+++ b/internal/coordination/journal/snapshotter.go
@@ -9,36 +9,39 @@
 	"merlintiller/internal/wait"
 )
 
-// snapshotDuty is the name by which rendezvous hashing chooses the instance
-// that writes snapshots.
-const snapshotDuty = "snapshot"
+// snapshotRankKey is the rendezvous hashing key that selects the instance that
+// writes snapshots.
+const snapshotRankKey = "snapshot"
 
-// snapshotter is the duty that writes snapshots when it is this instance's
-// turn. Two instances that both believe so write one each, which costs space.
+// snapshotter is the background service that writes snapshots when this
+// instance is selected. If two instances both consider themselves selected,
+// each writes one, which only costs space.
 type snapshotter struct {
 	*Journal
-	// wroteAt and wroteOffset are of the latest snapshot of this instance.
-	wroteAt     time.Time
-	wroteOffset protocol.Offset
+	// lastWrittenAt and lastOffset are the time and the offset of this
+	// instance's latest snapshot, or of its start.
+	lastWrittenAt time.Time
+	lastOffset    protocol.Offset
 }
 
 // String names the service.
 func (s *snapshotter) String() string { return "snapshotter" }
 
-// Serve looks at each tick whether a snapshot is due, until ctx ends.
+// Serve writes a snapshot whenever one is due, checking every CheckInterval
+// until ctx ends.
 func (s *snapshotter) Serve(ctx context.Context) error {
 	select {
 	case <-s.Loaded():
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	s.wroteAt = time.Now()
-	s.wroteOffset = s.Applied()
-	return wait.Every(ctx, s.timings.Tick, func() { s.look(ctx) })
+	s.lastWrittenAt = time.Now()
+	s.lastOffset = s.Applied()
+	return wait.Every(ctx, s.timings.CheckInterval, func() { s.writeIfDue(ctx) })
 }
 
-func (s *snapshotter) look(ctx context.Context) {
-	if !s.due() || !s.LogUp() || !s.MayHold() || s.rank(snapshotDuty) != 0 {
+func (s *snapshotter) writeIfDue(ctx context.Context) {
+	if !s.due() || !s.LogUp() || !s.MayHold() || s.rank(snapshotRankKey) != 0 {
 		return
 	}
 	if err := s.write(ctx); err != nil {
@@ -47,11 +50,11 @@
 }
 
 func (s *snapshotter) due() bool {
-	entries := int64(s.Applied() - s.wroteOffset)
-	if entries >= s.timings.SnapshotEvery {
+	entries := int64(s.Applied() - s.lastOffset)
+	if entries >= s.timings.SnapshotEntries {
 		return true
 	}
-	return entries > 0 && time.Since(s.wroteAt) >= s.timings.SnapshotAfter
+	return entries > 0 && time.Since(s.lastWrittenAt) >= s.timings.SnapshotAfter
 }
 
 func (s *snapshotter) write(ctx context.Context) error {
@@ -64,14 +67,14 @@
 	if err := s.appendSnapshot(ctx, applied, data); err != nil {
 		return err
 	}
-	s.wroteAt = time.Now()
-	s.wroteOffset = applied
+	s.lastWrittenAt = time.Now()
+	s.lastOffset = applied
 	counters.Add(countSnapshots, 1)
 	s.event("snapshot_written", "applied", applied, "bytes", len(data))
 	return nil
 }
 
-// Snapshot encodes the replayed state, for the snapshot stream and for peers.
+// Snapshot encodes the replayed state for the snapshot stream and for peers.
 func (j *Journal) Snapshot() (protocol.Offset, []byte, error) {
 	var capture *replica.Capture
 	j.View(func(s *replica.State) { capture = s.Capture() })
--- a/internal/coordination/journal/status.go
+++ b/internal/coordination/journal/status.go
@@ -7,81 +7,86 @@
 	"merlintiller/internal/coordination/member"
 )
 
-// status says whether the state is loaded and what keeps the journal from
-// going on.
+// status holds whether the state is loaded and which problem stops the journal.
 type status struct {
 	mu      sync.Mutex
 	loaded  chan struct{}
-	trouble string
+	problem string
 }
 
 func (s *status) get() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.trouble
+	return s.problem
 }
 
-// set notes the trouble and reports whether it is another than before.
-func (s *status) set(trouble string) bool {
+// set stores the problem and reports whether it differs from the previous one.
+func (s *status) set(problem string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed := s.trouble != trouble
-	s.trouble = trouble
+	changed := s.problem != problem
+	s.problem = problem
 	return changed
 }
 
-// progress is what the reader knows of its place in the stream.
+// progress records how far the reader has read the control stream.
 type progress struct {
 	mu sync.Mutex
-	// asked and answered are the times of the latest read that reached the end.
-	asked, answered time.Time
-	// since is when the present run of such reads began.
-	since time.Time
-	// tried is when the latest read began that reached the end or failed.
-	tried time.Time
+	// requestedAt and answeredAt are the times of the latest read that reached
+	// the end of the stream.
+	requestedAt, answeredAt time.Time
+	// caughtUpSince is the start of the current series of reads that reached
+	// the end, or zero while the reader is behind.
+	caughtUpSince time.Time
+	// lastAttemptAt is the start time of the latest read that reached the end
+	// or failed.
+	lastAttemptAt time.Time
 }
 
-// finished notes that a read which began at a time reached the end or failed.
-func (p *progress) finished(asked time.Time) {
+// recordAttempt records that a read which started at requestedAt reached the
+// end or failed.
+func (p *progress) recordAttempt(requestedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tried = asked
+	p.lastAttemptAt = requestedAt
 }
 
-func (p *progress) current(now time.Time, longest time.Duration) bool {
+func (p *progress) attemptedWithin(now time.Time, limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.tried) < longest
+	return now.Sub(p.lastAttemptAt) < limit
 }
 
-// atEnd notes a read that reached the end of the stream. After a pause of the
-// log, or of this process, the run begins anew.
-func (p *progress) atEnd(asked, answered time.Time, longest time.Duration) {
+// recordEndReached records a read that reached the end of the stream. If the
+// previous such read was longer than maxGap ago, because the log or this
+// process was paused, a new series starts.
+func (p *progress) recordEndReached(requestedAt, answeredAt time.Time, maxGap time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.since.IsZero() || answered.Sub(p.answered) > longest {
-		p.since = answered
+	if p.caughtUpSince.IsZero() || answeredAt.Sub(p.answeredAt) > maxGap {
+		p.caughtUpSince = answeredAt
 	}
-	p.asked = asked
-	p.answered = answered
+	p.requestedAt = requestedAt
+	p.answeredAt = answeredAt
 }
 
-// behind notes a read that did not reach the end.
-func (p *progress) behind() {
+// recordBehind records that a read did not reach the end.
+func (p *progress) recordBehind() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.since = time.Time{}
+	p.caughtUpSince = time.Time{}
 }
 
-func (p *progress) up(now time.Time, longest time.Duration) bool {
+func (p *progress) endReachedWithin(now time.Time, limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.answered.IsZero() && now.Sub(p.answered) < longest
+	return !p.answeredAt.IsZero() && now.Sub(p.answeredAt) < limit
 }
 
-// evidence returns what the observer may rely on; false while behind.
+// evidence returns the read times that the observer may rely on. It reports
+// false while the reader is behind.
 func (p *progress) evidence() (member.Evidence, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return member.Evidence{Asked: p.asked, CaughtUpSince: p.since}, !p.since.IsZero()
+	return member.Evidence{Asked: p.requestedAt, CaughtUpSince: p.caughtUpSince}, !p.caughtUpSince.IsZero()
 }
--- a/internal/coordination/journal/submission.go
+++ b/internal/coordination/journal/submission.go
@@ -7,26 +7,26 @@
 	"merlintiller/internal/protocol"
 )
 
-// phase is how far a submission has come.
+// phase is the state of a submission.
 type phase int
 
 const (
-	// queued: no append carried the record yet.
+	// queued: no append has carried the record yet.
 	queued phase = iota
 	// sent: an append that carried the record may have taken effect.
 	sent
-	// done: the outcome was given, or the submitter gave up.
+	// done: the outcome was delivered, or the submitter stopped waiting.
 	done
 )
 
-// submission is a record on its way into the stream. Its fields after rec are
-// guarded by Journal.pending.
+// submission is a record that is being written to the stream. Its fields after
+// rec are guarded by Journal.pendingMu.
 type submission struct {
 	rec     protocol.Record
 	session protocol.SessionID
 	size    int
 	phase   phase
-	frame   *flight
+	frame   *pendingFrame
 	outcome chan coordination.Outcome
 }
 
@@ -42,8 +42,8 @@
 	return coordination.Outcome{Offset: protocol.NoOffset, Run: protocol.MayHaveRun, Err: err}
 }
 
-// Submit implements coordination.Journal. When the log is known to be down it
-// answers at once, so that a caller isn't kept waiting for a refusal.
+// Submit implements coordination.Journal. If the log is known to be down, it
+// returns at once, so that the caller does not wait for a rejection.
 func (j *Journal) Submit(ctx context.Context, rec protocol.Record) coordination.Outcome {
 	if !j.isLoaded() {
 		return notRun(ErrStarting)
@@ -58,29 +58,29 @@
 	return j.submit(ctx, rec, session)
 }
 
-// submit hands a record to the writer and waits for its fate.
+// submit passes a record to the writer and waits for its outcome.
 func (j *Journal) submit(ctx context.Context, rec protocol.Record, session protocol.SessionID) coordination.Outcome {
 	sub := newSubmission(rec, session)
 	if !j.submissions.Offer(sub) {
-		return notRun(ErrBusy)
+		return notRun(ErrQueueFull)
 	}
 	select {
 	case outcome := <-sub.outcome:
 		return outcome
 	case <-ctx.Done():
-		return j.giveUp(sub, context.Cause(ctx))
+		return j.cancelSubmission(sub, context.Cause(ctx))
 	case <-j.stopped:
-		return j.giveUp(sub, ErrStopped)
+		return j.cancelSubmission(sub, ErrStopped)
 	}
 }
 
-// giveUp ends a submission whose submitter waits no longer.
-func (j *Journal) giveUp(sub *submission, cause error) coordination.Outcome {
-	j.pending.Lock()
-	defer j.pending.Unlock()
-	was := sub.phase
-	j.finish(sub)
-	switch was {
+// cancelSubmission ends a submission whose submitter stopped waiting.
+func (j *Journal) cancelSubmission(sub *submission, cause error) coordination.Outcome {
+	j.pendingMu.Lock()
+	defer j.pendingMu.Unlock()
+	previous := sub.phase
+	j.markDone(sub)
+	switch previous {
 	case queued:
 		return notRun(cause)
 	case sent:
@@ -90,27 +90,27 @@
 	}
 }
 
-// settle gives a submission its outcome, unless it has ended already. The
-// caller holds j.pending.
-func (j *Journal) settle(sub *submission, outcome coordination.Outcome) {
+// resolve delivers the outcome of a submission, unless it is done already. The
+// caller holds j.pendingMu.
+func (j *Journal) resolve(sub *submission, outcome coordination.Outcome) {
 	if sub.phase == done {
 		return
 	}
-	j.finish(sub)
+	j.markDone(sub)
 	sub.outcome <- outcome
 }
 
-// finish marks a submission as ended and tells its frame. The caller holds
-// j.pending.
-func (j *Journal) finish(sub *submission) {
+// markDone marks a submission as done and decrements the unfinished count of
+// its frame. The caller holds j.pendingMu.
+func (j *Journal) markDone(sub *submission) {
 	if sub.phase == done {
 		return
 	}
 	sub.phase = done
-	delete(j.waiting, sub.rec.ID)
+	delete(j.unresolved, sub.rec.ID)
 	if sub.frame != nil {
-		sub.frame.left--
-		if sub.frame.left == 0 {
+		sub.frame.unfinished--
+		if sub.frame.unfinished == 0 {
 			close(sub.frame.finished)
 		}
 	}
--- a/internal/coordination/journal/submit_test.go
+++ b/internal/coordination/journal/submit_test.go
@@ -16,14 +16,14 @@
 )
 
 // The operator's tool loses the answer and sends its change again through
-// another instance. It must learn that the change was accepted, not that it
-// lost to itself.
+// another instance. It must learn that the change was accepted already, and
+// must not receive a conflict with its own change.
 func TestResentChangeIsRecognised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b := startTwo(t)
-		rec := change("1", protocol.NoOffset, organisation("o", 1))
-		require.Equal(t, protocol.Accepted, a.put(rec))
-		require.Equal(t, protocol.Duplicate, b.put(rec))
+		rec := fleetChange("1", protocol.NoOffset, organisation("o", 1))
+		require.Equal(t, protocol.Accepted, a.mustSubmit(rec))
+		require.Equal(t, protocol.Duplicate, b.mustSubmit(rec))
 		b.View(func(s *replica.State) {
 			version, ok := s.Fleet.VersionOf("1")
 			require.True(t, ok)
@@ -33,17 +33,17 @@
 }
 
 // The platform throttles appends while many submitters wait. All of them must
-// be served in time by few appends, or batch work would stand still.
+// be served within a few appends, or batch work would stop.
 func TestManySubmittersShareFewAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := memlog.New(memlog.Options{AppendsPerSecond: 10})
 		a := startNode(t, log, "a")
-		a.ready()
+		a.waitReady()
 		before := log.Appends()
 		outcomes := make(chan coordination.Outcome, 2000)
 		for i := range cap(outcomes) {
 			go func() {
-				outcomes <- a.Submit(t.Context(), claim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset))
+				outcomes <- a.Submit(t.Context(), leaseClaim(protocol.Resource(fmt.Sprint("r", i)), protocol.NoOffset))
 			}()
 		}
 		for range cap(outcomes) {
@@ -53,30 +53,30 @@
 	})
 }
 
-// A record that fits into no log entry is refused as not run, and the records
-// that wait behind it are not held up.
+// A record that does not fit into a log entry is rejected as not run, and the
+// records queued behind it are not delayed.
 func TestOversizedRecordIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startNode(t, memlog.New(memlog.Options{}), "a")
-		a.ready()
-		huge := claim(protocol.Resource(bytes.Repeat([]byte("r"), protocol.MaxEntryBytes)), protocol.NoOffset)
+		a.waitReady()
+		huge := leaseClaim(protocol.Resource(bytes.Repeat([]byte("r"), protocol.MaxEntryBytes)), protocol.NoOffset)
 		outcome := a.Submit(t.Context(), huge)
 		require.Equal(t, protocol.NotRun, outcome.Run)
 		require.ErrorIs(t, outcome.Err, protocol.ErrFrameTooLarge)
-		require.Equal(t, protocol.Accepted, a.put(claim("r", protocol.NoOffset)))
+		require.Equal(t, protocol.Accepted, a.mustSubmit(leaseClaim("r", protocol.NoOffset)))
 	})
 }
 
-// A graceful shutdown closes the session, so that others take over at once
-// instead of after its expiry.
+// A graceful shutdown closes the session, so that other instances take over at
+// once and not only after its expiry.
 func TestCloseFreesWhatTheInstanceHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, a, b := startTwo(t)
-		a.put(claim("r", protocol.NoOffset))
+		a.mustSubmit(leaseClaim("r", protocol.NoOffset))
 		require.NoError(t, a.Close(t.Context()))
-		await(t, time.Second, "free at b", func() bool { return !holdsNamed(b, "r") })
+		await(t, time.Second, "free at b", func() bool { return !isHeld(b, "r") })
 		require.Zero(t, a.Session())
-		pass(time.Minute)
+		sleep(time.Minute)
 		require.Zero(t, a.Session(), "a session was opened again")
 	})
 }
--- a/internal/coordination/journal/withdrawer.go
+++ b/internal/coordination/journal/withdrawer.go
@@ -9,8 +9,8 @@
 	"merlintiller/internal/state/replica"
 )
 
-// withdrawer is the duty that appends the keys withdrawn while the log was
-// away.
+// withdrawer is the background service that appends the key withdrawals that
+// were made while the log was down.
 type withdrawer struct {
 	*Journal
 }
@@ -18,9 +18,9 @@
 // String names the service.
 func (w *withdrawer) String() string { return "key withdrawer" }
 
-// Serve appends what is missing at each tick until ctx ends.
+// Serve appends outstanding withdrawals every CheckInterval until ctx ends.
 func (w *withdrawer) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(w.timings.Tick)
+	ticker := time.NewTicker(w.timings.CheckInterval)
 	defer ticker.Stop()
 	var upSince time.Time
 	for {
@@ -36,14 +36,16 @@
 		if upSince.IsZero() {
 			upSince = time.Now()
 		}
-		w.append(ctx, time.Since(upSince))
+		w.appendWithdrawals(ctx, time.Since(upSince))
 	}
 }
 
-// append submits the local withdrawals whose turn has come. Every instance of
-// a domain that was cut off holds the same ones; they take turns by rendezvous
-// so that not all append them. A second withdrawal does no harm.
-func (w *withdrawer) append(ctx context.Context, up time.Duration) {
+// appendWithdrawals submits the local key withdrawals that are due on this
+// instance. Every instance of an isolated failure domain holds the same
+// withdrawals. Rendezvous hashing gives each instance a different delay, so
+// that not all of them append. A second withdrawal of the same key does no
+// harm.
+func (w *withdrawer) appendWithdrawals(ctx context.Context, up time.Duration) {
 	for _, tombstone := range w.Tombstones() {
 		turn := time.Duration(w.rank("withdraw/"+string(tombstone.Key))) * w.timings.Session.Stagger
 		if up < turn {
@@ -56,8 +58,9 @@
 	}
 }
 
-// rank is the instance's place among the open sessions for a duty.
-func (j *Journal) rank(duty string) int {
+// rank returns the position of this instance among the open sessions in the
+// rendezvous order for a key.
+func (j *Journal) rank(key string) int {
 	own := j.Session()
 	var candidates []protocol.SessionID
 	j.View(func(s *replica.State) {
@@ -65,5 +68,5 @@
 			candidates = append(candidates, info.Session)
 		}
 	})
-	return member.Rank(duty, own, candidates)
+	return member.Rank(key, own, candidates)
 }
--- a/internal/coordination/journal/writer.go
+++ b/internal/coordination/journal/writer.go
@@ -9,45 +9,46 @@
 	"merlintiller/internal/protocol"
 )
 
-// Limits of one frame. recordSlack covers the record id, which is not set when
-// the size is taken.
+// Limits of one frame. recordIDMargin covers the record ID, which is not set
+// yet when the size is measured.
 const (
 	maxFrameRecords = 512
 	maxFrameBytes   = protocol.MaxEntryBytes - 1024
-	recordSlack     = 32
+	recordIDMargin  = 32
 )
 
-// flight is the one frame that the writer has in flight.
-type flight struct {
-	subs []*submission
-	// left counts the submissions that have not ended; finished is closed when
-	// none is left. Both are guarded by Journal.pending.
-	left     int
-	finished chan struct{}
-	// uncertain says that an append failed in a way that may have left the
-	// frame in the stream.
-	uncertain bool
+// pendingFrame is the one frame that the writer has in flight.
+type pendingFrame struct {
+	submissions []*submission
+	// unfinished is the number of submissions that are not done. finished is
+	// closed when it reaches zero. Both are guarded by Journal.pendingMu.
+	unfinished int
+	finished   chan struct{}
+	// mayBeInStream reports that an append failed after which the frame may be
+	// in the stream.
+	mayBeInStream bool
 }
 
-// writer is the duty that appends frames.
+// writer is the background service that appends frames.
 type writer struct {
 	*Journal
 	session protocol.SessionID
 	seq     uint64
-	// carried is a submission that did not fit into the previous frame.
-	carried *submission
-	sentAt  time.Time
-	backoff *backoff
-	// throttled gives the shorter waits after a refusal for the rate limit.
-	throttled *backoff
+	// overflow is a submission that did not fit into the previous frame.
+	overflow *submission
+	sentAt   time.Time
+	backoff  *backoff
+	// throttleBackoff gives the shorter waits after a rejection by the
+	// platform's rate limit.
+	throttleBackoff *backoff
 }
 
 func (j *Journal) newWriter() *writer {
 	t := j.timings
 	return &writer{
-		Journal:   j,
-		backoff:   newBackoff(t.BackoffBase, t.BackoffMax, j.opts.Seed, 2),
-		throttled: newBackoff(t.BackoffBase, t.ThrottledWait, j.opts.Seed, 4),
+		Journal:         j,
+		backoff:         newBackoff(t.BackoffBase, t.BackoffMax, j.opts.Seed, 2),
+		throttleBackoff: newBackoff(t.BackoffBase, t.ThrottledWait, j.opts.Seed, 4),
 	}
 }
 
@@ -56,9 +57,9 @@
 
 // Serve appends waiting submissions until ctx ends.
 func (w *writer) Serve(ctx context.Context) error {
-	defer w.stop()
+	defer w.markStopped()
 	for {
-		frame, err := w.gather(ctx)
+		frame, err := w.collectFrame(ctx)
 		if err != nil {
 			return ctx.Err()
 		}
@@ -71,47 +72,47 @@
 	}
 }
 
-// gather waits for a submission and takes those that wait behind it, as far as
-// they fit. It returns nil if none of them is to be sent.
-func (w *writer) gather(ctx context.Context) (*flight, error) {
-	sub, err := w.first(ctx)
+// collectFrame waits for a submission and adds the queued submissions behind
+// it, as long as they fit. It returns nil if there is nothing to send.
+func (w *writer) collectFrame(ctx context.Context) (*pendingFrame, error) {
+	sub, err := w.nextSubmission(ctx)
 	if err != nil {
 		return nil, err
 	}
-	w.space(ctx)
-	frame := &flight{finished: make(chan struct{})}
+	w.waitForSpacing(ctx)
+	frame := &pendingFrame{finished: make(chan struct{})}
 	size := 0
 	for sub != nil {
-		if !w.admit(sub) {
-			sub = w.another()
+		if !w.checkSize(sub) {
+			sub = w.tryNextSubmission()
 			continue
 		}
-		if size+sub.size > maxFrameBytes || len(frame.subs) == maxFrameRecords {
-			w.carried = sub
+		if size+sub.size > maxFrameBytes || len(frame.submissions) == maxFrameRecords {
+			w.overflow = sub
 			break
 		}
-		if !w.number(frame, sub) {
-			sub = w.another()
+		if !w.addToFrame(frame, sub) {
+			sub = w.tryNextSubmission()
 			continue
 		}
 		size += sub.size
-		sub = w.another()
+		sub = w.tryNextSubmission()
 	}
-	if len(frame.subs) == 0 {
+	if len(frame.submissions) == 0 {
 		return nil, nil
 	}
 	return frame, nil
 }
 
-func (w *writer) first(ctx context.Context) (*submission, error) {
-	if sub := w.carried; sub != nil {
-		w.carried = nil
+func (w *writer) nextSubmission(ctx context.Context) (*submission, error) {
+	if sub := w.overflow; sub != nil {
+		w.overflow = nil
 		return sub, nil
 	}
 	return w.submissions.Take(ctx)
 }
 
-func (w *writer) another() *submission {
+func (w *writer) tryNextSubmission() *submission {
 	sub, ok := w.submissions.TryTake()
 	if !ok {
 		return nil
@@ -119,142 +120,144 @@
 	return sub
 }
 
-// space keeps the least time between two frames, during which more submissions
-// gather.
-func (w *writer) space(ctx context.Context) {
+// waitForSpacing waits until FrameSpacing has passed since the previous frame.
+// More submissions queue up in that time.
+func (w *writer) waitForSpacing(ctx context.Context) {
 	wait := w.timings.FrameSpacing - time.Since(w.sentAt)
 	if wait > 0 {
 		pause(ctx, wait, nil)
 	}
 }
 
-// admit takes a submission's size and refuses one that fits into no entry.
-func (w *writer) admit(sub *submission) bool {
+// checkSize measures a submission and rejects one that does not fit into any
+// entry.
+func (w *writer) checkSize(sub *submission) bool {
 	if sub.size > 0 {
 		return true
 	}
 	data, err := protocol.Marshal(sub.rec)
-	if err == nil && len(data)+recordSlack > maxFrameBytes {
+	if err == nil && len(data)+recordIDMargin > maxFrameBytes {
 		err = protocol.ErrFrameTooLarge
 	}
 	if err != nil {
-		w.refuse(sub, err)
+		w.reject(sub, err)
 		return false
 	}
-	sub.size = len(data) + recordSlack
+	sub.size = len(data) + recordIDMargin
 	return true
 }
 
-func (w *writer) refuse(sub *submission, err error) {
-	w.pending.Lock()
-	defer w.pending.Unlock()
-	w.settle(sub, notRun(err))
+func (w *writer) reject(sub *submission, err error) {
+	w.pendingMu.Lock()
+	defer w.pendingMu.Unlock()
+	w.resolve(sub, notRun(err))
 }
 
-// number gives a submission its record id and a place in the frame. A record
-// submitted under a former session is refused: its submitter decided on the
-// ground of what that session held.
-func (w *writer) number(frame *flight, sub *submission) bool {
+// addToFrame assigns a record ID to a submission and adds it to the frame. It
+// rejects a record that was submitted under a previous session: the submitter
+// based its decision on what that session held.
+func (w *writer) addToFrame(frame *pendingFrame, sub *submission) bool {
 	if sub.rec.SessionOpen != nil {
 		w.session = sub.session
 		w.seq = 0
 	}
-	w.pending.Lock()
-	defer w.pending.Unlock()
+	w.pendingMu.Lock()
+	defer w.pendingMu.Unlock()
 	if sub.phase == done {
 		return false
 	}
 	if sub.session != w.session {
-		w.settle(sub, notRun(ErrSessionEnded))
+		w.resolve(sub, notRun(ErrSessionEnded))
 		return false
 	}
 	w.seq++
 	sub.rec.ID = protocol.RecordID{Session: w.session, Seq: w.seq}
 	sub.frame = frame
-	frame.subs = append(frame.subs, sub)
-	frame.left++
-	w.waiting[sub.rec.ID] = sub
+	frame.submissions = append(frame.submissions, sub)
+	frame.unfinished++
+	w.unresolved[sub.rec.ID] = sub
 	return true
 }
 
-// send appends a frame until its place in the stream is certain, or nobody
-// waits for it any more. Giving a frame up is safe: the next one has higher
-// numbers, so a late copy of this one is dropped by replay.
-func (w *writer) send(ctx context.Context, frame *flight) {
+// send appends a frame until the append succeeds or all of its submissions are
+// done. The writer may abandon a frame safely: the next frame has higher
+// sequence numbers, so replay drops a late copy of this one.
+func (w *writer) send(ctx context.Context, frame *pendingFrame) {
 	w.backoff.reset()
-	w.throttled.reset()
+	w.throttleBackoff.reset()
 	for ctx.Err() == nil {
 		payload := w.encode(frame)
 		if payload == nil {
 			return
 		}
-		err := w.append(ctx, payload)
+		err := w.appendFrame(ctx, payload)
 		switch {
 		case err == nil:
 			return
 		case errors.Is(err, external.ErrThrottled):
 			counters.Add(countThrottled, 1)
-			w.pacer.throttled(time.Now())
-			w.unsend(frame)
+			w.pacer.onThrottled(time.Now())
+			w.markUnsent(frame)
 		case errors.Is(err, external.ErrEntryTooLarge):
-			w.abandon(frame, err)
+			w.failFrame(frame, err)
 			return
 		default:
 			counters.Add(countAppendErrors, 1)
-			frame.uncertain = true
+			frame.mayBeInStream = true
 		}
-		wait := w.wait(err)
-		w.event("append_retry", "err", err, "records", len(frame.subs), "wait", wait)
+		wait := w.retryWait(err)
+		w.event("append_retry", "err", err, "records", len(frame.submissions), "wait", wait)
 		pause(ctx, wait, frame.finished)
 	}
 }
 
-func (w *writer) wait(err error) time.Duration {
+func (w *writer) retryWait(err error) time.Duration {
 	if errors.Is(err, external.ErrThrottled) {
-		return w.throttled.next()
+		return w.throttleBackoff.next()
 	}
 	return w.backoff.next()
 }
 
-// encode marks the frame's submissions as sent and encodes those that are
-// still wanted. It returns nil if none is. A frame that may stand in the
-// stream already is sent again whole, so that both copies are alike.
-func (w *writer) encode(frame *flight) []byte {
+// encode marks the frame's submissions as sent and encodes those that are not
+// done. It returns nil if all are done. A frame that may be in the stream
+// already is sent again with all of its records, so that both copies are
+// identical.
+func (w *writer) encode(frame *pendingFrame) []byte {
 	now := time.Now()
-	w.pending.Lock()
-	defer w.pending.Unlock()
-	if frame.left == 0 {
+	w.pendingMu.Lock()
+	defer w.pendingMu.Unlock()
+	if frame.unfinished == 0 {
 		return nil
 	}
-	records := make([]protocol.Record, 0, len(frame.subs))
-	for _, sub := range frame.subs {
-		if sub.phase == done && !frame.uncertain {
+	records := make([]protocol.Record, 0, len(frame.submissions))
+	for _, sub := range frame.submissions {
+		if sub.phase == done && !frame.mayBeInStream {
 			continue
 		}
 		records = append(records, sub.rec)
 		if sub.phase == queued {
 			sub.phase = sent
-			w.noteRenewal(&sub.rec, now)
+			w.recordRenewalSent(&sub.rec, now)
 		}
 	}
 	payload, err := protocol.EncodeFrame(protocol.Frame{Records: records})
 	if err != nil {
-		// The sizes were checked when the frame was gathered.
-		panic("journal: frame does not encode: " + err.Error())
+		// The sizes were checked when the frame was collected.
+		panic("journal: can't encode frame: " + err.Error())
 	}
 	w.sentAt = now
 	return payload
 }
 
-// noteRenewal remembers when a renewal was first sent: the holder's time runs
-// from there. The caller holds j.pending.
-func (w *writer) noteRenewal(rec *protocol.Record, now time.Time) {
+// recordRenewalSent records when an open or renewal was first sent. The hold
+// time of the session starts then. The caller holds j.pendingMu.
+func (w *writer) recordRenewalSent(rec *protocol.Record, now time.Time) {
 	if rec.SessionOpen != nil || rec.SessionRenew != nil {
-		w.renewals[rec.ID] = now
+		w.renewalSentAt[rec.ID] = now
 	}
 }
 
-func (w *writer) append(ctx context.Context, payload []byte) error {
+func (w *writer) appendFrame(ctx context.Context, payload []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timings.AppendTimeout)
 	defer cancel()
 	counters.Add(countAppends, 1)
@@ -262,30 +265,30 @@
 	return err
 }
 
-// unsend marks a frame as not sent after a refusal that had no effect, unless
-// an earlier attempt may have had one.
-func (w *writer) unsend(frame *flight) {
-	if frame.uncertain {
+// markUnsent marks a frame as not sent after a rejection that had no effect,
+// unless an earlier attempt may have had an effect.
+func (w *writer) markUnsent(frame *pendingFrame) {
+	if frame.mayBeInStream {
 		return
 	}
-	w.pending.Lock()
-	defer w.pending.Unlock()
-	for _, sub := range frame.subs {
+	w.pendingMu.Lock()
+	defer w.pendingMu.Unlock()
+	for _, sub := range frame.submissions {
 		if sub.phase == sent {
 			sub.phase = queued
-			delete(w.renewals, sub.rec.ID)
+			delete(w.renewalSentAt, sub.rec.ID)
 		}
 	}
 }
 
-func (w *writer) abandon(frame *flight, err error) {
-	w.pending.Lock()
-	defer w.pending.Unlock()
-	for _, sub := range frame.subs {
-		if frame.uncertain {
-			w.settle(sub, mayHaveRun(err))
+func (w *writer) failFrame(frame *pendingFrame, err error) {
+	w.pendingMu.Lock()
+	defer w.pendingMu.Unlock()
+	for _, sub := range frame.submissions {
+		if frame.mayBeInStream {
+			w.resolve(sub, mayHaveRun(err))
 			continue
 		}
-		w.settle(sub, notRun(err))
+		w.resolve(sub, notRun(err))
 	}
 }
