--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -66,8 +66,8 @@
 // New returns a relay.
 func New(opts Options) *Relay { return &Relay{opts: opts} }
 
-// Job is a request with what was decided of it before.
-type Job struct {
+// RoutedRequest is a request with what was decided of it before.
+type RoutedRequest struct {
 	Request      *exchange.Request
 	Route        *route.Route
 	Service      string
@@ -78,10 +78,10 @@
 
 // Serve sends a request to targets until one answers it, or says why not. The
 // context ends when the caller leaves.
-func (r *Relay) Serve(ctx context.Context, job *Job, sink Sink) Outcome {
+func (r *Relay) Serve(ctx context.Context, job *RoutedRequest, sink Sink) Outcome {
 	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
 	defer cancel()
-	c := &call{Relay: r, Job: job, sink: sink, position: job.Request.After}
+	c := &call{Relay: r, RoutedRequest: job, sink: sink, position: job.Request.After}
 	c.run(ctx)
 	if !c.outcome.Begun() && c.outcome.Reason != CallerLeft {
 		c.outcome.Status = c.outcome.refusal()
@@ -92,7 +92,7 @@
 // call is one request on its way.
 type call struct {
 	*Relay
-	*Job
+	*RoutedRequest
 	sink    Sink
 	outcome Outcome
 	// position is the last event that the caller has.
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -31,7 +31,7 @@
 		return
 	}
 	sink := &sink{w: v.w, control: http.NewResponseController(v.w)}
-	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.Job{
+	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.RoutedRequest{
 		Request: &v.request, Route: v.route, Service: service, Organisation: organisation,
 		Began: v.began, Deadline: v.began.Add(v.patience()),
 	}, sink)
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -56,7 +56,7 @@
 
 // Relay serves online requests.
 type Relay interface {
-	Serve(ctx context.Context, job *relay.Job, sink relay.Sink) relay.Outcome
+	Serve(ctx context.Context, job *relay.RoutedRequest, sink relay.Sink) relay.Outcome
 }
 
 // Desk serves the calls of batch jobs.
