--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -72,8 +72,8 @@
 	Route        *route.Route
 	Service      string
 	Organisation string
-	// Began is when the request came, Deadline when it must have ended.
-	Began, Deadline time.Time
+	// ReceivedAt is when the request came, Deadline when it must have ended.
+	ReceivedAt, Deadline time.Time
 }
 
 // Serve sends a request to targets until one answers it, or says why not. The
@@ -126,7 +126,7 @@
 		}
 		c.tried = append(c.tried, choice.ID)
 		c.outcome.Target = choice.ID
-		c.outcome.Waited = time.Since(c.Began)
+		c.outcome.Waited = time.Since(c.ReceivedAt)
 		c.outcome.Busy, c.outcome.Slots, c.outcome.Broker = choice.Busy, choice.Slots, choice.Broker
 		c.outcome.Attempts++
 		c.placed(choice)
@@ -155,12 +155,12 @@
 
 // waiting says how long the request may wait for a place.
 func (c *call) waiting() placement.Patience {
-	onTime := c.Began.Add(c.Route.Objective - answerTime)
+	onTime := c.ReceivedAt.Add(c.Route.Objective - answerTime)
 	if c.begun {
 		// A stream that goes on must do so before its pause is too long.
 		onTime = time.Now().Add(c.gapLimit())
 	}
-	return placement.Patience{OnTimeUntil: onTime, Until: c.Began.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.Began))))}
+	return placement.Patience{OnTimeUntil: onTime, Until: c.ReceivedAt.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.ReceivedAt))))}
 }
 
 // giveBack gives a target back that was found too late to be needed.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -158,7 +158,7 @@
 	relay := New(Options{Targets: f, Placer: f, Logger: log.NewNopLogger()})
 	outcome := relay.Serve(t.Context(), &RoutedRequest{
 		Request: &exchange.Request{ID: "r", Method: http.MethodPost, After: exchange.FromStart}, Route: &r, Service: "s",
-		Began: now, Deadline: now.Add(timeLeft),
+		ReceivedAt: now, Deadline: now.Add(timeLeft),
 	}, to)
 	return outcome, to, time.Since(now)
 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -33,7 +33,7 @@
 	sink := &sink{w: v.w, control: http.NewResponseController(v.w)}
 	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.RoutedRequest{
 		Request: &v.request, Route: v.route, Service: service, Organisation: organisation,
-		Began: v.began, Deadline: v.began.Add(v.patience()),
+		ReceivedAt: v.began, Deadline: v.began.Add(v.patience()),
 	}, sink)
 	if outcome.Runs == 0 {
 		v.opts.Quota.GiveBack(organisation)
