--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -24,8 +24,8 @@
 	TimedOut Reason = "timed_out"
 	// CutOff: the answer had begun and can't be finished.
 	CutOff Reason = "cut_off"
-	// CallerLeft: the caller closed its connection.
-	CallerLeft Reason = "caller_left"
+	// CallerDisconnected: the caller closed its connection.
+	CallerDisconnected Reason = "caller_left"
 )
 
 // Outcome is how a request ended.
--- a/internal/coordination/routed/relay/pass.go
+++ b/internal/coordination/routed/relay/pass.go
@@ -41,7 +41,7 @@
 	}
 	if errors.Is(err, errCallerGone) {
 		c.opts.Placer.Done(choice, placement.Left)
-		c.outcome.Reason = CallerLeft
+		c.outcome.Reason = CallerDisconnected
 		return finish
 	}
 	c.opts.Placer.Done(choice, watch.result(placement.Broken))
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -83,7 +83,7 @@
 	defer cancel()
 	c := &call{Relay: r, RoutedRequest: job, sink: sink, position: job.Request.After}
 	c.run(ctx)
-	if !c.outcome.Begun() && c.outcome.Reason != CallerLeft {
+	if !c.outcome.Begun() && c.outcome.Reason != CallerDisconnected {
 		c.outcome.Status = c.outcome.refusal()
 	}
 	return c.outcome
@@ -269,7 +269,7 @@
 			c.outcome.Reason = CutOff
 		}
 	default:
-		c.outcome.Reason = CallerLeft
+		c.outcome.Reason = CallerDisconnected
 	}
 	return true
 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -68,7 +68,7 @@
 		outcome = "answered"
 	case o.Begun():
 		outcome = "cut_off"
-	case o.Reason == relay.CallerLeft:
+	case o.Reason == relay.CallerDisconnected:
 		outcome = "caller_left"
 	case o.Runs > 0:
 		outcome = "failed"
@@ -78,7 +78,7 @@
 		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
 	case o.Finished():
-	case o.Begun(), o.Reason == relay.CallerLeft:
+	case o.Begun(), o.Reason == relay.CallerDisconnected:
 		// An answer that ends early must not look whole.
 		panic(http.ErrAbortHandler)
 	default:
