--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -51,8 +51,8 @@
 	Events int
 }
 
-// Finished says that the caller has a whole answer.
-func (o *Outcome) Finished() bool { return o.Reason == Relayed }
+// Completed says that the caller has a whole answer.
+func (o *Outcome) Completed() bool { return o.Reason == Relayed }
 
 // Begun says that the caller has a part of an answer.
 func (o *Outcome) Begun() bool { return o.FirstByte > 0 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -64,7 +64,7 @@
 	}
 	outcome := "refused"
 	switch {
-	case o.Finished():
+	case o.Completed():
 		outcome = "answered"
 	case o.Begun():
 		outcome = "cut_off"
@@ -77,7 +77,7 @@
 		"waited_ms", o.Waited.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
 		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
-	case o.Finished():
+	case o.Completed():
 	case o.Begun(), o.Reason == relay.CallerDisconnected:
 		// An answer that ends early must not look whole.
 		panic(http.ErrAbortHandler)
