--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -54,8 +54,8 @@
 // Completed says that the caller has a whole answer.
 func (o *Outcome) Completed() bool { return o.Reason == Relayed }
 
-// Begun says that the caller has a part of an answer.
-func (o *Outcome) Begun() bool { return o.FirstByte > 0 }
+// AnswerStarted says that the caller has a part of an answer.
+func (o *Outcome) AnswerStarted() bool { return o.FirstByte > 0 }
 
 // refusal gives the status of an outcome without an answer.
 func (o *Outcome) refusal() int {
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -83,7 +83,7 @@
 	defer cancel()
 	c := &call{Relay: r, RoutedRequest: job, sink: sink, position: job.Request.After}
 	c.run(ctx)
-	if !c.outcome.Begun() && c.outcome.Reason != CallerDisconnected {
+	if !c.outcome.AnswerStarted() && c.outcome.Reason != CallerDisconnected {
 		c.outcome.Status = c.outcome.refusal()
 	}
 	return c.outcome
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -59,14 +59,14 @@
 	if o.Attempts > 0 {
 		waited.Update(o.Waited.Seconds())
 	}
-	if o.Begun() {
+	if o.AnswerStarted() {
 		firstByte.Update(o.FirstByte.Seconds())
 	}
 	outcome := "refused"
 	switch {
 	case o.Completed():
 		outcome = "answered"
-	case o.Begun():
+	case o.AnswerStarted():
 		outcome = "cut_off"
 	case o.Reason == relay.CallerDisconnected:
 		outcome = "caller_left"
@@ -78,7 +78,7 @@
 		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
 	case o.Completed():
-	case o.Begun(), o.Reason == relay.CallerDisconnected:
+	case o.AnswerStarted(), o.Reason == relay.CallerDisconnected:
 		// An answer that ends early must not look whole.
 		panic(http.ErrAbortHandler)
 	default:
