--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -37,9 +37,9 @@
 	RetryAfter time.Duration
 	// Target had the request last, empty if none had it.
 	Target string
-	// Attempts are the targets that the request was sent to, Runs those of them
+	// Attempts are the targets that the request was sent to, PossibleRuns those of them
 	// that may have begun it.
-	Attempts, Runs int
+	Attempts, PossibleRuns int
 	// Waited is the time until the last target was chosen, Broker who chose it,
 	// empty for this instance itself, Busy and Slots what it was chosen by.
 	Waited      time.Duration
@@ -63,7 +63,7 @@
 	case NoTarget, AllFull, NotTaken:
 		return http.StatusServiceUnavailable
 	case TimedOut:
-		if o.Runs == 0 {
+		if o.PossibleRuns == 0 {
 			return http.StatusServiceUnavailable
 		}
 		return http.StatusGatewayTimeout
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -176,7 +176,7 @@
 	switch {
 	case c.begun:
 		c.outcome.Reason = CutOff
-	case c.outcome.Runs > 0:
+	case c.outcome.PossibleRuns > 0:
 		c.outcome.Reason = Lost
 	case c.outcome.Attempts > 0:
 		c.outcome.Reason, c.outcome.RetryAfter = NotTaken, fullRetryAfter
@@ -199,7 +199,7 @@
 	if answer.Head().NotRun {
 		return c.notRun(choice, answer)
 	}
-	c.outcome.Runs++
+	c.outcome.PossibleRuns++
 	if c.begun && !answer.Head().Success() {
 		// The rest of a stream was refused as if it had run.
 		answer.Close()
@@ -243,7 +243,7 @@
 func (c *call) failed(ctx context.Context, choice placement.Choice, watch *watch, err error) verdict {
 	notSent := errors.Is(err, external.ErrNotSent)
 	if !notSent {
-		c.outcome.Runs++
+		c.outcome.PossibleRuns++
 	}
 	if ended := c.ended(ctx); ended {
 		c.opts.Placer.Done(choice, watch.result(placement.Left))
@@ -277,7 +277,7 @@
 // afterLoss says whether a request that may have run may run once more.
 func (c *call) afterLoss(choice placement.Choice, key string, cause any) verdict {
 	c.note(choice, "lost", key, cause)
-	if c.Route.Repeatable() && c.outcome.Runs < c.Route.MaxAttempts {
+	if c.Route.Repeatable() && c.outcome.PossibleRuns < c.Route.MaxAttempts {
 		return another
 	}
 	c.outcome.Reason = Lost
@@ -299,5 +299,5 @@
 // note logs an attempt that did not bring the answer.
 func (c *call) note(choice placement.Choice, what string, key string, value any) {
 	_ = level.Info(c.opts.Logger).Log("event", "attempt_failed", "request", c.Request.ID, "target", choice.ID, "how", what,
-		"busy", choice.Busy, "slots", choice.Slots, "position", c.position, "runs", c.outcome.Runs, key, value)
+		"busy", choice.Busy, "slots", choice.Slots, "position", c.position, "runs", c.outcome.PossibleRuns, key, value)
 }
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -172,7 +172,7 @@
 		outcome, to, _ := serve(t, onceRoute, f)
 		require.Equal(t, Relayed, outcome.Reason)
 		require.Equal(t, 4, outcome.Attempts)
-		require.Equal(t, 1, outcome.Runs)
+		require.Equal(t, 1, outcome.PossibleRuns)
 		require.Equal(t, events(0, 5), to.body.String())
 		require.Equal(t, []string{"t0", "t1", "t2"}, f.wants[3].Exclude)
 		require.Equal(t, []placement.Result{placement.Unreachable, placement.Full, placement.Replaced, placement.Served}, f.done)
--- a/internal/coordination/routed/relay/watch.go
+++ b/internal/coordination/routed/relay/watch.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	w := &watch{
 		ctx: ctx, cancel: cancel, call: c, choice: choice, want: c.want(),
-		mayMove: c.Route.Repeatable() && c.outcome.Runs+1 < c.Route.MaxAttempts,
+		mayMove: c.Route.Repeatable() && c.outcome.PossibleRuns+1 < c.Route.MaxAttempts,
 	}
 	limit := c.gapLimit()
 	if !c.begun {
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -35,7 +35,7 @@
 		Request: &v.request, Route: v.route, Service: service, Organisation: organisation,
 		ReceivedAt: v.began, Deadline: v.began.Add(v.patience()),
 	}, sink)
-	if outcome.Runs == 0 {
+	if outcome.PossibleRuns == 0 {
 		v.opts.Quota.GiveBack(organisation)
 	}
 	v.end(&outcome)
@@ -70,10 +70,10 @@
 		outcome = "cut_off"
 	case o.Reason == relay.CallerDisconnected:
 		outcome = "caller_left"
-	case o.Runs > 0:
+	case o.PossibleRuns > 0:
 		outcome = "failed"
 	}
-	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.Runs,
+	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
 		"waited_ms", o.Waited.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
 		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
