--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -40,9 +40,9 @@
 	// Attempts are the targets that the request was sent to, PossibleRuns those of them
 	// that may have begun it.
 	Attempts, PossibleRuns int
-	// Waited is the time until the last target was chosen, Broker who chose it,
+	// PlacementTime is the time until the last target was chosen, Broker who chose it,
 	// empty for this instance itself, Busy and Slots what it was chosen by.
-	Waited      time.Duration
+	PlacementTime      time.Duration
 	Broker      string
 	Busy, Slots int
 	// FirstByte is the time to the answer's first bytes, 0 if there were none.
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -126,7 +126,7 @@
 		}
 		c.tried = append(c.tried, choice.ID)
 		c.outcome.Target = choice.ID
-		c.outcome.Waited = time.Since(c.ReceivedAt)
+		c.outcome.PlacementTime = time.Since(c.ReceivedAt)
 		c.outcome.Busy, c.outcome.Slots, c.outcome.Broker = choice.Busy, choice.Slots, choice.Broker
 		c.outcome.Attempts++
 		c.placed(choice)
@@ -292,7 +292,7 @@
 func (c *call) placed(choice placement.Choice) {
 	_ = level.Info(c.opts.Logger).Log("event", "request_placed", "request", c.Request.ID, "target", choice.ID,
 		"domain", choice.Domain, "broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots,
-		"waited_ms", c.outcome.Waited.Milliseconds(), "left_ms", time.Until(c.Deadline).Milliseconds(),
+		"waited_ms", c.outcome.PlacementTime.Milliseconds(), "left_ms", time.Until(c.Deadline).Milliseconds(),
 		"attempt", c.outcome.Attempts, "position", c.position)
 }
 
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -57,7 +57,7 @@
 // end tells the caller how its request ended, unless its answer told it.
 func (v *visit) end(o *relay.Outcome) {
 	if o.Attempts > 0 {
-		waited.Update(o.Waited.Seconds())
+		waited.Update(o.PlacementTime.Seconds())
 	}
 	if o.AnswerStarted() {
 		firstByte.Update(o.FirstByte.Seconds())
@@ -74,7 +74,7 @@
 		outcome = "failed"
 	}
 	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
-		"waited_ms", o.Waited.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
+		"waited_ms", o.PlacementTime.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
 		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
 	case o.Completed():
