--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -45,8 +45,8 @@
 	PlacementTime      time.Duration
 	Broker      string
 	Busy, Slots int
-	// FirstByte is the time to the answer's first bytes, 0 if there were none.
-	FirstByte time.Duration
+	// TimeToFirstByte is the time to the answer's first bytes, 0 if there were none.
+	TimeToFirstByte time.Duration
 	// Events counts the events of a stream that were passed on.
 	Events int
 }
@@ -55,7 +55,7 @@
 func (o *Outcome) Completed() bool { return o.Reason == Relayed }
 
 // AnswerStarted says that the caller has a part of an answer.
-func (o *Outcome) AnswerStarted() bool { return o.FirstByte > 0 }
+func (o *Outcome) AnswerStarted() bool { return o.TimeToFirstByte > 0 }
 
 // refusal gives the status of an outcome without an answer.
 func (o *Outcome) refusal() int {
--- a/internal/coordination/routed/relay/pass.go
+++ b/internal/coordination/routed/relay/pass.go
@@ -90,7 +90,7 @@
 		return nil
 	}
 	c.begun = true
-	c.outcome.FirstByte = max(1, time.Since(c.ReceivedAt))
+	c.outcome.TimeToFirstByte = max(1, time.Since(c.ReceivedAt))
 	c.outcome.Status = answer.Head().Status
 	c.sink.Begin(answer.Head())
 	return nil
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -60,7 +60,7 @@
 		waited.Update(o.PlacementTime.Seconds())
 	}
 	if o.AnswerStarted() {
-		firstByte.Update(o.FirstByte.Seconds())
+		firstByte.Update(o.TimeToFirstByte.Seconds())
 	}
 	outcome := "refused"
 	switch {
@@ -75,7 +75,7 @@
 	}
 	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
 		"waited_ms", o.PlacementTime.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
-		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
+		"first_byte_ms", o.TimeToFirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
 	case o.Completed():
 	case o.AnswerStarted(), o.Reason == relay.CallerDisconnected:
