--- a/internal/coordination/routed/relay/pass.go
+++ b/internal/coordination/routed/relay/pass.go
@@ -92,7 +92,7 @@
 	c.begun = true
 	c.outcome.TimeToFirstByte = max(1, time.Since(c.ReceivedAt))
 	c.outcome.Status = answer.Head().Status
-	c.sink.Begin(answer.Head())
+	c.sink.SendHead(answer.Head())
 	return nil
 }
 
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -47,8 +47,8 @@
 
 // Sink is the caller's side of an answer.
 type Sink interface {
-	// Begin sends the head.
-	Begin(reply *exchange.Reply)
+	// SendHead sends the head.
+	SendHead(reply *exchange.Reply)
 	// Pass sends a part of the body at once.
 	Pass(part []byte) error
 }
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -109,7 +109,7 @@
 	body   strings.Builder
 }
 
-func (c *caller) Begin(reply *exchange.Reply) { c.status = reply.Status }
+func (c *caller) SendHead(reply *exchange.Reply) { c.status = reply.Status }
 func (c *caller) Pass(part []byte) error {
 	c.body.Write(part)
 	return nil
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -95,8 +95,8 @@
 	control *http.ResponseController
 }
 
-// Begin implements relay.Sink.
-func (s *sink) Begin(reply *exchange.Reply) {
+// SendHead implements relay.Sink.
+func (s *sink) SendHead(reply *exchange.Reply) {
 	header := s.w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
