--- a/internal/coordination/routed/relay/pass.go
+++ b/internal/coordination/routed/relay/pass.go
@@ -73,7 +73,7 @@
 		if err := c.begin(answer); err != nil {
 			return err
 		}
-		if err := c.sink.Pass(event.Raw); err != nil {
+		if err := c.sink.SendBody(event.Raw); err != nil {
 			return errors.Join(errCallerGone, err)
 		}
 		if event.Numbered {
@@ -138,7 +138,7 @@
 	if len(part) == 0 {
 		return nil
 	}
-	if err := c.sink.Pass(part); err != nil {
+	if err := c.sink.SendBody(part); err != nil {
 		return errors.Join(errCallerGone, err)
 	}
 	return nil
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -49,8 +49,8 @@
 type Sink interface {
 	// SendHead sends the head.
 	SendHead(reply *exchange.Reply)
-	// Pass sends a part of the body at once.
-	Pass(part []byte) error
+	// SendBody sends a part of the body at once.
+	SendBody(part []byte) error
 }
 
 // Options make a Relay.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -110,7 +110,7 @@
 }
 
 func (c *caller) SendHead(reply *exchange.Reply) { c.status = reply.Status }
-func (c *caller) Pass(part []byte) error {
+func (c *caller) SendBody(part []byte) error {
 	c.body.Write(part)
 	return nil
 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -108,8 +108,8 @@
 	s.w.WriteHeader(reply.Status)
 }
 
-// Pass implements relay.Sink.
-func (s *sink) Pass(part []byte) error {
+// SendBody implements relay.Sink.
+func (s *sink) SendBody(part []byte) error {
 	if err := s.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("write deadline: %w", err)
 	}
