--- /dev/null
+++ b/internal/coordination/routed/relay/forward.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"merlintiller/internal/coordination/routed/placement"
+	"merlintiller/internal/external"
+	"merlintiller/internal/protocol/sse"
+	"merlintiller/internal/state/route"
+)
+
+// maxBufferedAnswer is the number of bytes of an answer that are buffered before
+// its head is sent to the caller. A request whose answer breaks off before that
+// can still be retried.
+const maxBufferedAnswer = 256 << 10
+
+// eventGap is the time in seconds between two consecutive events of a stream that
+// this instance forwards.
+var eventGap = metrics.NewPrometheusHistogram("stream_event_gap_seconds")
+
+// forward sends the target's answer to the caller and reports the result to the
+// placer.
+func (c *call) forward(ctx context.Context, choice placement.Choice, monitor *stallMonitor, answer external.OpenAnswer) nextStep {
+	var err error
+	if c.Route.Kind == route.Stream && answer.Head().Success() {
+		err = c.forwardStream(monitor, answer)
+	} else {
+		err = c.forwardBody(answer)
+	}
+	answer.Close()
+	if err == nil {
+		c.opts.Placer.Done(choice, placement.Served)
+		c.outcome.Reason = Relayed
+		return finish
+	}
+	if c.contextEnded(ctx) {
+		c.opts.Placer.Done(choice, monitor.result(placement.Left))
+		return finish
+	}
+	if errors.Is(err, errCallerDisconnected) {
+		c.opts.Placer.Done(choice, placement.Left)
+		c.outcome.Reason = CallerDisconnected
+		return finish
+	}
+	c.opts.Placer.Done(choice, monitor.result(placement.Broken))
+	return c.afterLostAnswer(choice, "err", err)
+}
+
+// errCallerDisconnected: writing to the caller's connection failed.
+var errCallerDisconnected = errors.New("caller disconnected")
+
+// forwardStream forwards complete events only. A target may fail in the middle of
+// an event, and the stream then resumes with that event at another target; the
+// caller must not receive a part of it twice.
+func (c *call) forwardStream(monitor *stallMonitor, answer external.OpenAnswer) error {
+	events := sse.NewReader(answer)
+	var last time.Time
+	for {
+		event, err := events.Next()
+		if errors.Is(err, io.EOF) {
+			return c.sendHead(answer)
+		}
+		if err != nil {
+			return err
+		}
+		monitor.progress()
+		now := time.Now()
+		if !last.IsZero() {
+			eventGap.Update(now.Sub(last).Seconds())
+		}
+		last = now
+		if err := c.sendHead(answer); err != nil {
+			return err
+		}
+		if err := c.sink.SendBody(event.Raw); err != nil {
+			return errors.Join(errCallerDisconnected, err)
+		}
+		if event.Numbered {
+			c.lastEvent = event.Position
+		}
+		c.outcome.Events++
+	}
+}
+
+// sendHead sends the head of the answer unless a head was sent before. A stream
+// that resumes at another target keeps the head from its first target.
+func (c *call) sendHead(answer external.OpenAnswer) error {
+	if c.headSent {
+		return nil
+	}
+	c.headSent = true
+	c.outcome.TimeToFirstByte = max(1, time.Since(c.ReceivedAt))
+	c.outcome.Status = answer.Head().Status
+	c.sink.SendHead(answer.Head())
+	return nil
+}
+
+// forwardBody forwards an answer that is not an event stream. Up to
+// maxBufferedAnswer bytes are buffered first.
+func (c *call) forwardBody(answer external.OpenAnswer) error {
+	body := make([]byte, 0, 4<<10)
+	for len(body) < maxBufferedAnswer {
+		if len(body) == cap(body) {
+			body = append(body, 0)[:len(body)]
+		}
+		n, err := answer.Read(body[len(body):cap(body)])
+		body = body[:len(body)+n]
+		if errors.Is(err, io.EOF) {
+			return c.sendPart(answer, body)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	if err := c.sendPart(answer, body); err != nil {
+		return err
+	}
+	for {
+		n, err := answer.Read(body[:cap(body)])
+		if n > 0 {
+			if err := c.sendPart(answer, body[:n]); err != nil {
+				return err
+			}
+		}
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// sendPart sends a part of the answer's body, and the head before the first part.
+func (c *call) sendPart(answer external.OpenAnswer, part []byte) error {
+	if err := c.sendHead(answer); err != nil {
+		return err
+	}
+	if len(part) == 0 {
+		return nil
+	}
+	if err := c.sink.SendBody(part); err != nil {
+		return errors.Join(errCallerDisconnected, err)
+	}
+	return nil
+}
--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -5,62 +5,73 @@
 	"time"
 )
 
-// Reason says why a request ended as it did.
+// Reason is the cause of a request's outcome.
 type Reason string
 
-// The reasons, as they stand in logs and metrics.
+// The reasons. Their values appear in logs.
 const (
-	// Relayed: the target's answer was passed on to its end.
+	// Relayed: the complete answer was forwarded to the caller.
 	Relayed Reason = "relayed"
-	// NoTarget: no target of the service is known. The request did not run.
+	// NoTarget: the service has no known target. The request did not run.
 	NoTarget Reason = "no_target"
-	// AllFull: no target has a place. The request did not run.
+	// AllFull: no target had a free slot in time. The request did not run.
 	AllFull Reason = "all_full"
-	// NotTaken: every target that was tried refused it. It did not run.
-	NotTaken Reason = "not_taken"
-	// Lost: the answer was lost; the request may have run.
-	Lost Reason = "answer_lost"
-	// TimedOut: the time that the route or the caller gives is over.
+	// NotAccepted: each target that was tried rejected the request or could not
+	// be reached. The request did not run.
+	NotAccepted Reason = "not_taken"
+	// AnswerLost: the request was sent and no answer could be forwarded. The
+	// request may have run.
+	AnswerLost Reason = "answer_lost"
+	// TimedOut: the deadline set by the route or the caller passed.
 	TimedOut Reason = "timed_out"
-	// CutOff: the answer had begun and can't be finished.
-	CutOff Reason = "cut_off"
+	// Truncated: the answer had started and could not be completed.
+	Truncated Reason = "cut_off"
 	// CallerDisconnected: the caller closed its connection.
 	CallerDisconnected Reason = "caller_left"
 )
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome struct {
 	Reason Reason
-	// Status is what the caller gets, 0 if its answer had begun.
+	// Status is the HTTP status for the caller: the target's if the answer
+	// started, otherwise that of the error response. 0 if the caller disconnected
+	// before.
 	Status int
-	// RetryAfter is when the caller may come back. 0: nothing is said.
+	// RetryAfter is the time after which the caller may retry. 0: no
+	// Retry-After is sent.
 	RetryAfter time.Duration
-	// Target had the request last, empty if none had it.
+	// Target is the id of the last target that was chosen, empty if none was.
 	Target string
-	// Attempts are the targets that the request was sent to, PossibleRuns those of them
-	// that may have begun it.
+	// Attempts is the number of targets that were tried, PossibleRuns the
+	// number of those that may have run the request.
 	Attempts, PossibleRuns int
-	// PlacementTime is the time until the last target was chosen, Broker who chose it,
-	// empty for this instance itself, Busy and Slots what it was chosen by.
-	PlacementTime      time.Duration
-	Broker      string
+	// PlacementTime is the time from receiving the request until the last
+	// target was chosen.
+	PlacementTime time.Duration
+	// Broker is the broker that chose the target, empty if this instance chose
+	// it.
+	Broker string
+	// Busy and Slots are the target's occupied slots and all its slots when it
+	// was chosen.
 	Busy, Slots int
-	// TimeToFirstByte is the time to the answer's first bytes, 0 if there were none.
+	// TimeToFirstByte is the time from receiving the request to the first bytes
+	// of its answer, 0 if there was no answer.
 	TimeToFirstByte time.Duration
-	// Events counts the events of a stream that were passed on.
+	// Events is the number of stream events that were forwarded.
 	Events int
 }
 
-// Completed says that the caller has a whole answer.
+// Completed reports whether the caller received the complete answer.
 func (o *Outcome) Completed() bool { return o.Reason == Relayed }
 
-// AnswerStarted says that the caller has a part of an answer.
+// AnswerStarted reports whether the caller received at least a part of an
+// answer.
 func (o *Outcome) AnswerStarted() bool { return o.TimeToFirstByte > 0 }
 
-// refusal gives the status of an outcome without an answer.
-func (o *Outcome) refusal() int {
+// errorStatus returns the HTTP status of an outcome without an answer.
+func (o *Outcome) errorStatus() int {
 	switch o.Reason {
-	case NoTarget, AllFull, NotTaken:
+	case NoTarget, AllFull, NotAccepted:
 		return http.StatusServiceUnavailable
 	case TimedOut:
 		if o.PossibleRuns == 0 {
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -16,111 +16,124 @@
 )
 
 const (
-	// mostTries bounds the targets that are asked for one request, runs or not.
-	// Each that is dead costs up to a connect's timeout.
-	mostTries = 4
-	// fullRetryAfter is told when all slots are taken: half of the time that a
-	// stream takes, in which half of the slots come free.
+	// maxPlacements bounds the number of targets that are tried for one request,
+	// whether or not they run it. Each unreachable target costs up to the connect
+	// timeout.
+	maxPlacements = 4
+	// fullRetryAfter is the Retry-After while all slots are occupied: half the
+	// duration of a stream, within which half of the slots become free.
 	fullRetryAfter = 350 * time.Millisecond
-	// answerTime is the time from sending a request to a free target to the first
-	// bytes of its answer at the caller.
-	answerTime = 60 * time.Millisecond
-	// waitShare is the part of its time that a request waits for a place. After
-	// that it is refused, so that its caller can still be served elsewhere.
-	waitShare = 0.4
-	// startRetryAfter is told when no target is known yet. The list of targets
-	// is read within a second.
-	startRetryAfter = time.Second
+	// expectedTimeToFirstByte is the time from sending a request to a target with
+	// a free slot until the caller receives the first bytes of the answer.
+	expectedTimeToFirstByte = 60 * time.Millisecond
+	// maxWaitFraction is the fraction of the time until its deadline that a
+	// request waits for a slot. After that the request is rejected, so that the
+	// caller has time left to retry at another instance.
+	maxWaitFraction = 0.4
+	// noTargetRetryAfter is the Retry-After while no target is known. The list of
+	// targets is read within a second.
+	noTargetRetryAfter = time.Second
 )
 
-// Placer chooses targets.
+// Placer chooses targets and keeps track of their state.
 type Placer interface {
-	// Place waits for a place, TryPlace does not.
+	// Place chooses a target and waits for a free slot if necessary.
 	Place(context.Context, placement.Want, placement.Patience) (placement.Choice, bool)
+	// TryPlace chooses a target with a free slot, without waiting for one.
 	TryPlace(context.Context, placement.Want) (placement.Choice, bool)
+	// Heard records that data arrived from a target.
 	Heard(id string)
+	// Done releases the slot of a choice and records the result.
 	Done(placement.Choice, placement.Result)
+	// Told records the load that a target reported; nil if it reported none.
 	Told(choice placement.Choice, load *exchange.Load)
+	// Known reports whether any target of a service may be used.
 	Known(service string) bool
-	Waiting(placement.Choice) (goesOn func())
+	// Waiting marks the exchange with a target as stalled. The returned function
+	// removes the mark; it is nil if the target is only busy.
+	Waiting(placement.Choice) (resumed func())
 }
 
-// Sink is the caller's side of an answer.
+// Sink writes an answer to the caller.
 type Sink interface {
-	// SendHead sends the head.
+	// SendHead sends the status and the headers.
 	SendHead(reply *exchange.Reply)
-	// SendBody sends a part of the body at once.
+	// SendBody sends a part of the body without buffering it.
 	SendBody(part []byte) error
 }
 
-// Options make a Relay.
+// Options configure a Relay.
 type Options struct {
 	Targets external.Sender
 	Placer  Placer
 	Logger  log.Logger
 }
 
-// Relay serves requests.
+// Relay serves online requests. It is safe for concurrent use.
 type Relay struct{ opts Options }
 
-// New returns a relay.
+// New returns a Relay with the given options.
 func New(opts Options) *Relay { return &Relay{opts: opts} }
 
-// RoutedRequest is a request with what was decided of it before.
+// RoutedRequest is a request whose route, service, organisation and deadline have
+// been determined.
 type RoutedRequest struct {
 	Request      *exchange.Request
 	Route        *route.Route
 	Service      string
 	Organisation string
-	// ReceivedAt is when the request came, Deadline when it must have ended.
+	// ReceivedAt is when the request arrived, Deadline when it has to end.
 	ReceivedAt, Deadline time.Time
 }
 
-// Serve sends a request to targets until one answers it, or says why not. The
-// context ends when the caller leaves.
-func (r *Relay) Serve(ctx context.Context, job *RoutedRequest, sink Sink) Outcome {
-	ctx, cancel := context.WithDeadline(ctx, job.Deadline)
+// Serve sends a request to targets until one answers it or no further attempt is
+// allowed. The context has to be cancelled when the caller disconnects.
+func (r *Relay) Serve(ctx context.Context, request *RoutedRequest, sink Sink) Outcome {
+	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	c := &call{Relay: r, RoutedRequest: job, sink: sink, position: job.Request.After}
+	c := &call{Relay: r, RoutedRequest: request, sink: sink, lastEvent: request.Request.After}
 	c.run(ctx)
 	if !c.outcome.AnswerStarted() && c.outcome.Reason != CallerDisconnected {
-		c.outcome.Status = c.outcome.refusal()
+		c.outcome.Status = c.outcome.errorStatus()
 	}
 	return c.outcome
 }
 
-// call is one request on its way.
+// call is the state of one request while it is served.
 type call struct {
 	*Relay
 	*RoutedRequest
 	sink    Sink
 	outcome Outcome
-	// position is the last event that the caller has.
-	position int
-	// tried are the targets that had the request.
+	// lastEvent is the position of the last stream event that the caller
+	// received.
+	lastEvent int
+	// tried holds the ids of the targets that were tried.
 	tried []string
-	// next is a target that was found for a request that waits too long at
-	// another one.
-	next  *placement.Choice
-	begun bool
+	// failover is the target that the stall monitor reserved for the next
+	// attempt, nil if there is none.
+	failover *placement.Choice
+	// headSent is set once the caller received the head of the answer.
+	headSent bool
 }
 
-// verdict says what comes after an attempt.
-type verdict int
+// nextStep is what follows an attempt.
+type nextStep int
 
 const (
-	// finish: the request has its outcome.
-	finish verdict = iota
-	// another: another target may be tried.
-	another
+	// finish: the outcome of the request is final.
+	finish nextStep = iota
+	// tryNext: another target may be tried.
+	tryNext
 )
 
+// run makes attempts until the outcome is final.
 func (c *call) run(ctx context.Context) {
-	for len(c.tried) < mostTries {
-		choice, ok := c.place(ctx)
+	for len(c.tried) < maxPlacements {
+		choice, ok := c.nextTarget(ctx)
 		if !ok {
-			if !c.ended(ctx) {
-				c.nowhere()
+			if !c.contextEnded(ctx) {
+				c.setUnplacedReason()
 			}
 			return
 		}
@@ -129,86 +142,92 @@
 		c.outcome.PlacementTime = time.Since(c.ReceivedAt)
 		c.outcome.Busy, c.outcome.Slots, c.outcome.Broker = choice.Busy, choice.Slots, choice.Broker
 		c.outcome.Attempts++
-		c.placed(choice)
+		c.logPlacement(choice)
 		if c.attempt(ctx, choice) == finish {
-			c.giveBack()
+			c.releaseFailover()
 			return
 		}
 	}
-	c.nowhere()
+	c.setUnplacedReason()
 }
 
-// place gives the next target: the one that an attempt was given up for, or
-// whichever is chosen now.
-func (c *call) place(ctx context.Context) (placement.Choice, bool) {
-	if c.next != nil {
-		choice := *c.next
-		c.next = nil
+// nextTarget returns the target that the stall monitor reserved, or one that is
+// chosen now.
+func (c *call) nextTarget(ctx context.Context) (placement.Choice, bool) {
+	if c.failover != nil {
+		choice := *c.failover
+		c.failover = nil
 		return choice, true
 	}
-	return c.opts.Placer.Place(ctx, c.want(), c.waiting())
+	return c.opts.Placer.Place(ctx, c.requirements(), c.waitLimits())
 }
 
-func (c *call) want() placement.Want {
+// requirements returns what the next target has to satisfy.
+func (c *call) requirements() placement.Want {
 	return placement.Want{Service: c.Service, Run: c.Request.ID, Exclude: slices.Clone(c.tried), Repeatable: c.Route.Repeatable()}
 }
 
-// waiting says how long the request may wait for a place.
-func (c *call) waiting() placement.Patience {
-	onTime := c.ReceivedAt.Add(c.Route.Objective - answerTime)
-	if c.begun {
-		// A stream that goes on must do so before its pause is too long.
-		onTime = time.Now().Add(c.gapLimit())
+// waitLimits returns how long the request may wait for a slot.
+func (c *call) waitLimits() placement.Patience {
+	onTime := c.ReceivedAt.Add(c.Route.Objective - expectedTimeToFirstByte)
+	if c.headSent {
+		// A resumed stream has to continue before the gap between two events
+		// exceeds its limit.
+		onTime = time.Now().Add(c.gapTimeout())
 	}
-	return placement.Patience{OnTimeUntil: onTime, Until: c.ReceivedAt.Add(time.Duration(waitShare * float64(c.Deadline.Sub(c.ReceivedAt))))}
+	return placement.Patience{OnTimeUntil: onTime, Until: c.ReceivedAt.Add(time.Duration(maxWaitFraction * float64(c.Deadline.Sub(c.ReceivedAt))))}
 }
 
-// giveBack gives a target back that was found too late to be needed.
-func (c *call) giveBack() {
-	if c.next != nil {
-		c.opts.Placer.Done(*c.next, placement.Left)
-		c.next = nil
+// releaseFailover releases the slot of a reserved target that is not needed any
+// more.
+func (c *call) releaseFailover() {
+	if c.failover != nil {
+		c.opts.Placer.Done(*c.failover, placement.Left)
+		c.failover = nil
 	}
 }
 
-// nowhere ends a request for which there is no further target.
-func (c *call) nowhere() {
+// setUnplacedReason sets the outcome of a request for which there is no further
+// target.
+func (c *call) setUnplacedReason() {
 	switch {
-	case c.begun:
-		c.outcome.Reason = CutOff
+	case c.headSent:
+		c.outcome.Reason = Truncated
 	case c.outcome.PossibleRuns > 0:
-		c.outcome.Reason = Lost
+		c.outcome.Reason = AnswerLost
 	case c.outcome.Attempts > 0:
-		c.outcome.Reason, c.outcome.RetryAfter = NotTaken, fullRetryAfter
+		c.outcome.Reason, c.outcome.RetryAfter = NotAccepted, fullRetryAfter
 	case c.opts.Placer.Known(c.Service):
 		c.outcome.Reason, c.outcome.RetryAfter = AllFull, fullRetryAfter
 	default:
-		c.outcome.Reason, c.outcome.RetryAfter = NoTarget, startRetryAfter
+		c.outcome.Reason, c.outcome.RetryAfter = NoTarget, noTargetRetryAfter
 	}
 }
 
-// attempt sends the request to one target.
-func (c *call) attempt(ctx context.Context, choice placement.Choice) verdict {
-	watch := c.watch(ctx, choice)
-	defer func() { c.next = watch.stop() }()
-	answer, err := c.opts.Targets.Send(watch.ctx, choice.Address, c.dispatch(choice))
+// attempt sends the request to one target and forwards its answer.
+func (c *call) attempt(ctx context.Context, choice placement.Choice) nextStep {
+	monitor := c.monitorStalls(ctx, choice)
+	defer func() { c.failover = monitor.stop() }()
+	answer, err := c.opts.Targets.Send(monitor.ctx, choice.Address, c.dispatch(choice))
 	if err != nil {
-		return c.failed(ctx, choice, watch, err)
+		return c.handleSendError(ctx, choice, monitor, err)
 	}
 	c.opts.Placer.Told(choice, answer.Head().Load)
 	if answer.Head().NotRun {
-		return c.notRun(choice, answer)
+		return c.handleNotRun(choice, answer)
 	}
 	c.outcome.PossibleRuns++
-	if c.begun && !answer.Head().Success() {
-		// The rest of a stream was refused as if it had run.
+	if c.headSent && !answer.Head().Success() {
+		// The target answered the resumed part of a stream with an error status
+		// and did not promise that it did not run.
 		answer.Close()
 		c.opts.Placer.Done(choice, placement.Served)
-		return c.afterLoss(choice, "status", nil)
+		return c.afterLostAnswer(choice, "status", nil)
 	}
-	return c.pass(ctx, choice, watch, answer)
+	return c.forward(ctx, choice, monitor, answer)
 }
 
+// dispatch returns the message to the target.
 func (c *call) dispatch(choice placement.Choice) *exchange.Dispatch {
 	return &exchange.Dispatch{
 		ID:           c.Request.ID,
@@ -219,15 +238,15 @@
 		Target:       choice.ID,
 		Organisation: c.Organisation,
 		Left:         time.Until(c.Deadline),
-		After:        c.position,
+		After:        c.lastEvent,
 		Header:       c.Request.Header,
 		Body:         c.Request.Body,
 	}
 }
 
-// notRun handles an answer that promises that the target did not run the
-// request.
-func (c *call) notRun(choice placement.Choice, answer external.OpenAnswer) verdict {
+// handleNotRun handles an answer in which the target promises that it did not run
+// the request.
+func (c *call) handleNotRun(choice placement.Choice, answer external.OpenAnswer) nextStep {
 	answer.Close()
 	result := placement.Full
 	if answer.Head().Elsewhere {
@@ -235,38 +254,39 @@
 		c.opts.Targets.Forget(choice.Address)
 	}
 	c.opts.Placer.Done(choice, result)
-	c.note(choice, "not_run", "status", answer.Head().Status)
-	return another
+	c.logFailedAttempt(choice, "not_run", "status", answer.Head().Status)
+	return tryNext
 }
 
-// failed handles a request that was sent and not answered, or not sent.
-func (c *call) failed(ctx context.Context, choice placement.Choice, watch *watch, err error) verdict {
+// handleSendError handles a request that could not be sent or was not answered.
+func (c *call) handleSendError(ctx context.Context, choice placement.Choice, monitor *stallMonitor, err error) nextStep {
 	notSent := errors.Is(err, external.ErrNotSent)
 	if !notSent {
 		c.outcome.PossibleRuns++
 	}
-	if ended := c.ended(ctx); ended {
-		c.opts.Placer.Done(choice, watch.result(placement.Left))
+	if ended := c.contextEnded(ctx); ended {
+		c.opts.Placer.Done(choice, monitor.result(placement.Left))
 		return finish
 	}
 	if notSent {
 		c.opts.Placer.Done(choice, placement.Unreachable)
-		c.note(choice, "unreachable", "err", err)
-		return another
+		c.logFailedAttempt(choice, "unreachable", "err", err)
+		return tryNext
 	}
-	c.opts.Placer.Done(choice, watch.result(placement.Broken))
-	return c.afterLoss(choice, "err", err)
+	c.opts.Placer.Done(choice, monitor.result(placement.Broken))
+	return c.afterLostAnswer(choice, "err", err)
 }
 
-// ended notes that the caller left or the time is over.
-func (c *call) ended(ctx context.Context) bool {
+// contextEnded reports whether the context has ended, and if so sets the reason:
+// the deadline passed or the caller disconnected.
+func (c *call) contextEnded(ctx context.Context) bool {
 	switch {
 	case ctx.Err() == nil:
 		return false
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		c.outcome.Reason = TimedOut
-		if c.begun {
-			c.outcome.Reason = CutOff
+		if c.headSent {
+			c.outcome.Reason = Truncated
 		}
 	default:
 		c.outcome.Reason = CallerDisconnected
@@ -274,30 +294,30 @@
 	return true
 }
 
-// afterLoss says whether a request that may have run may run once more.
-func (c *call) afterLoss(choice placement.Choice, key string, cause any) verdict {
-	c.note(choice, "lost", key, cause)
+// afterLostAnswer decides whether a request that may have run is retried.
+func (c *call) afterLostAnswer(choice placement.Choice, key string, cause any) nextStep {
+	c.logFailedAttempt(choice, "lost", key, cause)
 	if c.Route.Repeatable() && c.outcome.PossibleRuns < c.Route.MaxAttempts {
-		return another
+		return tryNext
 	}
-	c.outcome.Reason = Lost
-	if c.begun {
-		c.outcome.Reason = CutOff
+	c.outcome.Reason = AnswerLost
+	if c.headSent {
+		c.outcome.Reason = Truncated
 	}
 	return finish
 }
 
-// placed logs where a request goes before it goes there. A process that dies with
-// the request leaves no other line of it.
-func (c *call) placed(choice placement.Choice) {
+// logPlacement logs the chosen target before the request is sent. If the process
+// crashes while it serves the request, this is the request's only log line.
+func (c *call) logPlacement(choice placement.Choice) {
 	_ = level.Info(c.opts.Logger).Log("event", "request_placed", "request", c.Request.ID, "target", choice.ID,
 		"domain", choice.Domain, "broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots,
 		"waited_ms", c.outcome.PlacementTime.Milliseconds(), "left_ms", time.Until(c.Deadline).Milliseconds(),
-		"attempt", c.outcome.Attempts, "position", c.position)
+		"attempt", c.outcome.Attempts, "position", c.lastEvent)
 }
 
-// note logs an attempt that did not bring the answer.
-func (c *call) note(choice placement.Choice, what string, key string, value any) {
-	_ = level.Info(c.opts.Logger).Log("event", "attempt_failed", "request", c.Request.ID, "target", choice.ID, "how", what,
-		"busy", choice.Busy, "slots", choice.Slots, "position", c.position, "runs", c.outcome.PossibleRuns, key, value)
+// logFailedAttempt logs an attempt that did not complete the answer.
+func (c *call) logFailedAttempt(choice placement.Choice, how string, key string, value any) {
+	_ = level.Info(c.opts.Logger).Log("event", "attempt_failed", "request", c.Request.ID, "target", choice.ID, "how", how,
+		"busy", choice.Busy, "slots", choice.Slots, "position", c.lastEvent, "runs", c.outcome.PossibleRuns, key, value)
 }
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -21,51 +21,52 @@
 	"merlintiller/internal/state/route"
 )
 
-// step is what one target makes of a request.
-type step struct {
-	// err fails the sending.
+// scriptedAnswer is how one target reacts to a request.
+type scriptedAnswer struct {
+	// err is returned by Send.
 	err error
-	// reply is the head of the answer, body its whole body, broken what reading ends
-	// with after it.
-	reply  exchange.Reply
-	body   string
-	broken error
-	// hangs never answers.
-	hangs bool
+	// reply is the head of the answer, body its complete body, readErr the error
+	// after the body, nil for io.EOF.
+	reply   exchange.Reply
+	body    string
+	readErr error
+	// neverAnswers makes Send wait until its context ends.
+	neverAnswers bool
 }
 
-// fleet is targets that follow a script, in the order in which they are chosen.
-type fleet struct {
-	steps []step
-	sent  []exchange.Dispatch
-	wants []placement.Want
-	done  []placement.Result
-	// full says that no target has a place, unknown that none is known.
-	full, unknown bool
+// scriptedFleet is the Placer and the Sender of a test. Its targets react as listed
+// in script, in the order in which they are chosen.
+type scriptedFleet struct {
+	script       []scriptedAnswer
+	sent         []exchange.Dispatch
+	requirements []placement.Want
+	results      []placement.Result
+	// noFreeSlot makes Place wait in vain, noTargets makes it fail at once.
+	noFreeSlot, noTargets bool
 }
 
-func (f *fleet) Send(ctx context.Context, _ string, d *exchange.Dispatch) (external.OpenAnswer, error) {
-	s := f.steps[len(f.sent)]
+func (f *scriptedFleet) Send(ctx context.Context, _ string, d *exchange.Dispatch) (external.OpenAnswer, error) {
+	s := f.script[len(f.sent)]
 	f.sent = append(f.sent, *d)
-	if s.hangs {
+	if s.neverAnswers {
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w: %w", external.ErrMayHaveRun, ctx.Err())
 	}
 	if s.err != nil {
 		return nil, s.err
 	}
-	return &scripted{head: s.reply, body: strings.NewReader(s.body), broken: s.broken}, nil
+	return &answerReader{head: s.reply, body: strings.NewReader(s.body), readErr: s.readErr}, nil
 }
 
-func (f *fleet) Forget(string) {}
+func (f *scriptedFleet) Forget(string) {}
 
-func (f *fleet) Place(ctx context.Context, want placement.Want, patience placement.Patience) (placement.Choice, bool) {
-	f.wants = append(f.wants, want)
-	if f.unknown {
+func (f *scriptedFleet) Place(ctx context.Context, want placement.Want, limits placement.Patience) (placement.Choice, bool) {
+	f.requirements = append(f.requirements, want)
+	if f.noTargets {
 		return placement.Choice{}, false
 	}
-	if f.full {
-		timer := time.NewTimer(time.Until(patience.Until))
+	if f.noFreeSlot {
+		timer := time.NewTimer(time.Until(limits.Until))
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -73,37 +74,39 @@
 		}
 		return placement.Choice{}, false
 	}
-	id := fmt.Sprint("t", len(f.wants)-1)
+	id := fmt.Sprint("t", len(f.requirements)-1)
 	return placement.Choice{Target: roster.Target{ID: id, Address: id + ":1"}}, true
 }
 
-func (f *fleet) TryPlace(context.Context, placement.Want) (placement.Choice, bool) {
+func (f *scriptedFleet) TryPlace(context.Context, placement.Want) (placement.Choice, bool) {
 	return placement.Choice{}, false
 }
-func (f *fleet) Heard(string)                                     {}
-func (f *fleet) Done(_ placement.Choice, result placement.Result) { f.done = append(f.done, result) }
-func (f *fleet) Told(placement.Choice, *exchange.Load)            {}
-func (f *fleet) Known(string) bool                                { return !f.unknown }
-func (f *fleet) Waiting(placement.Choice) (goesOn func())         { return nil }
+func (f *scriptedFleet) Heard(string) {}
+func (f *scriptedFleet) Done(_ placement.Choice, result placement.Result) {
+	f.results = append(f.results, result)
+}
+func (f *scriptedFleet) Told(placement.Choice, *exchange.Load)     {}
+func (f *scriptedFleet) Known(string) bool                         { return !f.noTargets }
+func (f *scriptedFleet) Waiting(placement.Choice) (resumed func()) { return nil }
 
-// scripted is an answer of a script.
-type scripted struct {
-	head   exchange.Reply
-	body   io.Reader
-	broken error
+// answerReader is the answer of one scripted target.
+type answerReader struct {
+	head    exchange.Reply
+	body    io.Reader
+	readErr error
 }
 
-func (s *scripted) Head() *exchange.Reply { return &s.head }
-func (s *scripted) Close()                {}
-func (s *scripted) Read(p []byte) (int, error) {
+func (s *answerReader) Head() *exchange.Reply { return &s.head }
+func (s *answerReader) Close()                {}
+func (s *answerReader) Read(p []byte) (int, error) {
 	n, err := s.body.Read(p)
-	if errors.Is(err, io.EOF) && s.broken != nil {
-		err = s.broken
+	if errors.Is(err, io.EOF) && s.readErr != nil {
+		err = s.readErr
 	}
 	return n, err
 }
 
-// caller keeps what arrives.
+// caller is a Sink that records the answer.
 type caller struct {
 	status int
 	body   strings.Builder
@@ -116,17 +119,18 @@
 }
 
 var (
-	notSent  = step{err: fmt.Errorf("%w: refused", external.ErrNotSent)}
-	lost     = step{err: fmt.Errorf("%w: reset", external.ErrMayHaveRun)}
-	notRun   = step{reply: exchange.Reply{Status: http.StatusServiceUnavailable, NotRun: true}}
-	replaced = step{reply: exchange.Reply{Status: http.StatusMisdirectedRequest, NotRun: true, Elsewhere: true}}
+	unreachable    = scriptedAnswer{err: fmt.Errorf("%w: refused", external.ErrNotSent)}
+	connectionLost = scriptedAnswer{err: fmt.Errorf("%w: reset", external.ErrMayHaveRun)}
+	notRun         = scriptedAnswer{reply: exchange.Reply{Status: http.StatusServiceUnavailable, NotRun: true}}
+	replaced       = scriptedAnswer{reply: exchange.Reply{Status: http.StatusMisdirectedRequest, NotRun: true, Elsewhere: true}}
 )
 
-// answers is the whole answer from an event on.
-func answers(from, to int) step {
-	return step{reply: exchange.Reply{Status: http.StatusOK}, body: events(from, to)}
+// streamOf is a complete stream of the events from up to, but not including, to.
+func streamOf(from, to int) scriptedAnswer {
+	return scriptedAnswer{reply: exchange.Reply{Status: http.StatusOK}, body: events(from, to)}
 }
 
+// events returns the body of such a stream.
 func events(from, to int) string {
 	var out strings.Builder
 	for n := from; n < to; n++ {
@@ -135,129 +139,132 @@
 	return out.String()
 }
 
-// breaksAfter answers so many events, and then a part of the next one.
-func breaksAfter(count int) step {
-	s := answers(0, count)
+// truncatedAfter is a stream that breaks off within the event after the first count
+// events.
+func truncatedAfter(count int) scriptedAnswer {
+	s := streamOf(0, count)
 	s.body += fmt.Sprintf("id: %d\nda", count)
-	s.broken = errors.New("reset")
+	s.readErr = errors.New("reset")
 	return s
 }
 
-const timeLeft = 5 * time.Second
+const requestTime = 5 * time.Second
 
 var (
-	onceRoute  = route.Route{Kind: route.Stream, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 1}
-	againRoute = route.Route{Kind: route.Stream, Resumable: true, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 2}
+	atMostOnceRoute = route.Route{Kind: route.Stream, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 1}
+	resumableRoute  = route.Route{Kind: route.Stream, Resumable: true, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 2}
 )
 
-// serve has a request served by targets that follow a script.
-func serve(t *testing.T, r route.Route, f *fleet) (Outcome, *caller, time.Duration) {
+// serve has a Relay serve a request with the targets of f. It returns the outcome,
+// what the caller received and the time that passed.
+func serve(t *testing.T, r route.Route, f *scriptedFleet) (Outcome, *caller, time.Duration) {
 	t.Helper()
 	now := time.Now()
-	to := &caller{}
+	received := &caller{}
 	relay := New(Options{Targets: f, Placer: f, Logger: log.NewNopLogger()})
 	outcome := relay.Serve(t.Context(), &RoutedRequest{
 		Request: &exchange.Request{ID: "r", Method: http.MethodPost, After: exchange.FromStart}, Route: &r, Service: "s",
-		ReceivedAt: now, Deadline: now.Add(timeLeft),
-	}, to)
-	return outcome, to, time.Since(now)
+		ReceivedAt: now, Deadline: now.Add(requestTime),
+	}, received)
+	return outcome, received, time.Since(now)
 }
 
-// Targets are gone, full or have been replaced. As long as each of them says, or shows,
-// that it did not begin the request, it goes to the next one, never to the same again,
-// whether it may be repeated or not.
-func TestRequestThatDidNotRunGoesOn(t *testing.T) {
+// Guards against a request that fails, or returns to the same target, although no
+// target ran it: the first three targets are down, full and replaced. The request
+// then goes to the next target, also if it is not idempotent.
+func TestUnstartedRequestIsRetriedAtOtherTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{steps: []step{notSent, notRun, replaced, answers(0, 5)}}
-		outcome, to, _ := serve(t, onceRoute, f)
+		f := &scriptedFleet{script: []scriptedAnswer{unreachable, notRun, replaced, streamOf(0, 5)}}
+		outcome, received, _ := serve(t, atMostOnceRoute, f)
 		require.Equal(t, Relayed, outcome.Reason)
 		require.Equal(t, 4, outcome.Attempts)
 		require.Equal(t, 1, outcome.PossibleRuns)
-		require.Equal(t, events(0, 5), to.body.String())
-		require.Equal(t, []string{"t0", "t1", "t2"}, f.wants[3].Exclude)
-		require.Equal(t, []placement.Result{placement.Unreachable, placement.Full, placement.Replaced, placement.Served}, f.done)
+		require.Equal(t, events(0, 5), received.body.String())
+		require.Equal(t, []string{"t0", "t1", "t2"}, f.requirements[3].Exclude)
+		require.Equal(t, []placement.Result{placement.Unreachable, placement.Full, placement.Replaced, placement.Served}, f.results)
 	})
 }
 
-// No target begins the request. It is refused as not run, with when to come back.
-func TestRequestThatNobodyTakesIsRefused(t *testing.T) {
+// Guards against a status that leaves open whether the request ran, or that lacks a
+// Retry-After, when no target ran the request.
+func TestRequestRejectedByAllTargetsFailsAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome, _, _ := serve(t, onceRoute, &fleet{steps: []step{notRun, notRun, notRun, notSent}})
-		require.Equal(t, NotTaken, outcome.Reason)
+		outcome, _, _ := serve(t, atMostOnceRoute, &scriptedFleet{script: []scriptedAnswer{notRun, notRun, notRun, unreachable}})
+		require.Equal(t, NotAccepted, outcome.Reason)
 		require.Equal(t, http.StatusServiceUnavailable, outcome.Status)
 		require.Positive(t, outcome.RetryAfter)
 	})
 }
 
-// A target took the request and its connection ended. Run once more elsewhere it could
-// run twice; refused with a status that promises that it did not run, its caller would
-// send it again.
-func TestRequestThatMayHaveRunRunsNoSecondTime(t *testing.T) {
+// Guards against a request that is not idempotent and runs twice: the connection is
+// lost after a target took the request. A retry at another target could run it again,
+// and after a status that promises that it did not run, the caller would send it again.
+func TestNonIdempotentRequestIsNotRetriedAfterLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{steps: []step{notRun, lost}}
-		outcome, _, _ := serve(t, onceRoute, f)
-		require.Equal(t, Lost, outcome.Reason)
+		f := &scriptedFleet{script: []scriptedAnswer{notRun, connectionLost}}
+		outcome, _, _ := serve(t, atMostOnceRoute, f)
+		require.Equal(t, AnswerLost, outcome.Reason)
 		require.Equal(t, http.StatusBadGateway, outcome.Status)
 		require.Len(t, f.sent, 2)
-		require.Equal(t, placement.Broken, f.done[1])
+		require.Equal(t, placement.Broken, f.results[1])
 	})
 }
 
-// A stream that may be resumed breaks off in the middle of an event. It goes on at
-// another target after the last whole one; the caller gets none twice and none in part.
-func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+// Guards against duplicate or partial events: a resumable stream breaks off in the
+// middle of an event and resumes at another target after the last complete event.
+func TestStreamResumesAfterLastCompleteEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{steps: []step{breaksAfter(3), answers(3, 6)}}
-		outcome, to, _ := serve(t, againRoute, f)
+		f := &scriptedFleet{script: []scriptedAnswer{truncatedAfter(3), streamOf(3, 6)}}
+		outcome, received, _ := serve(t, resumableRoute, f)
 		require.Equal(t, Relayed, outcome.Reason)
-		require.Equal(t, events(0, 6), to.body.String())
+		require.Equal(t, events(0, 6), received.body.String())
 		require.Equal(t, 2, f.sent[1].After)
 	})
 }
 
-// The same stream, but its route allows no further run, or may not be resumed. What has
-// begun is cut off, so that it does not look whole.
-func TestStreamThatCannotGoOnIsCutOff(t *testing.T) {
+// Guards against a partial answer that looks complete: a stream breaks off, and its
+// route is not resumable or allows no further run.
+func TestStreamThatCannotResumeIsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome, to, _ := serve(t, onceRoute, &fleet{steps: []step{breaksAfter(3)}})
-		require.Equal(t, CutOff, outcome.Reason)
-		require.Equal(t, events(0, 3), to.body.String())
+		outcome, received, _ := serve(t, atMostOnceRoute, &scriptedFleet{script: []scriptedAnswer{truncatedAfter(3)}})
+		require.Equal(t, Truncated, outcome.Reason)
+		require.Equal(t, events(0, 3), received.body.String())
 
-		outcome, to, _ = serve(t, againRoute, &fleet{steps: []step{breaksAfter(3), lost}})
-		require.Equal(t, CutOff, outcome.Reason)
-		require.Equal(t, events(0, 3), to.body.String())
+		outcome, received, _ = serve(t, resumableRoute, &scriptedFleet{script: []scriptedAnswer{truncatedAfter(3), connectionLost}})
+		require.Equal(t, Truncated, outcome.Reason)
+		require.Equal(t, events(0, 3), received.body.String())
 	})
 }
 
-// All targets are full. The request waits for a part of its time only, so that its
-// caller can still be served elsewhere.
-func TestFullTargetsAreNotWaitedForToTheEnd(t *testing.T) {
+// Guards against a request that waits for a free slot until its deadline while all
+// targets are full. The caller needs time to retry at another instance.
+func TestWaitForFreeSlotEndsBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome, _, took := serve(t, onceRoute, &fleet{full: true})
+		outcome, _, elapsed := serve(t, atMostOnceRoute, &scriptedFleet{noFreeSlot: true})
 		require.Equal(t, AllFull, outcome.Reason)
 		require.Equal(t, http.StatusServiceUnavailable, outcome.Status)
-		require.Less(t, took, timeLeft/2)
-		require.Less(t, outcome.RetryAfter, (timeLeft-took)/3, "callers wait no longer than a third of what is left")
+		require.Less(t, elapsed, requestTime/2)
+		require.Less(t, outcome.RetryAfter, (requestTime-elapsed)/3, "a caller waits for at most a third of the remaining time before it retries")
 	})
 }
 
-// No target is known at all. Waiting would be of no use.
-func TestUnknownTargetsAreNotWaitedFor(t *testing.T) {
+// Guards against waiting for a slot when the service has no known target.
+func TestRequestFailsAtOnceWithoutTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome, _, took := serve(t, onceRoute, &fleet{unknown: true})
+		outcome, _, elapsed := serve(t, atMostOnceRoute, &scriptedFleet{noTargets: true})
 		require.Equal(t, NoTarget, outcome.Reason)
 		require.Equal(t, http.StatusServiceUnavailable, outcome.Status)
-		require.Zero(t, took)
+		require.Zero(t, elapsed)
 	})
 }
 
-// A target takes the request and never answers. At the caller's deadline the answer
-// promises nothing, since it may have run.
-func TestRequestThatHangsEndsAtItsDeadline(t *testing.T) {
+// Guards against a status that promises that the request did not run: a target takes
+// the request and does not answer before the caller's deadline.
+func TestUnansweredRequestTimesOutAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome, _, took := serve(t, onceRoute, &fleet{steps: []step{{hangs: true}}})
+		outcome, _, elapsed := serve(t, atMostOnceRoute, &scriptedFleet{script: []scriptedAnswer{{neverAnswers: true}}})
 		require.Equal(t, TimedOut, outcome.Reason)
 		require.Equal(t, http.StatusGatewayTimeout, outcome.Status)
-		require.Equal(t, timeLeft, took)
+		require.Equal(t, requestTime, elapsed)
 	})
 }
--- /dev/null
+++ b/internal/coordination/routed/relay/stall.go
@@ -0,0 +1,151 @@
+package relay
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"merlintiller/internal/coordination/routed/placement"
+)
+
+const (
+	// firstByteTimeoutFraction is the fraction of the route's objective after
+	// which an exchange without an answer counts as stalled and a request that may
+	// be retried tries to fail over. A target with a free slot answers within a
+	// tenth of the objective, so a second target still answers in time.
+	firstByteTimeoutFraction = 0.5
+	// gapTimeoutFraction is the fraction of the route's longest gap between two
+	// events after which a stream counts as stalled.
+	gapTimeoutFraction = 0.6
+	// minFirstByteTimeout and minGapTimeout are the lower bounds of the two
+	// timeouts, so that a short objective does not make every target suspect.
+	minFirstByteTimeout = 100 * time.Millisecond
+	minGapTimeout       = 250 * time.Millisecond
+	// failoverRetryInterval is the time between two attempts of a stalled request
+	// to fail over.
+	failoverRetryInterval = 150 * time.Millisecond
+)
+
+// stallMonitor detects that one exchange with a target makes no progress. It then
+// marks the target as suspect, and cancels the exchange if the request may be
+// retried and another target has a free slot at once. Without a reserved slot the
+// request stays: it would have to queue behind other requests, while its target
+// may only be busy.
+type stallMonitor struct {
+	// ctx is the context of the exchange, cancel ends it.
+	ctx    context.Context
+	cancel context.CancelFunc
+	call   *call
+	choice placement.Choice
+	// requirements is what another target has to satisfy.
+	requirements placement.Want
+	// mayFailOver is set if the route allows another run of the request.
+	mayFailOver bool
+
+	mu    sync.Mutex
+	timer *time.Timer
+	// clearSuspicion removes the mark from a suspect target, nil if the target is
+	// not suspect.
+	clearSuspicion func()
+	// failover is the target with a reserved slot for which the exchange was
+	// cancelled.
+	failover *placement.Choice
+	stopped  bool
+}
+
+// monitorStalls starts the monitor of an exchange.
+func (c *call) monitorStalls(ctx context.Context, choice placement.Choice) *stallMonitor {
+	ctx, cancel := context.WithCancel(ctx)
+	m := &stallMonitor{
+		ctx: ctx, cancel: cancel, call: c, choice: choice, requirements: c.requirements(),
+		mayFailOver: c.Route.Repeatable() && c.outcome.PossibleRuns+1 < c.Route.MaxAttempts,
+	}
+	limit := c.gapTimeout()
+	if !c.headSent {
+		limit = max(minFirstByteTimeout, time.Duration(firstByteTimeoutFraction*float64(c.Route.Objective)))
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.timer = time.AfterFunc(limit, m.onTimeout)
+	return m
+}
+
+// gapTimeout returns the time without an event after which a stream counts as
+// stalled.
+func (c *call) gapTimeout() time.Duration {
+	return max(minGapTimeout, time.Duration(gapTimeoutFraction*float64(c.Route.Gap)))
+}
+
+// onTimeout runs when no data arrived within the timeout.
+func (m *stallMonitor) onTimeout() {
+	m.mu.Lock()
+	if m.stopped {
+		m.mu.Unlock()
+		return
+	}
+	if m.clearSuspicion == nil {
+		m.clearSuspicion = m.call.opts.Placer.Waiting(m.choice)
+	}
+	m.mu.Unlock()
+	if m.mayFailOver {
+		m.failOver()
+	}
+}
+
+// failOver tries to reserve a slot at another target and cancels the exchange if
+// that succeeds. Otherwise it is tried again after failoverRetryInterval.
+func (m *stallMonitor) failOver() {
+	choice, found := m.call.opts.Placer.TryPlace(m.ctx, m.requirements)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch {
+	case !found:
+		m.timer.Reset(failoverRetryInterval)
+	case m.stopped:
+		go m.call.opts.Placer.Done(choice, placement.Left)
+	default:
+		m.failover = &choice
+		m.cancel()
+	}
+}
+
+// progress records that data arrived: the target is not suspect any more and the
+// timeout starts anew.
+func (m *stallMonitor) progress() {
+	m.call.opts.Placer.Heard(m.choice.ID)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.clearSuspicion != nil {
+		m.clearSuspicion()
+		m.clearSuspicion = nil
+	}
+	m.timer.Reset(m.call.gapTimeout())
+}
+
+// result returns the result of a failed exchange: a time-out if the target is
+// suspect, a cancellation if the request failed over, fallback otherwise.
+func (m *stallMonitor) result(fallback placement.Result) placement.Result {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.clearSuspicion != nil {
+		return placement.Silent
+	}
+	if m.failover != nil {
+		return placement.Left
+	}
+	return fallback
+}
+
+// stop ends the monitoring and returns the target for which the exchange was
+// cancelled, nil if it was not cancelled for one.
+func (m *stallMonitor) stop() *placement.Choice {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopped = true
+	m.timer.Stop()
+	if m.clearSuspicion != nil {
+		m.clearSuspicion()
+	}
+	m.cancel()
+	return m.failover
+}
