--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// TakeConfig takes over a configuration if it is newer than the one in force.
-func (v *View) TakeConfig(raw []byte, from string) {
+// AdoptConfig takes over a configuration if it is newer than the one in force.
+func (v *View) AdoptConfig(raw []byte, from string) {
 	config, err := v.opts.Decoders.Config(raw)
 	if err != nil {
 		_ = level.Error(v.logger).Log("event", "config_unreadable", "from", from, "err", err)
--- a/internal/coordination/routed/fleetview/watch.go
+++ b/internal/coordination/routed/fleetview/watch.go
@@ -64,7 +64,7 @@
 func (v *View) takeConfigs(page external.KeyedPage) {
 	for _, record := range page.Records {
 		if record.Key == v.opts.Sources.ConfigKey && len(record.Value) > 0 {
-			v.TakeConfig(record.Value, "store")
+			v.AdoptConfig(record.Value, "store")
 		}
 	}
 }
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -40,7 +40,7 @@
 // Adopt implements mesh.Local.
 func (l *local) Adopt(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
-		l.view.TakeConfig(reply.Config, "peer")
+		l.view.AdoptConfig(reply.Config, "peer")
 	}
 	if reply.Listed {
 		l.view.TakeTargets(reply.Targets, reply.RosterMark)
