--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -271,8 +271,8 @@
 	return told(time.Now(), v.roster.All()), v.roster.Mark(), true
 }
 
-// TakeTargets takes over a list that another instance read.
-func (v *View) TakeTargets(list []roster.Target, mark int64) {
+// AdoptTargets takes over a list that another instance read.
+func (v *View) AdoptTargets(list []roster.Target, mark int64) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -312,7 +312,7 @@
 			list = append(list, t)
 		}
 	}
-	v.TakeTargets(list, page.End)
+	v.AdoptTargets(list, page.End)
 }
 
 // applyTargets takes over changes of the list.
--- a/internal/coordination/routed/fleetview/view_test.go
+++ b/internal/coordination/routed/fleetview/view_test.go
@@ -219,7 +219,7 @@
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		store.drop("own")
-		v.view.TakeTargets([]roster.Target{{ID: "far"}}, store.end())
+		v.view.AdoptTargets([]roster.Target{{ID: "far"}}, store.end())
 		require.Equal(t, []string{"far", "own"}, v.usable())
 
 		store.setAway(false)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -43,7 +43,7 @@
 		l.view.AdoptConfig(reply.Config, "peer")
 	}
 	if reply.Listed {
-		l.view.TakeTargets(reply.Targets, reply.RosterMark)
+		l.view.AdoptTargets(reply.Targets, reply.RosterMark)
 	}
 }
 
