--- a/internal/coordination/routed/fleetview/drains.go
+++ b/internal/coordination/routed/fleetview/drains.go
@@ -17,8 +17,8 @@
 	return v.drains
 }
 
-// TakeDrains takes over what another instance knows of drains, if that is newer.
-func (v *View) TakeDrains(newer roster.Drains, from string) {
+// AdoptDrains takes over what another instance knows of drains, if that is newer.
+func (v *View) AdoptDrains(newer roster.Drains, from string) {
 	v.changeDrains(from, func(d *roster.Drains) { d.Take(newer) })
 }
 
@@ -30,7 +30,7 @@
 			newer.Domains = append(newer.Domains, domain)
 		}
 	}
-	v.TakeDrains(newer, "store")
+	v.AdoptDrains(newer, "store")
 }
 
 // applyDrains takes over what operators wrote since.
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -50,7 +50,7 @@
 // PeerHeard implements mesh.Local.
 func (l *local) PeerHeard(beat mesh.Beat, patience time.Duration) {
 	if !beat.Relayed {
-		l.view.TakeDrains(beat.Drains, "peer")
+		l.view.AdoptDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
 	}
 	var levels quota.Levels
