--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -250,9 +250,9 @@
 	}
 }
 
-// Config gives the configuration as operators wrote it if it is newer than a
+// ConfigNewerThan gives the configuration as operators wrote it if it is newer than a
 // version.
-func (v *View) Config(than int64) []byte {
+func (v *View) ConfigNewerThan(than int64) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.Version() <= than {
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -32,7 +32,7 @@
 
 // Newer implements mesh.Local.
 func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
-	reply := mesh.SnapshotReply{Config: l.view.Config(args.ConfigVersion)}
+	reply := mesh.SnapshotReply{Config: l.view.ConfigNewerThan(args.ConfigVersion)}
 	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
 	return reply
 }
