--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -261,8 +261,8 @@
 	return v.raw
 }
 
-// Targets gives the list and how far it was read, if that is newer than a mark.
-func (v *View) Targets(than int64) ([]roster.Target, int64, bool) {
+// TargetsNewerThan gives the list and how far it was read, if that is newer than a mark.
+func (v *View) TargetsNewerThan(than int64) ([]roster.Target, int64, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.listed || v.roster.Mark() <= than {
--- a/internal/daemon/routed/follow_test.go
+++ b/internal/daemon/routed/follow_test.go
@@ -12,7 +12,7 @@
 
 // leavingAt says whether an instance knows that a target leaves.
 func (n *node) leavingAt(id string) bool {
-	list, _, _ := n.daemon.view.Targets(-1)
+	list, _, _ := n.daemon.view.TargetsNewerThan(-1)
 	for _, t := range list {
 		if t.ID == id {
 			return t.Leaving
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -33,7 +33,7 @@
 // Newer implements mesh.Local.
 func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
 	reply := mesh.SnapshotReply{Config: l.view.ConfigNewerThan(args.ConfigVersion)}
-	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
+	reply.Targets, reply.RosterMark, reply.Listed = l.view.TargetsNewerThan(args.RosterMark)
 	return reply
 }
 
