--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -164,8 +164,8 @@
 	v.answered = now
 }
 
-// Mark is how far the list of targets was read.
-func (v *View) Mark() int64 {
+// RosterMark is how far the list of targets was read.
+func (v *View) RosterMark() int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roster.Mark()
