--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -171,8 +171,8 @@
 	return v.roster.Mark()
 }
 
-// Digest sums up the list of targets, so that two instances whose lists differ notice.
-func (v *View) Digest() uint64 {
+// RosterDigest sums up the list of targets, so that two instances whose lists differ notice.
+func (v *View) RosterDigest() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.digest
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -13,7 +13,7 @@
 
 // Versions implements mesh.Local.
 func (l *local) Versions() mesh.Versions {
-	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.RosterMark(), RosterDigest: l.view.Digest(), StoreAge: l.view.StoreAge()}
+	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.RosterMark(), RosterDigest: l.view.RosterDigest(), StoreAge: l.view.StoreAge()}
 }
 
 // Describe implements mesh.Local.
