--- a/internal/coordination/routed/fleetview/view_test.go
+++ b/internal/coordination/routed/fleetview/view_test.go
@@ -134,7 +134,7 @@
 
 // watchTargets runs the watch of the targets until ctx ends.
 func (v *viewing) watchTargets(ctx context.Context) {
-	for _, duty := range v.view.Duties() {
+	for _, duty := range v.view.BackgroundServices() {
 		if w := duty.(*watch); w.name == "targets" {
 			go func() { _ = w.Serve(ctx) }()
 		}
--- a/internal/coordination/routed/fleetview/watch.go
+++ b/internal/coordination/routed/fleetview/watch.go
@@ -35,8 +35,8 @@
 
 var watchFailures = metrics.NewCounter(`store_watch_failures_total`)
 
-// Duties are the watches, to be run by a supervisor.
-func (v *View) Duties() []suture.Service {
+// BackgroundServices are the watches, to be run by a supervisor.
+func (v *View) BackgroundServices() []suture.Service {
 	return []suture.Service{
 		&watch{
 			view: v, name: "config", partition: v.opts.Sources.Operators, wait: configWait,
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -201,7 +201,7 @@
 // invariant and stops the process; the platform starts it again.
 func (d *Daemon) plant() {
 	d.tree = suture.New("tillerd", suture.Spec{EventHook: d.event, PassThroughPanics: true})
-	for _, duty := range d.view.Duties() {
+	for _, duty := range d.view.BackgroundServices() {
 		d.tree.Add(duty)
 	}
 	d.tree.Add(d.peers)
