--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -57,8 +57,8 @@
 	// OnConfig and OnTargets are told of each change, in order.
 	OnConfig  func(*route.Table)
 	OnTargets func([]roster.Target)
-	// Follows says that other instances tell of the list of targets. Nil: never.
-	Follows func() bool
+	// TargetsFromPeers says that other instances tell of the list of targets. Nil: never.
+	TargetsFromPeers func() bool
 }
 
 // View is what the instance knows. It is safe for concurrent use.
@@ -191,7 +191,7 @@
 // follows says that nothing need be read of the targets: the list was read once, and
 // other instances tell what changes.
 func (v *View) follows() bool {
-	if v.opts.Follows == nil || !v.opts.Follows() {
+	if v.opts.TargetsFromPeers == nil || !v.opts.TargetsFromPeers() {
 		return false
 	}
 	v.mu.Lock()
