--- a/internal/coordination/routed/fleetview/drains.go
+++ b/internal/coordination/routed/fleetview/drains.go
@@ -19,7 +19,7 @@
 
 // AdoptDrains takes over what another instance knows of drains, if that is newer.
 func (v *View) AdoptDrains(newer roster.Drains, from string) {
-	v.changeDrains(from, func(d *roster.Drains) { d.Take(newer) })
+	v.changeDrains(from, func(d *roster.Drains) { d.Adopt(newer) })
 }
 
 // replaceDrains takes over all that operators have written.
--- a/internal/state/roster/drains.go
+++ b/internal/state/roster/drains.go
@@ -41,8 +41,8 @@
 // Read notes that all records before an offset were read.
 func (d *Drains) Read(mark int64) { d.Mark = max(d.Mark, mark) }
 
-// Take takes over a newer state as a whole, and says whether it was newer.
-func (d *Drains) Take(newer Drains) bool {
+// Adopt takes over a newer state as a whole, and says whether it was newer.
+func (d *Drains) Adopt(newer Drains) bool {
 	if !newer.Known || d.Known && newer.Mark <= d.Mark {
 		return false
 	}
--- a/internal/state/roster/drains_test.go
+++ b/internal/state/roster/drains_test.go
@@ -15,7 +15,7 @@
 	require.Equal(t, []string{"a"}, d.Domains)
 	d.Apply(5, "b", true)
 	require.Equal(t, []string{"a"}, d.Domains)
-	require.False(t, d.Take(Drains{Known: true, Mark: 5, Domains: []string{"b"}}))
+	require.False(t, d.Adopt(Drains{Known: true, Mark: 5, Domains: []string{"b"}}))
 	require.True(t, d.Has("a"))
 	require.False(t, d.Has("b"))
 }
@@ -24,10 +24,10 @@
 // end is gone, and only the whole state shows that the drain has ended.
 func TestNewerStateEndsADrain(t *testing.T) {
 	d := Drains{}
-	require.False(t, d.Take(Drains{Mark: 9, Domains: []string{"a"}}), "from one that knows nothing")
-	require.True(t, d.Take(Drains{Known: true, Mark: 3, Domains: []string{"b", "a"}}))
+	require.False(t, d.Adopt(Drains{Mark: 9, Domains: []string{"a"}}), "from one that knows nothing")
+	require.True(t, d.Adopt(Drains{Known: true, Mark: 3, Domains: []string{"b", "a"}}))
 	require.Equal(t, []string{"a", "b"}, d.Domains)
-	require.True(t, d.Take(Drains{Known: true, Mark: 8}))
+	require.True(t, d.Adopt(Drains{Known: true, Mark: 8}))
 	require.Empty(t, d.Domains)
 	require.EqualValues(t, 8, d.Mark)
 }
