--- a/internal/coordination/routed/fleetview/drains.go
+++ b/internal/coordination/routed/fleetview/drains.go
@@ -41,7 +41,7 @@
 				d.Apply(record.Offset, domain, len(record.Value) > 0)
 			}
 		}
-		d.Read(page.Next)
+		d.AdvanceTo(page.Next)
 	})
 }
 
--- a/internal/state/roster/drains.go
+++ b/internal/state/roster/drains.go
@@ -38,8 +38,8 @@
 	d.Domains = slices.Sorted(maps.Keys(set))
 }
 
-// Read notes that all records before an offset were read.
-func (d *Drains) Read(mark int64) { d.Mark = max(d.Mark, mark) }
+// AdvanceTo notes that all records before an offset were read.
+func (d *Drains) AdvanceTo(mark int64) { d.Mark = max(d.Mark, mark) }
 
 // Adopt takes over a newer state as a whole, and says whether it was newer.
 func (d *Drains) Adopt(newer Drains) bool {
