--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -322,7 +322,7 @@
 	defer v.mu.Unlock()
 	for _, record := range page.Records {
 		if len(record.Value) == 0 {
-			v.roster.Drop(record.Offset, record.Key, v.lapseUntil(now))
+			v.roster.Remove(record.Offset, record.Key, v.lapseUntil(now))
 			_ = level.Info(v.logger).Log("event", "target_unlisted", "target", record.Key, "offset", record.Offset)
 			continue
 		}
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -74,13 +74,13 @@
 	delete(r.lapsed, t.ID)
 }
 
-// Drop removes an entry. Its target is still used until a time if that is in
+// Remove removes an entry. Its target is still used until a time if that is in
 // the future and the target did not say that it leaves.
 //
 // What goes wrong without that: the platform's store is away for longer than
 // entries last. On its return the list is empty for a moment, although every
 // target serves; all requests of that moment would be refused.
-func (r *Roster) Drop(offset int64, id string, until time.Time) {
+func (r *Roster) Remove(offset int64, id string, until time.Time) {
 	r.advance(offset)
 	r.drop(id, until)
 }
