--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -329,7 +329,7 @@
 		if t, ok := v.decoded(record); ok {
 			v.roster.Put(record.Offset, heard(now, []roster.Target{t})[0])
 		} else {
-			v.roster.Skip(record.Offset, record.Key)
+			v.roster.Invalidate(record.Offset, record.Key)
 		}
 	}
 	v.tellTargets()
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// Skip notes an entry that names no target to use.
-func (r *Roster) Skip(offset int64, id string) {
+// Invalidate notes an entry that names no target to use.
+func (r *Roster) Invalidate(offset int64, id string) {
 	r.advance(offset)
 	delete(r.targets, id)
 	delete(r.lapsed, id)
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -54,7 +54,7 @@
 func TestUnreadableEntryNamesNoTarget(t *testing.T) {
 	r := New()
 	r.Put(0, Target{ID: "a"})
-	r.Skip(1, "a")
+	r.Invalidate(1, "a")
 	require.Empty(t, r.Usable(start))
 	require.EqualValues(t, 2, r.Mark())
 }
