--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -292,7 +292,7 @@
 		v.graceEnd.Stop()
 		v.graceEnd = nil
 	}
-	if end := v.roster.NextEnd(); !end.IsZero() {
+	if end := v.roster.NextExpiry(); !end.IsZero() {
 		v.graceEnd = time.AfterFunc(end.Sub(now), v.endGrace)
 	}
 }
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -147,9 +147,9 @@
 	return out
 }
 
-// NextEnd is when the next target that is used without an entry stops being
+// NextExpiry is when the next target that is used without an entry stops being
 // used, zero if there is none. Usable gives another list from then on.
-func (r *Roster) NextEnd() (end time.Time) {
+func (r *Roster) NextExpiry() (end time.Time) {
 	for _, l := range r.lapsed {
 		if end.IsZero() || l.until.Before(end) {
 			end = l.until
