--- a/internal/state/roster/drains.go
+++ b/internal/state/roster/drains.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// Drains are the failure domains that operators have drained: nothing new goes to the
-// targets there until operators take that back.
+// Drains is the set of failure domains that operators have drained. Targets of a
+// drained domain get no new requests until an operator ends the drain.
 type Drains struct {
-	// Known says that what operators wrote was read at least once.
+	// Known is set once the operators' records have been read.
 	Known bool
-	// Mark is the offset up to which it was read. A larger one is newer, whoever read it.
+	// Mark is the offset in the store up to which the records have been read. Of two
+	// states the one with the larger mark is the newer, whichever instance read it.
 	Mark int64
-	// Domains are in order.
+	// Domains holds the names of the drained failure domains, sorted.
 	Domains []string
 }
 
-// Has says that a failure domain is drained.
+// Has reports whether a failure domain is drained.
 func (d *Drains) Has(domain string) bool { return slices.Contains(d.Domains, domain) }
 
-// Apply takes over one record. One that was read before changes nothing: a store that is
-// behind may give it again after a newer one.
+// Apply applies one record. A record with an offset below the mark is ignored: a store
+// node that lags may return it after a newer one.
 func (d *Drains) Apply(offset int64, domain string, drained bool) {
 	if offset < d.Mark {
 		return
@@ -38,10 +39,10 @@
 	d.Domains = slices.Sorted(maps.Keys(set))
 }
 
-// AdvanceTo notes that all records before an offset were read.
+// AdvanceTo records that all records below an offset have been read.
 func (d *Drains) AdvanceTo(mark int64) { d.Mark = max(d.Mark, mark) }
 
-// Adopt takes over a newer state as a whole, and says whether it was newer.
+// Adopt replaces the state if the other one is newer, and reports whether it did.
 func (d *Drains) Adopt(newer Drains) bool {
 	if !newer.Known || d.Known && newer.Mark <= d.Mark {
 		return false
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -1,5 +1,6 @@
-// Package roster keeps which targets exist, as the platform lists them. It is
-// pure: changes and the time come in as arguments.
+// Package roster holds the targets that the platform lists and the failure domains
+// that operators have drained. It has no clock and does no I/O: changes and the
+// current time are passed in.
 package roster
 
 import (
@@ -8,104 +9,118 @@
 	"time"
 )
 
-// Target is one listed target.
+// Target is the entry of one target in the platform's list.
+//
+// The field names of Target and Warming and their order are part of the digest by
+// which instances compare their lists (fleetview), and instances exchange them under
+// these names. A renamed field would make lists of different releases differ.
 type Target struct {
-	// ID names one start of a target, or several if Started differs.
-	ID      string
+	// ID identifies one process of a target. If a restarted process keeps the id,
+	// Started differs.
+	ID string
+	// Service is the name of the service that the target belongs to.
 	Service string
-	// Address is "ip:port". Another target may get it once this one is gone.
+	// Address is "ip:port". Another target may get it after this one terminates.
 	Address string
-	Domain  string
-	// Slots is how many requests it runs at once. 0: not known.
+	// Domain is the target's failure domain.
+	Domain string
+	// Slots is the number of requests that the target runs concurrently. 0: unknown.
 	Slots int
-	// Leaving says that the target will go and wants no new requests.
+	// Leaving is set if the target is shutting down and accepts no new requests.
 	Leaving bool
-	// Started is when the target started, in Unix milliseconds. 0: not known.
+	// Started is when the target started, in Unix milliseconds. 0: unknown.
 	Started int64
-	// WarmUp is how much longer the target warms up, from the entry's writing.
+	// WarmUp is the remaining warm-up time of the target when the entry was written.
 	WarmUp time.Duration
-	// Warming is what follows for this instance. Lists that others are told lack it.
+	// Warming is the warm-up state by this instance's clock. It is empty in lists
+	// that are sent to other instances.
 	Warming Warming
-	// HealthPath is where the target says how it is. Lists that others are told lack it.
+	// HealthPath is the URL path of the target's health check. It is empty in lists
+	// that are sent to other instances.
 	HealthPath string
 }
 
-// Warming is what is known of the time after a target's start in which it bears few
-// requests.
+// Warming describes the warm-up of a target: the time after its start during which it
+// can serve only few requests.
 type Warming struct {
-	// Until is the end of that time, by this instance's clock. Assumed says that the target
-	// has not said so itself.
-	Until   time.Time
+	// Until is the end of the warm-up by this instance's clock.
+	Until time.Time
+	// Assumed is set if the target has not reported Until itself.
 	Assumed bool
-	// Lasts is how long it takes from a start on, Rate how many requests a second may begin
-	// meanwhile. A rate of 0 is no bound.
+	// Lasts is the duration of a warm-up, counted from the target's start.
 	Lasts time.Duration
-	Rate  float64
+	// Rate is the maximum number of requests a second that may start at the target
+	// during its warm-up, from all instances together. 0: no limit.
+	Rate float64
 }
 
-// Roster is not safe for concurrent use.
+// Roster is the list of targets. It is not safe for concurrent use.
 type Roster struct {
 	targets map[string]Target
-	// lapsed are entries that vanished while the list could not be trusted,
-	// with the time until which their targets may still be used.
-	lapsed map[string]lapse
-	// mark is the offset of the list that is applied up to here.
+	// inGrace holds, by target id, the entries that disappeared while the list may
+	// have been incomplete, because the store was unavailable.
+	inGrace map[string]graceEntry
+	// mark is the offset in the store up to which the list has been applied.
 	mark int64
 }
 
-type lapse struct {
+// graceEntry is a target that may be used without an entry until a time.
+type graceEntry struct {
 	target Target
 	until  time.Time
 }
 
-// New returns a roster that knows no target.
+// New returns an empty Roster.
 func New() *Roster {
-	return &Roster{targets: map[string]Target{}, lapsed: map[string]lapse{}}
+	return &Roster{targets: map[string]Target{}, inGrace: map[string]graceEntry{}}
 }
 
-// Mark is the offset up to which the list is applied. A larger mark is a newer
-// list, whoever read it.
+// Mark returns the offset in the store up to which the list has been applied. Of two
+// lists the one with the larger mark is the newer, whichever instance read it.
 func (r *Roster) Mark() int64 { return r.mark }
 
-// Put adds or changes an entry.
+// Put adds or replaces an entry.
 func (r *Roster) Put(offset int64, t Target) {
 	r.advance(offset)
 	r.targets[t.ID] = t
-	delete(r.lapsed, t.ID)
+	delete(r.inGrace, t.ID)
 }
 
-// Remove removes an entry. Its target is still used until a time if that is in
-// the future and the target did not say that it leaves.
+// Remove removes an entry. If graceUntil is not zero, the target may be used until then,
+// unless its entry said that it is leaving.
 //
-// What goes wrong without that: the platform's store is away for longer than
-// entries last. On its return the list is empty for a moment, although every
-// target serves; all requests of that moment would be refused.
-func (r *Roster) Remove(offset int64, id string, until time.Time) {
+// The grace period covers an outage of the platform's store that exceeds the lifetime
+// of the entries. When the store returns, its list is empty until the targets register
+// again, although all of them serve; without the grace period all requests would be
+// rejected meanwhile.
+func (r *Roster) Remove(offset int64, id string, graceUntil time.Time) {
 	r.advance(offset)
-	r.drop(id, until)
+	r.remove(id, graceUntil)
 }
 
-func (r *Roster) drop(id string, until time.Time) {
+func (r *Roster) remove(id string, graceUntil time.Time) {
 	t, known := r.targets[id]
 	if !known {
 		return
 	}
 	delete(r.targets, id)
-	if !t.Leaving && !until.IsZero() {
-		r.lapsed[id] = lapse{target: t, until: until}
+	if !t.Leaving && !graceUntil.IsZero() {
+		r.inGrace[id] = graceEntry{target: t, until: graceUntil}
 	}
 }
 
-// Invalidate notes an entry that names no target to use.
+// Invalidate applies an entry that describes no usable target: the target is not used
+// any more, without a grace period.
 func (r *Roster) Invalidate(offset int64, id string) {
 	r.advance(offset)
 	delete(r.targets, id)
-	delete(r.lapsed, id)
+	delete(r.inGrace, id)
 }
 
-// Replace takes over a whole list as of a mark. Entries that it lacks are
-// dropped as by Drop. An older list than the one known changes nothing.
-func (r *Roster) Replace(mark int64, list []Target, until time.Time) bool {
+// Replace adopts a full list as of a mark and reports whether it did. Entries that the
+// list lacks are removed as by Remove. A list with a smaller mark than the current one
+// is ignored.
+func (r *Roster) Replace(mark int64, list []Target, graceUntil time.Time) bool {
 	if mark < r.mark {
 		return false
 	}
@@ -114,43 +129,44 @@
 	for _, t := range list {
 		listed[t.ID] = true
 		r.targets[t.ID] = t
-		delete(r.lapsed, t.ID)
+		delete(r.inGrace, t.ID)
 	}
 	for id := range r.targets {
 		if !listed[id] {
-			r.drop(id, until)
+			r.remove(id, graceUntil)
 		}
 	}
 	return true
 }
 
+// advance records that the entry at an offset has been applied.
 func (r *Roster) advance(offset int64) {
 	r.mark = max(r.mark, offset+1)
 }
 
-// Usable gives the targets that may get requests now, by id.
+// Usable returns the targets that may get requests at a time, sorted by id.
 func (r *Roster) Usable(now time.Time) []Target {
-	out := make([]Target, 0, len(r.targets)+len(r.lapsed))
+	out := make([]Target, 0, len(r.targets)+len(r.inGrace))
 	for _, t := range r.targets {
 		if !t.Leaving {
 			out = append(out, t)
 		}
 	}
-	for id, l := range r.lapsed {
+	for id, l := range r.inGrace {
 		if now.Before(l.until) {
 			out = append(out, l.target)
 		} else {
-			delete(r.lapsed, id)
+			delete(r.inGrace, id)
 		}
 	}
 	slices.SortFunc(out, byID)
 	return out
 }
 
-// NextExpiry is when the next target that is used without an entry stops being
-// used, zero if there is none. Usable gives another list from then on.
+// NextExpiry returns when the next grace period ends, zero if there is none. Usable
+// returns a different list from then on.
 func (r *Roster) NextExpiry() (end time.Time) {
-	for _, l := range r.lapsed {
+	for _, l := range r.inGrace {
 		if end.IsZero() || l.until.Before(end) {
 			end = l.until
 		}
@@ -158,7 +174,7 @@
 	return end
 }
 
-// All gives the listed targets, by id.
+// All returns the listed targets, sorted by id.
 func (r *Roster) All() []Target {
 	return slices.SortedFunc(maps.Values(r.targets), byID)
 }
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var start = time.Unix(1_000, 0)
+var now = time.Unix(1_000, 0)
 
 func ids(targets []Target) []string {
 	out := []string{}
@@ -17,44 +17,46 @@
 	return out
 }
 
+// Guards against new requests to a target that is shutting down.
 func TestLeavingTargetsAreListedAndNotUsed(t *testing.T) {
 	r := New()
 	r.Put(0, Target{ID: "a"})
 	r.Put(1, Target{ID: "b", Leaving: true})
-	require.Equal(t, []string{"a"}, ids(r.Usable(start)))
+	require.Equal(t, []string{"a"}, ids(r.Usable(now)))
 	require.Equal(t, []string{"a", "b"}, ids(r.All()))
 	require.EqualValues(t, 2, r.Mark())
 }
 
-// The store was away for longer than entries last, and its list came back empty
-// although the targets serve on. They are used for a while; the one that had
-// said that it leaves is not.
-func TestEntriesThatLapsedInAnOutageAreUsedForAWhile(t *testing.T) {
+// Guards against rejecting all requests after a store outage: the store was unavailable
+// for longer than entries live, and its list is empty on return although the targets
+// serve. They are used during the grace period, except the one that was leaving.
+func TestTargetsRemainUsableAfterStoreOutage(t *testing.T) {
 	r := New()
 	r.Put(0, Target{ID: "a"})
 	r.Put(1, Target{ID: "b"})
 	r.Put(2, Target{ID: "c", Leaving: true})
-	until := start.Add(2 * time.Second)
+	until := now.Add(2 * time.Second)
 	require.True(t, r.Replace(9, nil, until))
-	require.Equal(t, []string{"a", "b"}, ids(r.Usable(start)))
+	require.Equal(t, []string{"a", "b"}, ids(r.Usable(now)))
 	r.Put(9, Target{ID: "a"})
-	require.Equal(t, []string{"a"}, ids(r.Usable(until)), "the other one is gone")
-	require.Equal(t, []string{"a"}, ids(r.Usable(start)))
+	require.Equal(t, []string{"a"}, ids(r.Usable(until)), "target b did not register again within the grace period")
+	require.Equal(t, []string{"a"}, ids(r.Usable(now)))
 }
 
-// Two instances read the list at different moments. The older list must not
-// bring back what the newer one dropped.
-func TestOlderListChangesNothing(t *testing.T) {
+// Guards against an older list, read by another instance, that brings back targets
+// which a newer list lacks.
+func TestOlderListIsIgnored(t *testing.T) {
 	r := New()
 	require.True(t, r.Replace(5, []Target{{ID: "a"}}, time.Time{}))
 	require.False(t, r.Replace(4, []Target{{ID: "b"}}, time.Time{}))
-	require.Equal(t, []string{"a"}, ids(r.Usable(start)))
+	require.Equal(t, []string{"a"}, ids(r.Usable(now)))
 }
 
-func TestUnreadableEntryNamesNoTarget(t *testing.T) {
+// Guards against the use of a target whose entry cannot be read any more.
+func TestTargetWithUnreadableEntryIsNotUsed(t *testing.T) {
 	r := New()
 	r.Put(0, Target{ID: "a"})
 	r.Invalidate(1, "a")
-	require.Empty(t, r.Usable(start))
+	require.Empty(t, r.Usable(now))
 	require.EqualValues(t, 2, r.Mark())
 }
