--- a/internal/coordination/routed/fleetview/doc.go
+++ b/internal/coordination/routed/fleetview/doc.go
@@ -1,13 +1,15 @@
-// Package fleetview keeps what an instance knows of the configuration in force
-// and of the targets. Both are read from the platform's store and, where that is
-// cut off, taken from other instances.
+// Package fleetview holds an instance's view of the configuration in force, the
+// targets and the drained failure domains. An instance reads them from the
+// platform's store, and also adopts them from other instances, for example while the
+// store is unreachable.
 //
-// The configuration only moves forward within one life of an instance: a version
-// is taken over if it is newer than the one in force, whoever brought it. The
-// list of targets carries the store's offset, and a list as of an older offset
-// changes nothing.
+// The version of the configuration only increases within one incarnation of an
+// instance: a configuration is adopted if its version is higher than that of the one in
+// force, whether it comes from the store or from an instance. The list of targets
+// carries the offset in the store up to which it was read, and a list with a smaller
+// offset is ignored.
 //
-// A watch may go silent: the connection stays open and nothing comes. So no read
-// waits for long, each has a timeout, and the newest records are read in full
-// now and then.
+// A connection to the store may stay open without delivering anything. Therefore each
+// read has a short wait and a timeout, and the newest records are read in full every
+// reloadInterval.
 package fleetview
--- a/internal/coordination/routed/fleetview/view.go
+++ b/internal/coordination/routed/fleetview/view.go
@@ -17,80 +17,90 @@
 )
 
 const (
-	// lapseGrace is how long after the store's return targets are used whose
-	// entries vanished. Living targets register about once a second and are back
-	// within two; a target that left at the return wants no request two seconds
-	// after its entry went. The return is noticed up to a retry later, and a
-	// request that is placed takes a few milliseconds to arrive: half a second
-	// is left for both.
-	lapseGrace = 1500 * time.Millisecond
-	// outageMemory is how long after the store's return entries may still
-	// vanish because of its absence.
-	outageMemory = time.Second
-	// outageAfter is the time without an answer that counts as the store being
-	// away: one read with its wait, and one lost.
-	outageAfter = 2500 * time.Millisecond
+	// returnGrace is how long after the end of a store outage targets without an
+	// entry are used. Running targets register about once a second and are listed
+	// again within two. A target that left at the end of the outage must get no
+	// request two seconds after its entry was removed. The remaining half a second
+	// covers the retry delay until the end of the outage is noticed and the few
+	// milliseconds that a placed request takes to reach its target.
+	returnGrace = 1500 * time.Millisecond
+	// returnWindow is how long after the end of a store outage missing entries are
+	// attributed to the outage.
+	returnWindow = time.Second
+	// outageThreshold is the time without an answer of the store that counts as an
+	// outage: one read with its wait, and one lost read.
+	outageThreshold = 2500 * time.Millisecond
 )
 
-// Decoders read what operators and targets wrote.
+// Decoders decode the records of operators and targets.
 type Decoders struct {
 	Config func(value []byte) (route.Config, error)
-	// Drain gives the failure domain that a key of what operators write drains.
+	// Drain returns the failure domain that a record with this key drains; ok is
+	// false for other records.
 	Drain  func(key string) (domain string, ok bool)
 	Target func(id string, value []byte) (roster.Target, error)
 }
 
-// Sources says where in the store things stand.
+// Sources names the partitions and keys of the store that a View reads.
 type Sources struct {
+	// Operators is the partition with the records of operators: the configuration
+	// and the drains.
 	Operators external.Partition
-	// ConfigKey is the key of the configuration among what operators write.
+	// ConfigKey is the key of the configuration in the Operators partition.
 	ConfigKey string
-	Targets   external.Partition
+	// Targets is the partition with the entries of the targets.
+	Targets external.Partition
 }
 
-// Options make a View.
+// Options configure a View.
 type Options struct {
 	Log      external.KeyedLog
 	Sources  Sources
 	Decoders Decoders
 	Logger   log.Logger
-	// OnConfig and OnTargets are told of each change, in order.
+	// OnConfig and OnTargets are called on each change, in order. They are called
+	// with the View's lock held.
 	OnConfig  func(*route.Table)
 	OnTargets func([]roster.Target)
-	// TargetsFromPeers says that other instances tell of the list of targets. Nil: never.
+	// TargetsFromPeers reports whether other instances send the changes of the list
+	// of targets, so that this instance need not read them. Nil: never.
 	TargetsFromPeers func() bool
 }
 
-// View is what the instance knows. It is safe for concurrent use.
+// View is an instance's view of the configuration in force, the targets and the
+// drains. It is safe for concurrent use.
 type View struct {
 	opts   Options
 	logger log.Logger
 	table  atomic.Pointer[route.Table]
 
 	mu sync.Mutex
-	// raw is the configuration in force as operators wrote it, for others.
-	raw []byte
-	// since is when it took effect here.
-	since  time.Time
-	roster *roster.Roster
-	// listed says that the list of targets was read at least once.
-	listed bool
-	// drains are the failure domains that get nothing new, undrained when a drain ended.
-	drains    roster.Drains
-	undrained map[string]time.Time
-	// digest sums up the list.
-	digest uint64
-	// answered is when the store answered last, back when it did so again
-	// after an outage.
-	answered, back time.Time
-	changed        chan struct{}
-	// graceEnd runs when the next target without an entry is to be left.
-	graceEnd *time.Timer
+	// rawConfig is the encoded configuration in force, for other instances.
+	rawConfig []byte
+	// configSince is when the configuration in force took effect in this instance.
+	configSince time.Time
+	roster      *roster.Roster
+	// targetsKnown is set once the list of targets was read or received.
+	targetsKnown bool
+	// drains is the set of failure domains whose targets get no new requests.
+	drains roster.Drains
+	// drainEndedAt holds, by failure domain, when its last drain ended.
+	drainEndedAt map[string]time.Time
+	// rosterDigest is the digest of the list of targets.
+	rosterDigest uint64
+	// lastAnswer is when the store last answered, storeReturned when it first
+	// answered after the last outage.
+	lastAnswer, storeReturned time.Time
+	// configChanged is closed and replaced when the configuration changes.
+	configChanged chan struct{}
+	// graceTimer fires when the next grace period of a target without an entry ends,
+	// nil if no target is in a grace period.
+	graceTimer *time.Timer
 }
 
-// New returns a view that knows nothing.
+// New returns an empty View.
 func New(opts Options) *View {
-	v := &View{opts: opts, logger: opts.Logger, roster: roster.New(), undrained: map[string]time.Time{}, changed: make(chan struct{})}
+	v := &View{opts: opts, logger: opts.Logger, roster: roster.New(), drainEndedAt: map[string]time.Time{}, configChanged: make(chan struct{})}
 	metrics.GetOrCreateGauge("config_version_in_force", func() float64 { return float64(v.Version()) })
 	metrics.GetOrCreateGauge("config_age_seconds", func() float64 { return v.ConfigAge().Seconds() })
 	metrics.GetOrCreateGauge("store_age_seconds", func() float64 { return v.StoreAge().Seconds() })
@@ -100,10 +110,10 @@
 	return v
 }
 
-// Table is the configuration in force, nil before the first one.
+// Table returns the configuration in force, nil before the first one.
 func (v *View) Table() *route.Table { return v.table.Load() }
 
-// Version is that of the configuration in force, 0 before the first one.
+// Version returns the version of the configuration in force, 0 before the first one.
 func (v *View) Version() int64 {
 	if table := v.Table(); table != nil {
 		return table.Version()
@@ -111,18 +121,18 @@
 	return 0
 }
 
-// ConfigAge is the time since the configuration in force took effect here, 0
-// before the first one.
+// ConfigAge returns the time since the configuration in force took effect in this
+// instance, 0 before the first one.
 func (v *View) ConfigAge() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.since.IsZero() {
+	if v.configSince.IsZero() {
 		return 0
 	}
-	return time.Since(v.since)
+	return time.Since(v.configSince)
 }
 
-// countTargets counts the targets that are listed as leaving, or as not.
+// countTargets returns the number of listed targets that are leaving or not leaving.
 func (v *View) countTargets(leaving bool) (count int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -134,51 +144,54 @@
 	return count
 }
 
-// Ready says that requests can be served: the configuration and the targets are
+// Ready reports whether requests can be served: the configuration and the targets are
 // known.
 func (v *View) Ready() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listed && v.Table() != nil
+	return v.targetsKnown && v.Table() != nil
 }
 
-// StoreAge is the time since the store answered.
+// StoreAge returns the time since the store last answered, an hour if it never did.
 func (v *View) StoreAge() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.answered.IsZero() {
+	if v.lastAnswer.IsZero() {
 		return time.Hour
 	}
-	return time.Since(v.answered)
+	return time.Since(v.lastAnswer)
 }
 
-// StoreAnswered notes that the store answered a call.
+// StoreAnswered records that the store answered a call.
 func (v *View) StoreAnswered() {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.answered.IsZero() && now.Sub(v.answered) > outageAfter {
-		v.back = now
-		_ = level.Info(v.logger).Log("event", "store_back", "away_ms", now.Sub(v.answered).Milliseconds())
+	if !v.lastAnswer.IsZero() && now.Sub(v.lastAnswer) > outageThreshold {
+		v.storeReturned = now
+		_ = level.Info(v.logger).Log("event", "store_back", "away_ms", now.Sub(v.lastAnswer).Milliseconds())
 	}
-	v.answered = now
+	v.lastAnswer = now
 }
 
-// RosterMark is how far the list of targets was read.
+// RosterMark returns the offset in the store up to which the list of targets has been
+// applied.
 func (v *View) RosterMark() int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roster.Mark()
 }
 
-// RosterDigest sums up the list of targets, so that two instances whose lists differ notice.
+// RosterDigest returns a digest of the list of targets. Instances exchange it to detect
+// that their lists differ.
 func (v *View) RosterDigest() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.digest
+	return v.rosterDigest
 }
 
-// digestOf leaves out what changes with each renewal of an entry.
+// digestOf returns the digest of a list. It leaves out the fields that change whenever
+// an entry is renewed.
 func digestOf(list []roster.Target) uint64 {
 	digest := xxhash.New()
 	for _, t := range list {
@@ -188,43 +201,46 @@
 	return digest.Sum64()
 }
 
-// follows says that nothing need be read of the targets: the list was read once, and
-// other instances tell what changes.
-func (v *View) follows() bool {
+// targetsFromPeers reports whether reading the list of targets can be suspended: it is
+// known, and other instances send its changes.
+func (v *View) targetsFromPeers() bool {
 	if v.opts.TargetsFromPeers == nil || !v.opts.TargetsFromPeers() {
 		return false
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.listed
+	return v.targetsKnown
 }
 
-// Changed is closed at the next change of the configuration.
-func (v *View) Changed() <-chan struct{} {
+// ConfigChanged returns a channel that is closed at the next change of the
+// configuration.
+func (v *View) ConfigChanged() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.changed
+	return v.configChanged
 }
 
-// lapseUntil is until when targets are used whose entries vanish now.
+// graceUntil returns until when targets are used whose entries disappear now, zero if
+// they are not used any more.
 //
-// An instance that comes back from a cut hears another instance before it hears the
-// store, and takes the list from it: entries that it lacks lapsed behind the cut. If
-// they were taken for gone, the instances of that failure domain would leave their
-// own targets until those register again, a second later, and send everything to
-// the others.
-func (v *View) lapseUntil(now time.Time) time.Time {
+// After a network partition an instance may receive the list from another instance
+// before the store answers it. The entries that the list lacks expired during the
+// partition. If their targets were not used, the instances of a failure domain that was
+// isolated would stop using their own targets until these register again, a second
+// later, and would send all requests to the other domains.
+func (v *View) graceUntil(now time.Time) time.Time {
 	switch {
-	case !v.answered.IsZero() && now.Sub(v.answered) > outageAfter:
-		return now.Add(lapseGrace)
-	case !v.back.IsZero() && now.Sub(v.back) < outageMemory:
-		return v.back.Add(lapseGrace)
+	case !v.lastAnswer.IsZero() && now.Sub(v.lastAnswer) > outageThreshold:
+		return now.Add(returnGrace)
+	case !v.storeReturned.IsZero() && now.Sub(v.storeReturned) < returnWindow:
+		return v.storeReturned.Add(returnGrace)
 	default:
 		return time.Time{}
 	}
 }
 
-// AdoptConfig takes over a configuration if it is newer than the one in force.
+// AdoptConfig puts a configuration in force if it is newer than the current one. from is
+// its source, for the log.
 func (v *View) AdoptConfig(raw []byte, from string) {
 	config, err := v.opts.Decoders.Config(raw)
 	if err != nil {
@@ -239,103 +255,108 @@
 	before := v.Version()
 	table := route.NewTable(config)
 	v.table.Store(table)
-	v.raw, v.since = raw, time.Now()
-	close(v.changed)
-	v.changed = make(chan struct{})
+	v.rawConfig, v.configSince = raw, time.Now()
+	close(v.configChanged)
+	v.configChanged = make(chan struct{})
 	_ = level.Info(v.logger).Log("event", "config_in_force", "version", config.Version, "before", before, "from", from,
 		"routes", len(config.Routes), "organisations", len(config.Organisations))
 	v.opts.OnConfig(table)
-	if v.listed {
-		v.tellTargets()
+	if v.targetsKnown {
+		v.publishTargets()
 	}
 }
 
-// ConfigNewerThan gives the configuration as operators wrote it if it is newer than a
-// version.
-func (v *View) ConfigNewerThan(than int64) []byte {
+// ConfigNewerThan returns the encoded configuration in force if it is newer than a
+// version, otherwise nil.
+func (v *View) ConfigNewerThan(version int64) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.Version() <= than {
+	if v.Version() <= version {
 		return nil
 	}
-	return v.raw
+	return v.rawConfig
 }
 
-// TargetsNewerThan gives the list and how far it was read, if that is newer than a mark.
-func (v *View) TargetsNewerThan(than int64) ([]roster.Target, int64, bool) {
+// TargetsNewerThan returns the list of targets and its mark if that is larger than the
+// given one.
+func (v *View) TargetsNewerThan(mark int64) ([]roster.Target, int64, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.listed || v.roster.Mark() <= than {
+	if !v.targetsKnown || v.roster.Mark() <= mark {
 		return nil, 0, false
 	}
-	return told(time.Now(), v.roster.All()), v.roster.Mark(), true
+	return withRemainingWarmUp(time.Now(), v.roster.All()), v.roster.Mark(), true
 }
 
-// AdoptTargets takes over a list that another instance read.
+// AdoptTargets replaces the list of targets by a full list as of a mark, unless the
+// current one is newer.
 func (v *View) AdoptTargets(list []roster.Target, mark int64) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.roster.Replace(mark, heard(now, list), v.lapseUntil(now)) {
-		v.listed = true
-		v.tellTargets()
+	if v.roster.Replace(mark, withWarmUpEnd(now, list), v.graceUntil(now)) {
+		v.targetsKnown = true
+		v.publishTargets()
 	}
 }
 
-// tellTargets needs the lock. It tells again when a target without an entry is
-// no longer to be used: the next read of the list may come a second later.
-func (v *View) tellTargets() {
+// publishTargets passes the targets that may be used now to OnTargets. It does so again
+// when the next grace period ends, because the next read of the list may come a second
+// later. The caller must hold v.mu.
+func (v *View) publishTargets() {
 	now := time.Now()
-	v.digest = digestOf(v.roster.All())
-	v.opts.OnTargets(v.offered(now))
-	if v.graceEnd != nil {
-		v.graceEnd.Stop()
-		v.graceEnd = nil
+	v.rosterDigest = digestOf(v.roster.All())
+	v.opts.OnTargets(v.availableTargets(now))
+	if v.graceTimer != nil {
+		v.graceTimer.Stop()
+		v.graceTimer = nil
 	}
 	if end := v.roster.NextExpiry(); !end.IsZero() {
-		v.graceEnd = time.AfterFunc(end.Sub(now), v.endGrace)
+		v.graceTimer = time.AfterFunc(end.Sub(now), v.onGraceEnd)
 	}
 }
 
-// endGrace tells of the targets whose time without an entry is over.
-func (v *View) endGrace() {
+// onGraceEnd publishes the targets after a grace period ended.
+func (v *View) onGraceEnd() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.tellTargets()
+	v.publishTargets()
 }
 
-// replaceTargets takes over the list as the store gave it.
-func (v *View) replaceTargets(page external.KeyedPage) {
+// loadTargets adopts the full list that was read from the store.
+func (v *View) loadTargets(page external.KeyedPage) {
 	list := make([]roster.Target, 0, len(page.Records))
 	for _, record := range page.Records {
-		if t, ok := v.decoded(record); ok {
+		if t, ok := v.decodeTarget(record); ok {
 			list = append(list, t)
 		}
 	}
 	v.AdoptTargets(list, page.End)
 }
 
-// applyTargets takes over changes of the list.
+// applyTargets applies changes of the list that were read from the store.
 func (v *View) applyTargets(page external.KeyedPage) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, record := range page.Records {
 		if len(record.Value) == 0 {
-			v.roster.Remove(record.Offset, record.Key, v.lapseUntil(now))
+			v.roster.Remove(record.Offset, record.Key, v.graceUntil(now))
 			_ = level.Info(v.logger).Log("event", "target_unlisted", "target", record.Key, "offset", record.Offset)
 			continue
 		}
-		if t, ok := v.decoded(record); ok {
-			v.roster.Put(record.Offset, heard(now, []roster.Target{t})[0])
+		if t, ok := v.decodeTarget(record); ok {
+			v.roster.Put(record.Offset, withWarmUpEnd(now, []roster.Target{t})[0])
 		} else {
 			v.roster.Invalidate(record.Offset, record.Key)
 		}
 	}
-	v.tellTargets()
+	v.publishTargets()
 }
 
-func (v *View) decoded(record external.KeyedRecord) (roster.Target, bool) {
+// decodeTarget decodes a target's entry. It logs an entry that cannot be decoded and
+// returns false for it.
+func (v *View) decodeTarget(record external.KeyedRecord) (roster.Target, bool) {
 	t, err := v.opts.Decoders.Target(record.Key, record.Value)
 	if err != nil {
 		_ = level.Warn(v.logger).Log("event", "target_entry_unreadable", "target", record.Key, "offset", record.Offset, "err", err)
--- a/internal/coordination/routed/fleetview/view_test.go
+++ b/internal/coordination/routed/fleetview/view_test.go
@@ -19,216 +19,218 @@
 )
 
 const (
-	// leaveBound is how long after its entry went a target may get requests.
-	leaveBound = 2 * time.Second
-	// toArrive is the most that a placed request takes to its target here.
-	toArrive = 100 * time.Millisecond
+	// maxUseAfterRemoval is how long after the removal of its entry a target may get
+	// requests.
+	maxUseAfterRemoval = 2 * time.Second
+	// maxSendTime is the longest time in these tests that a placed request takes to
+	// reach its target.
+	maxSendTime = 100 * time.Millisecond
 )
 
-var errAway = errors.New("store away")
+var errStoreDown = errors.New("store unavailable")
 
-// listLog is a store that holds one list of targets and can be away.
-type listLog struct {
+// fakeStore is a store with one list of targets that can be made unavailable.
+type fakeStore struct {
 	mu      sync.Mutex
-	away    bool
+	down    bool
 	records []external.KeyedRecord
 	changes []external.KeyedRecord
 }
 
-func (l *listLog) Append(context.Context, external.Partition, []external.KeyedRecord, int64) (int64, error) {
-	return 0, errAway
+func (s *fakeStore) Append(context.Context, external.Partition, []external.KeyedRecord, int64) (int64, error) {
+	return 0, errStoreDown
 }
 
-func (l *listLog) Newest(context.Context, external.Partition) (external.KeyedPage, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.away {
-		return external.KeyedPage{}, errAway
+func (s *fakeStore) Newest(context.Context, external.Partition) (external.KeyedPage, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.down {
+		return external.KeyedPage{}, errStoreDown
 	}
-	end := int64(len(l.changes))
-	return external.KeyedPage{Records: slices.Clone(l.records), End: end, Next: end}, nil
+	end := int64(len(s.changes))
+	return external.KeyedPage{Records: slices.Clone(s.records), End: end, Next: end}, nil
 }
 
-func (l *listLog) Read(ctx context.Context, _ external.Partition, from int64, longest time.Duration) (external.KeyedPage, error) {
+func (s *fakeStore) Read(ctx context.Context, _ external.Partition, from int64, longest time.Duration) (external.KeyedPage, error) {
 	if err := ctx.Err(); err != nil {
 		return external.KeyedPage{}, err
 	}
-	page, err := l.after(from)
+	page, err := s.after(from)
 	if err == nil && page.Next == from {
 		wait.For(ctx, longest)
-		page.End = l.end()
+		page.End = s.end()
 	}
 	return page, err
 }
 
-// after gives the changes from an offset on.
-func (l *listLog) after(from int64) (external.KeyedPage, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.away {
-		return external.KeyedPage{}, errAway
+// after returns the changes from an offset on.
+func (s *fakeStore) after(from int64) (external.KeyedPage, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.down {
+		return external.KeyedPage{}, errStoreDown
 	}
-	end := int64(len(l.changes))
-	return external.KeyedPage{Records: slices.Clone(l.changes[min(from, end):]), Next: max(from, end), End: end}, nil
+	end := int64(len(s.changes))
+	return external.KeyedPage{Records: slices.Clone(s.changes[min(from, end):]), Next: max(from, end), End: end}, nil
 }
 
-func (l *listLog) setAway(away bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.away = away
+func (s *fakeStore) setDown(down bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.down = down
 }
 
-func (l *listLog) end() int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return int64(len(l.changes))
+func (s *fakeStore) end() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return int64(len(s.changes))
 }
 
-func (l *listLog) list(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	record := external.KeyedRecord{Key: id, Value: []byte(id), Offset: int64(len(l.changes))}
-	l.changes = append(l.changes, record)
-	l.records = append(l.records, record)
+func (s *fakeStore) put(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	record := external.KeyedRecord{Key: id, Value: []byte(id), Offset: int64(len(s.changes))}
+	s.changes = append(s.changes, record)
+	s.records = append(s.records, record)
 }
 
-func (l *listLog) drop(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.changes = append(l.changes, external.KeyedRecord{Key: id, Offset: int64(len(l.changes))})
-	l.records = slices.DeleteFunc(l.records, func(r external.KeyedRecord) bool { return r.Key == id })
+func (s *fakeStore) remove(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.changes = append(s.changes, external.KeyedRecord{Key: id, Offset: int64(len(s.changes))})
+	s.records = slices.DeleteFunc(s.records, func(r external.KeyedRecord) bool { return r.Key == id })
 }
 
-// viewing is a view of a listLog, and what it last said of the targets.
-type viewing struct {
+// testView is a View of a fakeStore with the targets that it published last.
+type testView struct {
 	view *View
 
-	mu   sync.Mutex
-	told []string
+	mu        sync.Mutex
+	usableIDs []string
 }
 
-// usable gives the targets that may be used.
-func (v *viewing) usable() []string {
+// usable returns the ids of the targets that may be used.
+func (v *testView) usable() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.told
+	return v.usableIDs
 }
 
-func viewOf(l *listLog) *viewing {
-	out := &viewing{}
+func newTestView(store *fakeStore) *testView {
+	out := &testView{}
 	out.view = New(Options{
-		Log: l, Logger: log.NewNopLogger(),
+		Log: store, Logger: log.NewNopLogger(),
 		Decoders: Decoders{Target: func(id string, _ []byte) (roster.Target, error) { return roster.Target{ID: id}, nil }},
 		OnConfig: func(*route.Table) {},
 		OnTargets: func(targets []roster.Target) {
 			out.mu.Lock()
 			defer out.mu.Unlock()
-			out.told = nil
+			out.usableIDs = nil
 			for _, t := range targets {
-				out.told = append(out.told, t.ID)
+				out.usableIDs = append(out.usableIDs, t.ID)
 			}
 		},
 	})
 	return out
 }
 
-// watchTargets runs the watch of the targets until ctx ends.
-func (v *viewing) watchTargets(ctx context.Context) {
-	for _, duty := range v.view.BackgroundServices() {
-		if w := duty.(*watch); w.name == "targets" {
+// watchTargets runs the watcher of the targets until ctx ends.
+func (v *testView) watchTargets(ctx context.Context) {
+	for _, service := range v.view.BackgroundServices() {
+		if w := service.(*watcher); w.name == "targets" {
 			go func() { _ = w.Serve(ctx) }()
 		}
 	}
 }
 
-// A store's link to one instance is cut for seconds. At its end a target is
-// taken out of the list without having said that it leaves. The instance notes
-// the return a little later, and must not take the missing entry for one that
-// the outage swallowed for longer than the target still serves; a caller's
-// request would reach a target that is gone.
-func TestTargetThatGoesAtTheStoresReturnIsLeftInTime(t *testing.T) {
-	for _, noticed := range []time.Duration{0, 80 * time.Millisecond, 300 * time.Millisecond} {
+// Guards against requests to a target that has terminated: the store is unreachable for
+// seconds, and when it returns, the entry of a target is removed that never was listed
+// as leaving. The instance notices the return with a delay and attributes the missing
+// entry to the outage; it must not do so for longer than the target serves.
+func TestTargetRemovedAtStoreReturnIsUnusedInTime(t *testing.T) {
+	for _, noticeDelay := range []time.Duration{0, 80 * time.Millisecond, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			store := &listLog{}
-			store.list("stays")
-			store.list("goes")
-			v := viewOf(store)
+			store := &fakeStore{}
+			store.put("stays")
+			store.put("goes")
+			v := newTestView(store)
 			v.watchTargets(t.Context())
 			time.Sleep(time.Second)
 			synctest.Wait()
 			require.Equal(t, []string{"goes", "stays"}, v.usable())
 
-			store.setAway(true)
+			store.setDown(true)
 			time.Sleep(7 * time.Second)
-			store.setAway(false)
-			store.drop("goes")
-			time.Sleep(noticed)
+			store.setDown(false)
+			store.remove("goes")
+			time.Sleep(noticeDelay)
 			v.view.StoreAnswered()
 
-			time.Sleep(leaveBound - toArrive - noticed)
+			time.Sleep(maxUseAfterRemoval - maxSendTime - noticeDelay)
 			synctest.Wait()
-			require.Equal(t, []string{"stays"}, v.usable(), "return noticed after %s", noticed)
+			require.Equal(t, []string{"stays"}, v.usable(), "return noticed after %s", noticeDelay)
 		})
 	}
 }
 
-// The store is away for longer than entries of targets last. On its return the
-// list is empty for a moment although every target serves; callers must not be
-// refused meanwhile.
-func TestTargetsWhoseEntriesTheOutageSwallowedAreUsedOn(t *testing.T) {
+// Guards against rejecting all requests after a store outage: the store is unavailable
+// for longer than entries live, and its list is empty on return, although every target
+// serves, until the targets register again.
+func TestTargetsExpiredInStoreOutageRemainUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &listLog{}
-		store.list("a")
-		store.list("b")
-		v := viewOf(store)
+		store := &fakeStore{}
+		store.put("a")
+		store.put("b")
+		v := newTestView(store)
 		v.watchTargets(t.Context())
 		time.Sleep(time.Second)
 
-		store.setAway(true)
+		store.setDown(true)
 		time.Sleep(20 * time.Second)
-		store.drop("a")
-		store.drop("b")
-		store.setAway(false)
+		store.remove("a")
+		store.remove("b")
+		store.setDown(false)
 		v.view.StoreAnswered()
 		for range 13 {
 			time.Sleep(100 * time.Millisecond)
 			synctest.Wait()
 			require.Equal(t, []string{"a", "b"}, v.usable())
 		}
-		store.list("b")
-		time.Sleep(leaveBound)
+		store.put("b")
+		time.Sleep(maxUseAfterRemoval)
 		synctest.Wait()
 		require.Equal(t, []string{"b"}, v.usable())
 	})
 }
 
-// A failure domain is cut off for longer than entries of targets last. When the cut
-// ends, its instances hear one of another domain a moment before the store, and that
-// one's list lacks all targets of their domain. These serve all the while; callers
-// must not wait for the slots of other domains until they register again.
-func TestTargetsThatLapsedBehindACutAreUsedOn(t *testing.T) {
+// Guards against unused slots after a network partition: a failure domain is isolated
+// for longer than entries live. When the partition ends, its instances receive the list
+// of an instance of another domain before the store answers, and this list lacks all
+// targets of their own domain. These targets serve throughout; callers must not wait for
+// slots of other domains until the targets register again.
+func TestTargetsExpiredInPartitionRemainUsable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &listLog{}
-		store.list("own")
-		store.list("far")
-		v := viewOf(store)
+		store := &fakeStore{}
+		store.put("own")
+		store.put("far")
+		v := newTestView(store)
 		v.watchTargets(t.Context())
 		time.Sleep(time.Second)
 
-		store.setAway(true)
+		store.setDown(true)
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		store.drop("own")
+		store.remove("own")
 		v.view.AdoptTargets([]roster.Target{{ID: "far"}}, store.end())
 		require.Equal(t, []string{"far", "own"}, v.usable())
 
-		store.setAway(false)
+		store.setDown(false)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.Equal(t, []string{"far", "own"}, v.usable())
 
-		time.Sleep(leaveBound - time.Second - toArrive)
+		time.Sleep(maxUseAfterRemoval - time.Second - maxSendTime)
 		synctest.Wait()
-		require.Equal(t, []string{"far"}, v.usable(), "one that does not register again is gone")
+		require.Equal(t, []string{"far"}, v.usable(), "a target that does not register again must not be used after the grace period")
 	})
 }
--- a/internal/coordination/routed/fleetview/watcher.go
+++ b/internal/coordination/routed/fleetview/watcher.go
@@ -14,54 +14,64 @@
 )
 
 const (
-	// configWait is how long one read waits for a new configuration.
-	// Configurations are due in force within two seconds, and a watch that
-	// hears nothing is noticed when it ends.
-	configWait = time.Second
-	// targetsWait is the same for the list of targets.
-	targetsWait = time.Second
-	// targetsPause is the wait after a read that brought something. Each target
-	// writes about once a second, so that a read without it would bring one
-	// entry each; leaving targets must be left within two seconds.
-	targetsPause = 500 * time.Millisecond
-	// retryFirst and retryMost bound the wait after a failed read.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = time.Second
-	// refreshEvery is how often everything is read anew.
-	refreshEvery = 10 * time.Second
-	// followLook is how often an instance that follows others looks whether it still does.
-	followLook = 500 * time.Millisecond
+	// configReadWait is how long one read waits for a new configuration. A new
+	// configuration has to be in force within two seconds, and a read whose
+	// connection is stuck is only detected when its wait ends.
+	configReadWait = time.Second
+	// targetsReadWait is how long one read waits for a change of the list of
+	// targets.
+	targetsReadWait = time.Second
+	// targetsReadPause is the pause after a read that returned records. Each target
+	// renews its entry about once a second, so without the pause each read would
+	// return a single entry. The pause is bounded because a leaving target must get
+	// no new requests after two seconds.
+	targetsReadPause = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after a failed
+	// read.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// reloadInterval is how often all keys are read in full.
+	reloadInterval = 10 * time.Second
+	// suspendedPollInterval is how often a suspended watcher checks whether it has
+	// to read again.
+	suspendedPollInterval = 500 * time.Millisecond
 )
 
+// watchFailures counts failed reads of a watched partition.
 var watchFailures = metrics.NewCounter(`store_watch_failures_total`)
 
-// BackgroundServices are the watches, to be run by a supervisor.
+// BackgroundServices returns the watchers of the store, to be run by a supervisor.
 func (v *View) BackgroundServices() []suture.Service {
 	return []suture.Service{
-		&watch{
-			view: v, name: "config", partition: v.opts.Sources.Operators, wait: configWait,
-			replace: v.replaceOperators, apply: v.applyOperators,
+		&watcher{
+			view: v, name: "config", partition: v.opts.Sources.Operators, readWait: configReadWait,
+			load: v.loadOperatorRecords, apply: v.applyOperatorRecords,
 		},
-		&watch{
-			view: v, name: "targets", partition: v.opts.Sources.Targets, wait: targetsWait, pause: targetsPause,
-			replace: v.replaceTargets, apply: v.applyTargets, follows: v.follows,
+		&watcher{
+			view: v, name: "targets", partition: v.opts.Sources.Targets, readWait: targetsReadWait, readPause: targetsReadPause,
+			load: v.loadTargets, apply: v.applyTargets, suspended: v.targetsFromPeers,
 		},
 	}
 }
 
-// replaceOperators and applyOperators take over drains before a configuration: an
-// instance that knows one serves, and must not serve at targets of a drained domain.
-func (v *View) replaceOperators(page external.KeyedPage) {
-	v.replaceDrains(page)
-	v.takeConfigs(page)
+// loadOperatorRecords adopts the drains and the configuration among the newest records.
+// The drains come first: an instance that has a configuration serves requests, and must
+// not send them to targets of a drained domain.
+func (v *View) loadOperatorRecords(page external.KeyedPage) {
+	v.loadDrains(page)
+	v.adoptConfigRecords(page)
 }
 
-func (v *View) applyOperators(page external.KeyedPage) {
+// applyOperatorRecords applies records of operators that were added since the last read,
+// drains first for the same reason.
+func (v *View) applyOperatorRecords(page external.KeyedPage) {
 	v.applyDrains(page)
-	v.takeConfigs(page)
+	v.adoptConfigRecords(page)
 }
 
-func (v *View) takeConfigs(page external.KeyedPage) {
+// adoptConfigRecords adopts each configuration among the records that is newer than the
+// one in force.
+func (v *View) adoptConfigRecords(page external.KeyedPage) {
 	for _, record := range page.Records {
 		if record.Key == v.opts.Sources.ConfigKey && len(record.Value) > 0 {
 			v.AdoptConfig(record.Value, "store")
@@ -69,37 +79,40 @@
 	}
 }
 
-// watch follows one partition of the store.
-type watch struct {
+// watcher reads one partition of the store continuously.
+type watcher struct {
 	view      *View
 	name      string
 	partition external.Partition
-	wait      time.Duration
-	pause     time.Duration
-	// replace takes over the newest records of all keys, apply later changes.
-	replace, apply func(external.KeyedPage)
-	// follows says that others tell what is here, and that nothing need be read. Nil: never.
-	follows func() bool
-	// wasLeft says that reading was left to others at the last look.
-	wasLeft bool
+	// readWait is how long one read waits for a record, readPause the pause after a
+	// read that returned records.
+	readWait  time.Duration
+	readPause time.Duration
+	// load adopts the newest records of all keys, apply applies later records.
+	load, apply func(external.KeyedPage)
+	// suspended reports whether other instances send the content of the partition,
+	// so that it need not be read. Nil: never.
+	suspended func() bool
+	// wasSuspended is the result of the last check.
+	wasSuspended bool
 }
 
-// String names the duty.
-func (w *watch) String() string { return "watch-" + w.name }
+// String names the service for the supervisor.
+func (w *watcher) String() string { return "watch-" + w.name }
 
-// Serve follows the partition until ctx ends.
-func (w *watch) Serve(ctx context.Context) error {
-	retry := retryFirst
+// Serve reads the partition until ctx ends.
+func (w *watcher) Serve(ctx context.Context) error {
+	retry := minRetryDelay
 	for ctx.Err() == nil {
-		if w.left() {
-			w.note(true)
-			wait.For(ctx, followLook)
+		if w.isSuspended() {
+			w.logSuspended(true)
+			wait.For(ctx, suspendedPollInterval)
 			continue
 		}
-		w.note(false)
+		w.logSuspended(false)
 		err := w.follow(ctx)
 		if err == nil || errors.Is(err, external.ErrTrimmed) {
-			retry = retryFirst
+			retry = minRetryDelay
 			continue
 		}
 		if ctx.Err() != nil {
@@ -108,34 +121,35 @@
 		watchFailures.Inc()
 		_ = level.Warn(w.view.logger).Log("event", "store_watch_failed", "watch", w.name, "retry_ms", retry.Milliseconds(), "err", err)
 		wait.For(ctx, retry)
-		retry = min(2*retry, retryMost)
+		retry = min(2*retry, maxRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// note tells of a change of who reads.
-func (w *watch) note(left bool) {
-	if left != w.wasLeft {
-		w.wasLeft = left
-		_ = level.Info(w.view.logger).Log("event", "store_watch_left", "watch", w.name, "left", left)
+// logSuspended logs when reading is suspended or resumed.
+func (w *watcher) logSuspended(suspended bool) {
+	if suspended != w.wasSuspended {
+		w.wasSuspended = suspended
+		_ = level.Info(w.view.logger).Log("event", "store_watch_left", "watch", w.name, "left", suspended)
 	}
 }
 
-// left says that reading is left to others.
-func (w *watch) left() bool { return w.follows != nil && w.follows() }
+// isSuspended reports whether reading is suspended now.
+func (w *watcher) isSuspended() bool { return w.suspended != nil && w.suspended() }
 
-// follow reads everything and then the changes, for a while.
-func (w *watch) follow(ctx context.Context) error {
+// follow reads the newest records of all keys and then the changes, for at most
+// reloadInterval.
+func (w *watcher) follow(ctx context.Context) error {
 	page, err := w.view.opts.Log.Newest(ctx, w.partition)
 	if err != nil {
 		return err
 	}
 	w.view.StoreAnswered()
-	w.replace(page)
+	w.load(page)
 	from := page.End
-	until := time.Now().Add(refreshEvery)
-	for time.Now().Before(until) && !w.left() {
-		page, err = w.view.opts.Log.Read(ctx, w.partition, from, w.wait)
+	until := time.Now().Add(reloadInterval)
+	for time.Now().Before(until) && !w.isSuspended() {
+		page, err = w.view.opts.Log.Read(ctx, w.partition, from, w.readWait)
 		if err != nil {
 			return err
 		}
@@ -145,7 +159,7 @@
 			continue
 		}
 		from = page.Next
-		wait.For(ctx, w.pause)
+		wait.For(ctx, w.readPause)
 	}
 	return nil
 }
