--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -15,8 +15,8 @@
 
 var stats = expvar.NewMap("admission")
 
-// Capacities tells what the router knows of a service.
-type Capacities interface {
+// CapacitySource tells what the router knows of a service.
+type CapacitySource interface {
 	Capacity(service protocol.ServiceName) Capacity
 }
 
@@ -24,7 +24,7 @@
 type Config struct {
 	// Fleet is the configuration in force.
 	Fleet      func() *protocol.Fleet
-	Capacities Capacities
+	Capacities CapacitySource
 	Settings   Settings
 }
 
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -34,7 +34,7 @@
 const membersFresh = time.Second
 
 var (
-	_ admission.Capacities = (*view)(nil)
+	_ admission.CapacitySource = (*view)(nil)
 	_ headroom.Source      = (*view)(nil)
 )
 
