--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -11,9 +11,9 @@
 type Capacity struct {
 	// Slots is the sum of the slots of the usable targets.
 	Slots int
-	// Others is the load that other instances place there, from reports that
+	// OtherLoad is the load that other instances place there, from reports that
 	// lag; batch work does not count, because it yields.
-	Others int
+	OtherLoad int
 	// Instances is the number of live instances, at least 1.
 	Instances int
 }
@@ -59,7 +59,7 @@
 	s := c.service(name)
 	slots := float64(capacity.Slots) * c.settings.Overcommit
 	even := slots / float64(max(1, capacity.Instances))
-	left := slots - float64(capacity.Others)
+	left := slots - float64(capacity.OtherLoad)
 	s.capacity = int(math.Ceil(max(even, left)))
 	s.known = true
 }
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -50,7 +50,7 @@
 	slots, others := v.router.Capacity(service)
 	return admission.Capacity{
 		Slots:     slots,
-		Others:    int(math.Round(others)),
+		OtherLoad:    int(math.Round(others)),
 		Instances: max(1, len(v.Members())),
 	}
 }
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -263,7 +263,7 @@
 			capacity.Slots += slotsPerTarget
 			others += status.Others
 		}
-		capacity.Others = int(others)
+		capacity.OtherLoad = int(others)
 		n.admission.SetCapacity(s.user.service, capacity)
 		s.next(n)
 	}
