--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -61,7 +61,7 @@
 	}
 	decision, granted := a.enter(call)
 	switch {
-	case decision.Run:
+	case decision.Admitted:
 		return a.ticket(service), nil
 	case decision.Wait == 0:
 		stats.Add("refused", 1)
--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -75,8 +75,8 @@
 
 // Decision is the answer to a call.
 type Decision struct {
-	// Run: the call has a place.
-	Run bool
+	// Admitted: the call has a place.
+	Admitted bool
 	// Wait is the id under which it waits, if not zero.
 	Wait WaitID
 	// Code and RetryAfter tell a refusal.
@@ -99,7 +99,7 @@
 	}
 	if s.running < s.capacity && s.queue.length == 0 {
 		s.running++
-		return Decision{Run: true}
+		return Decision{Admitted: true}
 	}
 	if full := c.full(s, call.Organisation); full {
 		return Decision{Code: protocol.CodeOverloaded, RetryAfter: s.drain(1)}
--- a/internal/coordination/admission/core_test.go
+++ b/internal/coordination/admission/core_test.go
@@ -16,7 +16,7 @@
 	c.SetCapacity("s", Capacity{Slots: capacity, Instances: 1})
 	for range capacity {
 		d := c.Enter(epoch, Call{Organisation: "busy", Service: "s", Deadline: epoch.Add(time.Hour)})
-		if !d.Run {
+		if !d.Admitted {
 			panic("a free place was not given")
 		}
 	}
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -341,7 +341,7 @@
 	})
 	run := func() { s.dispatch(at, org, arrived, inRate) }
 	switch {
-	case decision.Run:
+	case decision.Admitted:
 		run()
 	case decision.Wait == 0:
 		s.result.refused++
