--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -63,22 +63,22 @@
 	switch {
 	case decision.Admitted:
 		return a.ticket(service), nil
-	case decision.Wait == 0:
+	case decision.WaitID == 0:
 		stats.Add("refused", 1)
 		return nil, refusal(decision, service)
 	}
-	return a.wait(ctx, call, decision.Wait, granted)
+	return a.wait(ctx, call, decision.WaitID, granted)
 }
 
 func (a *Admission) enter(call Call) (Decision, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	decision := a.core.Enter(time.Now(), call)
-	if decision.Wait == 0 {
+	if decision.WaitID == 0 {
 		return decision, nil
 	}
 	granted := make(chan struct{})
-	a.waiting[decision.Wait] = granted
+	a.waiting[decision.WaitID] = granted
 	return decision, granted
 }
 
--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -77,8 +77,8 @@
 type Decision struct {
 	// Admitted: the call has a place.
 	Admitted bool
-	// Wait is the id under which it waits, if not zero.
-	Wait WaitID
+	// WaitID is the id under which it waits, if not zero.
+	WaitID WaitID
 	// Code and RetryAfter tell a refusal.
 	Code       protocol.Code
 	RetryAfter time.Duration
@@ -110,7 +110,7 @@
 	}
 	c.nextID++
 	s.queue.push(call.Organisation, weight, waiting{id: c.nextID, deadline: call.Deadline})
-	return Decision{Wait: c.nextID}
+	return Decision{WaitID: c.nextID}
 }
 
 func (c *Core) full(s *service, org protocol.OrganisationID) bool {
--- a/internal/coordination/admission/core_test.go
+++ b/internal/coordination/admission/core_test.go
@@ -32,13 +32,13 @@
 		c.Enter(epoch, Call{Organisation: "flood", Service: "s", Deadline: deadline})
 	}
 	quiet := c.Enter(epoch, Call{Organisation: "quiet", Service: "s", Deadline: deadline})
-	require.NotZero(t, quiet.Wait)
+	require.NotZero(t, quiet.WaitID)
 	var order []WaitID
 	for range 2 {
 		c.Release("s", time.Second)
 		order = append(order, c.Next("s")...)
 	}
-	require.Contains(t, order, quiet.Wait)
+	require.Contains(t, order, quiet.WaitID)
 }
 
 // The queue is so long that a call can't run before its deadline. The caller
@@ -59,7 +59,7 @@
 	heavy := map[WaitID]bool{}
 	for range 40 {
 		d := c.Enter(epoch, Call{Organisation: "heavy", Weight: 3, Service: "s", Deadline: deadline})
-		heavy[d.Wait] = true
+		heavy[d.WaitID] = true
 		c.Enter(epoch, Call{Organisation: "light", Weight: 0.5, Service: "s", Deadline: deadline})
 	}
 	count := 0
--- a/internal/coordination/admission/matrix_test.go
+++ b/internal/coordination/admission/matrix_test.go
@@ -137,7 +137,7 @@
 	for i := range 20 {
 		weight := []float64{0.1, 5}[i%2]
 		d := c.Enter(epoch, Call{Organisation: "o", Weight: weight, Service: "s", Deadline: epoch.Add(time.Hour)})
-		ids[d.Wait] = true
+		ids[d.WaitID] = true
 	}
 	for range 20 {
 		c.Release("s", time.Second)
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -343,13 +343,13 @@
 	switch {
 	case decision.Admitted:
 		run()
-	case decision.Wait == 0:
+	case decision.WaitID == 0:
 		s.result.refused++
 	default:
-		n.waiting[decision.Wait] = run
+		n.waiting[decision.WaitID] = run
 		s.clock.After(arrived.Add(firstDeadline).Sub(s.clock.Now()), func() {
-			if n.admission.Remove(queue, s.user.service, decision.Wait) {
-				delete(n.waiting, decision.Wait)
+			if n.admission.Remove(queue, s.user.service, decision.WaitID) {
+				delete(n.waiting, decision.WaitID)
 				s.result.refused++
 			}
 		})
