--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -120,7 +120,7 @@
 
 // next wakes the calls that got a place. The caller holds the lock.
 func (a *Admission) next(service protocol.ServiceName) {
-	for _, id := range a.core.Next(service) {
+	for _, id := range a.core.AdmitWaiting(service) {
 		if granted, ok := a.waiting[id]; ok {
 			close(granted)
 			delete(a.waiting, id)
--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -148,8 +148,8 @@
 	s.hold = time.Duration((1-m)*float64(s.hold) + m*float64(held))
 }
 
-// Next gives free places to waiting calls and returns their ids.
-func (c *Core) Next(name protocol.ServiceName) []WaitID {
+// AdmitWaiting gives free places to waiting calls and returns their ids.
+func (c *Core) AdmitWaiting(name protocol.ServiceName) []WaitID {
 	s := c.service(name)
 	var run []WaitID
 	for s.running < s.capacity {
--- a/internal/coordination/admission/core_test.go
+++ b/internal/coordination/admission/core_test.go
@@ -36,7 +36,7 @@
 	var order []WaitID
 	for range 2 {
 		c.Release("s", time.Second)
-		order = append(order, c.Next("s")...)
+		order = append(order, c.AdmitWaiting("s")...)
 	}
 	require.Contains(t, order, quiet.WaitID)
 }
@@ -65,7 +65,7 @@
 	count := 0
 	for range 28 {
 		c.Release("s", time.Second)
-		for _, id := range c.Next("s") {
+		for _, id := range c.AdmitWaiting("s") {
 			if heavy[id] {
 				count++
 			}
--- a/internal/coordination/admission/matrix_test.go
+++ b/internal/coordination/admission/matrix_test.go
@@ -141,7 +141,7 @@
 	}
 	for range 20 {
 		c.Release("s", time.Second)
-		for _, id := range c.Next("s") {
+		for _, id := range c.AdmitWaiting("s") {
 			delete(ids, id)
 		}
 	}
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -270,7 +270,7 @@
 }
 
 func (s *servingSim) next(n *node) {
-	for _, id := range n.admission.Next(s.user.service) {
+	for _, id := range n.admission.AdmitWaiting(s.user.service) {
 		if run, ok := n.waiting[id]; ok {
 			delete(n.waiting, id)
 			run()
