--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -13,31 +13,35 @@
 	"merlintiller/internal/wait"
 )
 
+// stats counts the calls that were rejected at once and those that expired in a queue.
 var stats = expvar.NewMap("admission")
 
-// CapacitySource tells what the router knows of a service.
+// CapacitySource provides the current capacity of services, as the router knows it.
 type CapacitySource interface {
 	Capacity(service protocol.ServiceName) Capacity
 }
 
-// Config wires an Admission.
+// Config holds the dependencies and settings of an Admission.
 type Config struct {
-	// Fleet is the configuration in force.
+	// Fleet returns the configuration in force.
 	Fleet      func() *protocol.Fleet
 	Capacities CapacitySource
 	Settings   Settings
 }
 
-// Admission implements coordination.Admission around the pure Core.
+// Admission implements coordination.Admission. It adds the clock, the locking and the
+// waiting to a Core. It is safe for concurrent use.
 type Admission struct {
 	Config
 
-	mu      sync.Mutex
-	core    *Core
+	mu   sync.Mutex
+	core *Core
+	// waiting holds, for each waiting call, the channel that is closed when the call
+	// is admitted.
 	waiting map[WaitID]chan struct{}
 }
 
-// New returns an admission without any call.
+// New returns an Admission without any calls.
 func New(config Config) *Admission {
 	return &Admission{
 		Config:  config,
@@ -46,9 +50,9 @@
 	}
 }
 
-// Services are the duties, for the supervisor.
+// Services returns the background services, to be run by a supervisor.
 func (a *Admission) Services() []suture.Service {
-	return []suture.Service{&refresher{admission: a}}
+	return []suture.Service{&capacityRefresher{admission: a}}
 }
 
 // Enter implements coordination.Admission.
@@ -59,7 +63,7 @@
 		Service:      service,
 		Deadline:     deadline,
 	}
-	decision, granted := a.enter(call)
+	decision, granted := a.decide(call)
 	switch {
 	case decision.Admitted:
 		return a.ticket(service), nil
@@ -70,7 +74,9 @@
 	return a.wait(ctx, call, decision.WaitID, granted)
 }
 
-func (a *Admission) enter(call Call) (Decision, chan struct{}) {
+// decide asks the Core about a call. If the call has to wait, it also returns the channel
+// that is closed when the call is admitted.
+func (a *Admission) decide(call Call) (Decision, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	decision := a.core.Enter(time.Now(), call)
@@ -82,8 +88,8 @@
 	return decision, granted
 }
 
-// wait holds the call until it has a place, its deadline passes or its caller
-// leaves.
+// wait blocks until the call is admitted, its deadline passes or its caller
+// disconnects.
 func (a *Admission) wait(ctx context.Context, call Call, id WaitID, granted chan struct{}) (coordination.Ticket, *protocol.Refusal) {
 	timer := time.NewTimer(time.Until(call.Deadline))
 	defer timer.Stop()
@@ -95,14 +101,15 @@
 	}
 	retryAfter, removed := a.remove(call, id)
 	if !removed {
-		// The place came in the same moment. The call's time is over, so the
-		// place goes on to the next one.
+		// The call was admitted after its deadline passed or its caller disconnected.
+		// It releases its slot, and the next waiting call is admitted.
 		a.release(call.Service, 0)
 	}
 	stats.Add("expired", 1)
 	return nil, protocol.Refuse(protocol.CodeDeadline, retryAfter, "the deadline passed while waiting for %s", call.Service)
 }
 
+// remove takes a call out of its queue. It returns false if the call has been admitted.
 func (a *Admission) remove(call Call, id WaitID) (time.Duration, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -111,15 +118,17 @@
 	return a.core.RetryAfter(call.Service), removed
 }
 
+// release frees the slot of a call that held it for a time, and admits waiting calls.
 func (a *Admission) release(service protocol.ServiceName, held time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.Release(service, held)
-	a.next(service)
+	a.admitWaiting(service)
 }
 
-// next wakes the calls that got a place. The caller holds the lock.
-func (a *Admission) next(service protocol.ServiceName) {
+// admitWaiting admits waiting calls to free slots and wakes them. The caller must hold
+// a.mu.
+func (a *Admission) admitWaiting(service protocol.ServiceName) {
 	for _, id := range a.core.AdmitWaiting(service) {
 		if granted, ok := a.waiting[id]; ok {
 			close(granted)
@@ -128,6 +137,7 @@
 	}
 }
 
+// refusal returns the refusal for a decision that rejects a call.
 func refusal(d Decision, service protocol.ServiceName) *protocol.Refusal {
 	switch d.Code {
 	case protocol.CodeDeadline:
@@ -139,7 +149,7 @@
 	}
 }
 
-// ticket is a place that is given back once.
+// ticket is the slot of an admitted call. Only the first Release has an effect.
 type ticket struct {
 	admission *Admission
 	service   protocol.ServiceName
@@ -156,24 +166,25 @@
 	t.once.Do(func() { t.admission.release(t.service, time.Since(t.since)) })
 }
 
-// refresher follows the capacities, so that calls that wait start when targets
-// come back and not only when a place is given back.
-type refresher struct{ admission *Admission }
+// capacityRefresher periodically updates the capacities, so that waiting calls are also
+// admitted when targets return and not only when another call ends.
+type capacityRefresher struct{ admission *Admission }
 
 // String names the service for the supervisor.
-func (r *refresher) String() string { return "admission-capacity" }
+func (r *capacityRefresher) String() string { return "admission-capacity" }
 
 // Serve implements suture.Service.
-func (r *refresher) Serve(ctx context.Context) error {
-	return wait.AtOnceAndEvery(ctx, r.admission.Settings.Refresh, r.admission.refresh)
+func (r *capacityRefresher) Serve(ctx context.Context) error {
+	return wait.AtOnceAndEvery(ctx, r.admission.Settings.Refresh, r.admission.refreshCapacities)
 }
 
-func (a *Admission) refresh() {
+// refreshCapacities updates the capacity of each service and admits waiting calls.
+func (a *Admission) refreshCapacities() {
 	for name := range a.Fleet().Services {
 		capacity := a.Capacities.Capacity(name)
 		a.mu.Lock()
 		a.core.SetCapacity(name, capacity)
-		a.next(name)
+		a.admitWaiting(name)
 		a.mu.Unlock()
 	}
 }
--- a/internal/coordination/admission/core_test.go
+++ b/internal/coordination/admission/core_test.go
@@ -11,22 +11,23 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func filled(capacity int) *Core {
+// newFullCore returns a Core whose service "s" has a capacity that is fully in use.
+func newFullCore(capacity int) *Core {
 	c := NewCore(Defaults())
 	c.SetCapacity("s", Capacity{Slots: capacity, Instances: 1})
 	for range capacity {
 		d := c.Enter(epoch, Call{Organisation: "busy", Service: "s", Deadline: epoch.Add(time.Hour)})
 		if !d.Admitted {
-			panic("a free place was not given")
+			panic("a call was not admitted although a slot was free")
 		}
 	}
 	return c
 }
 
-// One organisation sends many times its share and fills its queue. A caller of
-// another organisation that comes later must not wait behind all of it.
+// Guards against an organisation that delays another one: it sends many times its share
+// and fills its part of the queue, and then a call of the other organisation arrives.
 func TestFloodOfOneOrganisationDoesNotDelayAnother(t *testing.T) {
-	c := filled(1)
+	c := newFullCore(1)
 	deadline := epoch.Add(time.Hour)
 	for range 100 {
 		c.Enter(epoch, Call{Organisation: "flood", Service: "s", Deadline: deadline})
@@ -41,10 +42,10 @@
 	require.Contains(t, order, quiet.WaitID)
 }
 
-// The queue is so long that a call can't run before its deadline. The caller
-// is told at once, with the time to come back, and not at the deadline.
-func TestHopelessCallIsRefusedAtOnce(t *testing.T) {
-	c := filled(1)
+// Guards against a call that is queued although it cannot run before its deadline. It has
+// to be rejected at once, with a time after which to retry, and not at its deadline.
+func TestCallThatWouldMissItsDeadlineIsRejectedAtOnce(t *testing.T) {
+	c := newFullCore(1)
 	for range 5 {
 		c.Enter(epoch, Call{Organisation: "o", Service: "s", Deadline: epoch.Add(time.Hour)})
 	}
@@ -53,8 +54,10 @@
 	require.Equal(t, 9*time.Second, d.RetryAfter)
 }
 
-func TestWeightsAreServedInProportion(t *testing.T) {
-	c := filled(1)
+// Guards against shares that do not follow the weights: with weights of 3 and 0.5 the
+// heavier organisation gets 24 of 28 calls.
+func TestCallsAreAdmittedInProportionToWeights(t *testing.T) {
+	c := newFullCore(1)
 	deadline := epoch.Add(time.Hour)
 	heavy := map[WaitID]bool{}
 	for range 40 {
--- a/internal/coordination/admission/matrix_test.go
+++ b/internal/coordination/admission/matrix_test.go
@@ -12,127 +12,129 @@
 	"merlintiller/internal/protocol"
 )
 
+// fixedCapacity is a CapacitySource with a settable number of slots.
 type fixedCapacity struct{ slots int }
 
 func (f *fixedCapacity) Capacity(protocol.ServiceName) Capacity {
 	return Capacity{Slots: f.slots, Instances: 1}
 }
 
-// world is an admission with one place, which a call holds.
-type world struct {
+// fixture is an Admission with a single slot, which the call of holder occupies.
+type fixture struct {
 	*Admission
 	capacity *fixedCapacity
-	first    coordination.Ticket
+	holder   coordination.Ticket
 }
 
-func newWorld(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	fleet := &protocol.Fleet{Services: map[protocol.ServiceName]protocol.Service{"s": {Name: "s"}}}
-	w := &world{capacity: &fixedCapacity{slots: 1}}
-	w.Admission = New(Config{Fleet: func() *protocol.Fleet { return fleet }, Capacities: w.capacity, Settings: Defaults()})
-	w.refresh()
-	ticket, refusal := w.Enter(t.Context(), "o", "s", time.Now().Add(time.Hour))
+	f := &fixture{capacity: &fixedCapacity{slots: 1}}
+	f.Admission = New(Config{Fleet: func() *protocol.Fleet { return fleet }, Capacities: f.capacity, Settings: Defaults()})
+	f.refreshCapacities()
+	ticket, refusal := f.Enter(t.Context(), "o", "s", time.Now().Add(time.Hour))
 	require.Nil(t, refusal)
-	w.first = ticket
-	return w
+	f.holder = ticket
+	return f
 }
 
-type answer struct {
+// result is what Enter returned, and when.
+type result struct {
 	ticket  coordination.Ticket
 	refusal *protocol.Refusal
 	at      time.Time
 }
 
-// enter makes a call that waits.
-func (w *world) enter(t *testing.T, ctx context.Context, within time.Duration) <-chan answer {
+// enter starts a call that has to wait.
+func (f *fixture) enter(t *testing.T, ctx context.Context, within time.Duration) <-chan result {
 	t.Helper()
-	answers := make(chan answer, 1)
+	results := make(chan result, 1)
 	go func() {
-		ticket, refusal := w.Enter(ctx, "o", "s", time.Now().Add(within))
-		answers <- answer{ticket: ticket, refusal: refusal, at: time.Now()}
+		ticket, refusal := f.Enter(ctx, "o", "s", time.Now().Add(within))
+		results <- result{ticket: ticket, refusal: refusal, at: time.Now()}
 	}()
 	synctest.Wait()
-	return answers
+	return results
 }
 
-// requireFree checks that no place was lost: the next call runs.
-func (w *world) requireFree(t *testing.T) {
+// requireFree checks that the slot was not leaked: the next call is admitted.
+func (f *fixture) requireFree(t *testing.T) {
 	t.Helper()
-	ticket, refusal := w.Enter(t.Context(), "o", "s", time.Now().Add(time.Hour))
+	ticket, refusal := f.Enter(t.Context(), "o", "s", time.Now().Add(time.Hour))
 	require.Nil(t, refusal)
 	ticket.Release()
 }
 
-// A call waits until its deadline. It is refused at that moment, not later, and
-// the place that comes free afterwards is not lost.
+// A call waits until its deadline. It is rejected at that moment, not later, and the slot
+// that is released afterwards is not leaked.
 func queuePause(t *testing.T) {
-	w := newWorld(t)
+	f := newFixture(t)
 	began := time.Now()
-	answers := w.enter(t, t.Context(), 5*time.Second)
-	got := <-answers
+	results := f.enter(t, t.Context(), 5*time.Second)
+	got := <-results
 	require.Equal(t, protocol.CodeDeadline, got.refusal.Code)
 	require.Equal(t, 5*time.Second, got.at.Sub(began))
-	w.first.Release()
-	w.requireFree(t)
+	f.holder.Release()
+	f.requireFree(t)
 }
 
-// A caller gives its place back twice. The second time must not free the place
-// of another.
+// A call releases its slot twice. The second Release must not release the slot of another
+// call.
 func queueDuplicate(t *testing.T) {
-	w := newWorld(t)
-	w.first.Release()
-	w.first.Release()
-	w.requireFree(t)
-	require.Zero(t, w.core.Load("s").Running)
+	f := newFixture(t)
+	f.holder.Release()
+	f.holder.Release()
+	f.requireFree(t)
+	require.Zero(t, f.core.Load("s").Running)
 }
 
-// A place comes free in the very moment of the deadline. Whichever wins, the
-// place is not lost.
+// The slot is released at the same time as the deadline passes. Whichever is handled
+// first, the slot is not leaked.
 func queueLate(t *testing.T) {
-	w := newWorld(t)
-	answers := w.enter(t, t.Context(), 5*time.Second)
-	time.AfterFunc(5*time.Second, w.first.Release)
-	if got := <-answers; got.refusal == nil {
+	f := newFixture(t)
+	results := f.enter(t, t.Context(), 5*time.Second)
+	time.AfterFunc(5*time.Second, f.holder.Release)
+	if got := <-results; got.refusal == nil {
 		got.ticket.Release()
 	}
 	synctest.Wait()
-	w.requireFree(t)
+	f.requireFree(t)
 }
 
-// The log is not needed to decide: calls are admitted as before.
+// The log is unavailable. Admission does not depend on it: calls are admitted as before.
 func queueLogDown(t *testing.T) {
-	w := newWorld(t)
-	answers := w.enter(t, t.Context(), 5*time.Second)
-	w.first.Release()
-	got := <-answers
+	f := newFixture(t)
+	results := f.enter(t, t.Context(), 5*time.Second)
+	f.holder.Release()
+	got := <-results
 	require.Nil(t, got.refusal)
 	got.ticket.Release()
-	w.requireFree(t)
+	f.requireFree(t)
 }
 
-// The failure domain with all targets is cut off. A new call is told so at once,
-// and a waiting one goes on when the targets are back.
-func queueCut(t *testing.T) {
-	w := newWorld(t)
-	answers := w.enter(t, t.Context(), 10*time.Second)
-	w.capacity.slots = 0
-	w.refresh()
-	w.first.Release()
-	_, refusal := w.Enter(t.Context(), "o", "s", time.Now().Add(time.Minute))
+// A network partition isolates the failure domain with all targets. A new call is
+// rejected at once, and a waiting call is admitted when the targets are back.
+func queuePartition(t *testing.T) {
+	f := newFixture(t)
+	results := f.enter(t, t.Context(), 10*time.Second)
+	f.capacity.slots = 0
+	f.refreshCapacities()
+	f.holder.Release()
+	_, refusal := f.Enter(t.Context(), "o", "s", time.Now().Add(time.Minute))
 	require.Equal(t, protocol.CodeNoTarget, refusal.Code)
 	require.Equal(t, protocol.NotRun, refusal.Run)
-	w.capacity.slots = 1
-	w.refresh()
-	got := <-answers
+	f.capacity.slots = 1
+	f.refreshCapacities()
+	got := <-results
 	require.Nil(t, got.refusal)
 	got.ticket.Release()
-	w.requireFree(t)
+	f.requireFree(t)
 }
 
-// Two operators change an organisation's weight while its calls wait. The calls
-// keep their places and none waits for ever.
+// Two operators change an organisation's weight while its calls wait. The calls keep
+// their positions in the queue, and all of them are admitted.
 func queueOperators(t *testing.T) {
-	c := filled(1)
+	c := newFullCore(1)
 	ids := map[WaitID]bool{}
 	for i := range 20 {
 		weight := []float64{0.1, 5}[i%2]
@@ -148,8 +150,10 @@
 	require.Empty(t, ids)
 }
 
+// TestMatrixQueue covers the queue's row of the fault matrix: each fault either leaves the
+// queue correct or cannot affect it, for the reason given.
 func TestMatrixQueue(t *testing.T) {
-	const ownMemory = "the queue is the instance's own memory: its calls end with it, and none was sent"
+	const ownMemory = "the queue is in the instance's memory: its calls end with the instance, and none was sent to a target"
 	cells := []struct {
 		fault, reason string
 		run           func(*testing.T)
@@ -162,10 +166,10 @@
 		{"duplicate", "", queueDuplicate},
 		{"late", "", queueLate},
 		{"cut-from-log", "", queueLogDown},
-		{"cut-from-domain", "", queueCut},
+		{"cut-from-domain", "", queuePartition},
 		{"operators-racing", "", queueOperators},
-		{"crossed", "a call that waits has asked no target yet", nil},
-		{"target-dead", "a call that waits has no target yet; the next look at the capacity lacks the dead one's slots", nil},
+		{"crossed", "a waiting call has not been sent to a target", nil},
+		{"target-dead", "a waiting call has no target yet; the next refresh of the capacity leaves out the slots of the dead target", nil},
 	}
 	for _, c := range cells {
 		t.Run("queue/"+c.fault, func(t *testing.T) {
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -6,43 +6,47 @@
 	"merlintiller/internal/protocol"
 )
 
-// WaitID names a waiting call.
+// WaitID identifies a waiting call.
 type WaitID uint64
 
-// waiting is a call in a queue.
-type waiting struct {
+// queuedCall is a call in a queue.
+type queuedCall struct {
 	id       WaitID
 	deadline time.Time
 }
 
-// lane is the queue of one organisation for one service.
-type lane struct {
+// flow holds the waiting calls of one organisation for one service.
+type flow struct {
 	organisation protocol.OrganisationID
 	weight       float64
-	calls        []waiting
-	// deficit is what the lane may still send in its turn, in calls.
+	calls        []queuedCall
+	// deficit is the number of calls that the flow may still send in its turn.
 	deficit float64
 }
 
-// queue serves lanes by deficit round robin: a lane gets its weight in calls a
-// round, and keeps no credit while it is empty.
+// queue is the queue of one service. It serves its flows by deficit round robin: in each
+// round a flow may send as many calls as its weight, and an empty flow keeps no deficit.
 type queue struct {
-	lanes  map[protocol.OrganisationID]*lane
-	active []*lane
+	flows map[protocol.OrganisationID]*flow
+	// active holds the flows in the order of their turns.
+	active []*flow
+	// length is the number of calls in all flows.
 	length int
-	// fresh says that the lane in front has not had its weight this turn.
-	fresh bool
+	// quantumDue is set if the first flow has not received its quantum, which is its
+	// weight, in this turn.
+	quantumDue bool
 }
 
 func newQueue() *queue {
-	return &queue{lanes: map[protocol.OrganisationID]*lane{}, fresh: true}
+	return &queue{flows: map[protocol.OrganisationID]*flow{}, quantumDue: true}
 }
 
-func (q *queue) push(org protocol.OrganisationID, weight float64, call waiting) {
-	l, ok := q.lanes[org]
+// push appends a call to the flow of its organisation. The flow adopts the weight.
+func (q *queue) push(org protocol.OrganisationID, weight float64, call queuedCall) {
+	l, ok := q.flows[org]
 	if !ok {
-		l = &lane{organisation: org}
-		q.lanes[org] = l
+		l = &flow{organisation: org}
+		q.flows[org] = l
 		q.active = append(q.active, l)
 	}
 	l.weight = weight
@@ -50,13 +54,13 @@
 	q.length++
 }
 
-// pop removes the call whose turn it is.
-func (q *queue) pop() (waiting, bool) {
+// pop removes and returns the next call, false if the queue is empty.
+func (q *queue) pop() (queuedCall, bool) {
 	for len(q.active) > 0 {
 		l := q.active[0]
-		if q.fresh {
+		if q.quantumDue {
 			l.deficit += l.weight
-			q.fresh = false
+			q.quantumDue = false
 		}
 		if l.deficit < 1 {
 			q.rotate()
@@ -67,32 +71,34 @@
 		l.calls = l.calls[1:]
 		q.length--
 		if len(l.calls) == 0 {
-			q.drop(0)
+			q.removeFlowAt(0)
 		}
 		return call, true
 	}
-	return waiting{}, false
+	return queuedCall{}, false
 }
 
+// rotate ends the turn of the first flow.
 func (q *queue) rotate() {
 	first := q.active[0]
 	copy(q.active, q.active[1:])
 	q.active[len(q.active)-1] = first
-	q.fresh = true
+	q.quantumDue = true
 }
 
-// drop removes an empty lane and its credit.
-func (q *queue) drop(i int) {
-	delete(q.lanes, q.active[i].organisation)
+// removeFlowAt removes an empty flow with its deficit.
+func (q *queue) removeFlowAt(i int) {
+	delete(q.flows, q.active[i].organisation)
 	q.active = append(q.active[:i], q.active[i+1:]...)
 	if i == 0 {
-		q.fresh = true
+		q.quantumDue = true
 	}
 }
 
-// remove takes a call out of the middle of the queue.
+// remove removes a call from anywhere in the queue. It returns false if the call is not
+// in the queue.
 func (q *queue) remove(org protocol.OrganisationID, id WaitID) bool {
-	l, ok := q.lanes[org]
+	l, ok := q.flows[org]
 	if !ok {
 		return false
 	}
@@ -103,27 +109,28 @@
 		l.calls = append(l.calls[:i], l.calls[i+1:]...)
 		q.length--
 		if len(l.calls) == 0 {
-			q.dropLane(l)
+			q.removeFlow(l)
 		}
 		return true
 	}
 	return false
 }
 
-func (q *queue) dropLane(l *lane) {
+// removeFlow removes an empty flow.
+func (q *queue) removeFlow(l *flow) {
 	for i := range q.active {
 		if q.active[i] == l {
-			q.drop(i)
+			q.removeFlowAt(i)
 			return
 		}
 	}
 }
 
-// ahead is the number of calls that will be served before a new call of an
+// callsAhead estimates the number of calls that are admitted before a new call of an
 // organisation with a weight.
-func (q *queue) ahead(org protocol.OrganisationID, weight float64) float64 {
+func (q *queue) callsAhead(org protocol.OrganisationID, weight float64) float64 {
 	own := 0
-	if l, ok := q.lanes[org]; ok {
+	if l, ok := q.flows[org]; ok {
 		own = len(l.calls)
 	}
 	rounds := float64(own+1) / weight
--- a/internal/coordination/admission/settings.go
+++ b/internal/coordination/admission/settings.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// Settings are the policy constants of admission.
+// Settings are the settings of admission.
 type Settings struct {
-	// QueuePerOrganisation bounds what one organisation may have waiting for
-	// one service here. Longer queues only hold calls that would be refused
-	// for their deadline anyway.
+	// QueuePerOrganisation is the maximum number of calls of one organisation that
+	// wait for one service at this instance. A longer queue would only hold calls
+	// that are rejected because of their deadline anyway.
 	QueuePerOrganisation int `yaml:"queue_per_organisation"`
-	// QueuePerService bounds the waiting calls of all organisations together,
-	// and with them the memory.
+	// QueuePerService is the maximum number of calls of all organisations that wait
+	// for one service at this instance. It bounds the memory of the queue.
 	QueuePerService int `yaml:"queue_per_service"`
-	// Overcommit is the number of calls let through for each slot. Engines
-	// batch continuously and slow down gently a little above their slots, and
-	// a queue in front of an idle slot is worse.
+	// Overcommit is the number of calls that are admitted for each slot. Engines use
+	// continuous batching and slow down only gradually when slightly above their
+	// slots, and a call that waits in front of an idle slot is worse.
 	Overcommit float64 `yaml:"overcommit"`
-	// DefaultSlots is the number of slots of a target whose service states
-	// none.
+	// DefaultSlots is the number of calls that are admitted at a time for a service
+	// whose capacity is not known yet.
 	DefaultSlots int `yaml:"default_slots"`
-	// DefaultHold is the expected time of a call until some were observed.
+	// DefaultHold is the expected time for which a call occupies a slot until calls
+	// have been observed.
 	DefaultHold time.Duration `yaml:"default_hold"`
-	// HoldMemory is the weight of the latest call in the expected time.
+	// HoldMemory is the weight of the latest call in the moving average of the time
+	// for which a call occupies a slot.
 	HoldMemory float64 `yaml:"hold_memory"`
-	// Refresh is how often the capacity is looked at.
+	// Refresh is the interval at which the capacity of the services is updated.
 	Refresh time.Duration `yaml:"refresh"`
 }
 
--- a/internal/daemon/view.go
+++ b/internal/daemon/view.go
@@ -35,7 +35,7 @@
 
 var (
 	_ admission.CapacitySource = (*view)(nil)
-	_ headroom.Source      = (*view)(nil)
+	_ headroom.Source          = (*view)(nil)
 )
 
 func (v *view) slots(service protocol.ServiceName) int {
@@ -50,7 +50,7 @@
 	slots, others := v.router.Capacity(service)
 	return admission.Capacity{
 		Slots:     slots,
-		OtherLoad:    int(math.Round(others)),
+		OtherLoad: int(math.Round(others)),
 		Instances: max(1, len(v.Members())),
 	}
 }
