--- a/internal/coordination/routed/batchjobs/runner.go
+++ b/internal/coordination/routed/batchjobs/runner.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// lookEvery is how often it is looked whether an item that waits for a while
-	// may begin.
-	lookEvery = 40 * time.Millisecond
-	// yieldPause is how long an item waits that gave up its slot.
-	yieldPause = 60 * time.Millisecond
-	// failPause is how long an item waits after a failed run, doubled with each
-	// further one up to failMost.
-	failPause = 100 * time.Millisecond
-	failMost  = 2 * time.Second
-	// claimWait is how long a new holder waits for others to claim the items
-	// that they run: two messages of another failure domain.
+	// pollInterval is how often the runner checks whether a waiting item may
+	// start.
+	pollInterval = 40 * time.Millisecond
+	// yieldDelay is how long an item waits before its next run after it yielded
+	// its slot or a target rejected it.
+	yieldDelay = 60 * time.Millisecond
+	// failureBackoff is how long an item waits after a failed run. It doubles with
+	// each further failure, up to maxFailureBackoff.
+	failureBackoff    = 100 * time.Millisecond
+	maxFailureBackoff = 2 * time.Second
+	// claimWait is how long a new owner waits for other instances to claim the
+	// items that they run: two heartbeats from another failure domain.
 	claimWait = 400 * time.Millisecond
-	// startWait is the same after a restart of all instances, when nobody has anything
-	// to claim: until the instances have found each other and asked the targets what
-	// they run.
-	startWait = 150 * time.Millisecond
+	// restartClaimWait replaces claimWait after a restart of all instances, when
+	// no instance has an item to claim. It lets the instances find each other and
+	// ask the targets what they run.
+	restartClaimWait = 150 * time.Millisecond
 )
 
 var (
@@ -39,46 +40,47 @@
 	itemYields = metrics.NewCounter(`batch_item_yields_total`)
 )
 
-// itemID names an item of a job.
+// itemID identifies an item of a job.
 type itemID struct{ job, item string }
 
-// openItem is an item that is to be run.
+// openItem is an item that has no result yet.
 type openItem struct {
 	id   itemID
 	item jobs.Item
 	job  jobs.Job
-	// place is that of the item in its job, kept what was kept of its output.
-	place int
-	kept  jobs.Progress
+	// index is the item's index in its job, progress the stored part of its output.
+	index    int
+	progress jobs.Progress
 }
 
-// Runner runs the items of the partitions that are held. It is a duty.
+// Runner runs the items of the owned partitions. It is a background service.
 type Runner struct {
 	opts *Options
-	// handing counts what is being handed to holders.
-	handing atomic.Int64
-	// local gives a partition that is held here.
-	local func(number int) (*holding, bool)
+	// handOvers counts the results and partial outputs being sent to owners.
+	handOvers atomic.Int64
+	// replicaOf returns the replica of a partition that this instance owns.
+	replicaOf func(number int) (*partitionReplica, bool)
 
-	mu   sync.Mutex
-	pace pace
-	// changed is closed when items come or may begin.
+	mu       sync.Mutex
+	estimate runEstimate
+	// changed is closed when items are added or may start.
 	changed chan struct{}
 	tasks   map[itemID]*task
 	waiting []*task
 	ctx     context.Context
-	// delivering are results on their way to the holders of their partitions.
+	// delivering holds the items whose results are being sent to the owners of
+	// their partitions.
 	delivering map[itemID]bool
-	// leaving says that nothing new is begun.
-	leaving bool
-	// claimed are the items that others run, as of claimedAt.
-	claimed   map[itemID]bool
-	claimedAt time.Time
+	// shuttingDown stops new runs.
+	shuttingDown bool
+	// claimedByPeers holds the items that other instances run, as of claimsReadAt.
+	claimedByPeers map[itemID]bool
+	claimsReadAt   time.Time
 }
 
 // NewRunner returns a runner without items.
 func NewRunner(opts *Options) *Runner {
-	r := &Runner{opts: opts, changed: make(chan struct{}), pace: newPace(), tasks: map[itemID]*task{}, delivering: map[itemID]bool{}}
+	r := &Runner{opts: opts, changed: make(chan struct{}), estimate: newRunEstimate(), tasks: map[itemID]*task{}, delivering: map[itemID]bool{}}
 	metrics.GetOrCreateGauge(`batch_items{state="open"}`, func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -87,174 +89,175 @@
 	return r
 }
 
-// String names the duty.
+// String is the name of the background service.
 func (r *Runner) String() string { return "jobs-runner" }
 
-// Serve finds slots for the items that wait until ctx ends, in each failure domain
-// by a goroutine of its own.
+// Serve places waiting items until ctx ends, with one goroutine per failure domain.
 func (r *Runner) Serve(ctx context.Context) error {
 	r.mu.Lock()
 	r.ctx = ctx
 	r.mu.Unlock()
-	var seekers sync.WaitGroup
-	for i := range mostDomains {
-		seekers.Go(func() { r.seek(ctx, i) })
+	var workers sync.WaitGroup
+	for i := range maxDomains {
+		workers.Go(func() { r.placeItems(ctx, i) })
 	}
-	seekers.Wait()
+	workers.Wait()
 	return ctx.Err()
 }
 
-// mostDomains bounds the failure domains in which slots are sought at once.
-const mostDomains = 4
+// maxDomains bounds the failure domains in which items are placed at the same time.
+const maxDomains = 4
 
-// seek finds slots in the failure domain that comes at a place in the order of
-// this instance.
-func (r *Runner) seek(ctx context.Context, place int) {
+// placeItems places items in one failure domain. domainIndex is the index of the domain
+// in this instance's order of domains.
+func (r *Runner) placeItems(ctx context.Context, domainIndex int) {
 	for ctx.Err() == nil {
 		item, ok := r.mostUrgent(time.Now())
 		if !ok {
-			r.idle(ctx)
+			r.waitForWork(ctx)
 			continue
 		}
 		domains := r.opts.Placer.Domains()
-		if place >= len(domains) {
-			r.idle(ctx)
+		if domainIndex >= len(domains) {
+			r.waitForWork(ctx)
 			continue
 		}
-		if choice, found := r.opts.Placer.PlaceItem(ctx, domains[place], item); found {
-			r.begin(item.Service, choice)
+		if choice, found := r.opts.Placer.PlaceItem(ctx, domains[domainIndex], item); found {
+			r.startItem(item.Service, choice)
 		}
 	}
 }
 
-// idle waits until something may have changed. While no item waits, nothing changes by
-// the passing of time, and most instances of a large fleet hold no partition at all.
-func (r *Runner) idle(ctx context.Context) {
+// waitForWork waits until an item may be able to start. It polls only while items wait.
+// Otherwise only a change can bring work, and in a large fleet most instances own no
+// partition.
+func (r *Runner) waitForWork(ctx context.Context) {
 	r.mu.Lock()
 	changed, waiting := r.changed, len(r.waiting)
 	r.mu.Unlock()
-	var look <-chan time.Time
+	var poll <-chan time.Time
 	if waiting > 0 {
-		timer := time.NewTimer(lookEvery)
+		timer := time.NewTimer(pollInterval)
 		defer timer.Stop()
-		look = timer.C
+		poll = timer.C
 	}
 	select {
 	case <-changed:
-	case <-look:
+	case <-poll:
 	case <-ctx.Done():
 	}
 }
 
-// poke wakes those who seek slots. It needs the lock.
-func (r *Runner) poke() {
+// notifyChange wakes the goroutines that place items. The caller holds the lock.
+func (r *Runner) notifyChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// refresh takes over which items of a partition are open. It looks while it has the
-// runner's lock: of two changes that come close together, the older look could be
-// taken in last, and would have the items forgotten that the newer one brought.
-func (r *Runner) refresh(h *holding) {
+// syncItems makes the tasks match the open items of a partition. It reads the items
+// while it holds the runner's lock. Otherwise, of two changes in quick succession, the
+// older set of items could be applied last and remove the items that the newer one added.
+func (r *Runner) syncItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h.dropped {
+	if p.released {
 		return
 	}
-	open, held := h.open()
+	open, acquiredAt := p.openItems()
 	wanted := make(map[itemID]bool, len(open))
 	for i := range open {
 		o := &open[i]
 		wanted[o.id] = true
 		if known := r.tasks[o.id]; known != nil {
-			// An item of a partition that was lost and is held again.
-			known.home = h
+			// The item's partition was lost and is owned again.
+			known.replica = p
 			continue
 		}
-		t := &task{openItem: *o, runner: r, home: h, position: exchange.FromStart}
-		t.output.begin()
-		if o.job.Submitted.Before(held) {
-			t.inherited = true
-			t.notBefore, t.claimsUntil = r.takeOver(time.Now(), held)
+		t := &task{openItem: *o, runner: r, replica: p, position: exchange.FromStart}
+		t.output.reset()
+		if o.job.Submitted.Before(acquiredAt) {
+			t.mayRunElsewhere = true
+			t.notBefore, t.claimsUntil = r.inheritedItemTimes(time.Now(), acquiredAt)
 		}
-		t.resume(o.kept)
-		t.adopt(h.handedBack(o.id))
+		t.resume(o.progress)
+		t.adopt(p.takePartialOutput(o.id))
 		r.tasks[o.id] = t
 		r.waiting = append(r.waiting, t)
 	}
 	for id, t := range r.tasks {
-		if t.home == h && !wanted[id] {
-			r.forget(t)
+		if t.replica == p && !wanted[id] {
+			r.endTask(t)
 		}
 	}
-	r.poke()
+	r.notifyChange()
 }
 
-// drop lets go of the items of a partition that is held no more. Those that run
-// go on, as claims; what the others have is handed to the new holder.
-func (r *Runner) drop(h *holding) {
+// releaseItems detaches the items of a partition that this instance no longer owns.
+// Running items go on, as claims. The output of waiting items and the unpublished
+// results are sent to the new owner.
+func (r *Runner) releaseItems(p *partitionReplica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.dropped = true
+	p.released = true
 	for _, t := range r.tasks {
-		if t.home != h {
+		if t.replica != p {
 			continue
 		}
-		t.home = nil
+		t.replica = nil
 		if t.cancel == nil {
-			r.handBack(t)
+			r.handOver(t)
 		}
 	}
-	for _, f := range h.takeFinished() {
-		r.delivers(f)
-		go r.deliver(f)
+	for _, f := range p.takeUnpublished() {
+		r.startDelivery(f)
+		go r.deliverResult(f)
 	}
 }
 
-// settle ends the task of an item whose result came from elsewhere.
-func (r *Runner) settle(id itemID) {
+// discardTask ends the task of an item whose result came from another instance.
+func (r *Runner) discardTask(id itemID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.tasks[id]; t != nil {
-		r.forget(t)
+		r.endTask(t)
 	}
 }
 
-// handBack gives what a waiting task has to the holder of its partition and
-// forgets the task. It needs the lock.
-func (r *Runner) handBack(t *task) {
-	r.forget(t)
+// handOver ends a waiting task and sends its output to the owner of its partition.
+// The caller holds the lock.
+func (r *Runner) handOver(t *task) {
+	r.endTask(t)
 	if t.events > 0 || t.failures > 0 {
-		r.handing.Add(1)
-		go r.deliverPart(t.part())
+		r.handOvers.Add(1)
+		go r.deliverPartialOutput(t.partialOutput())
 	}
 }
 
-// Leave ends all runs and hands what they have to the holders of their
-// partitions. It comes after the partitions were given up.
-func (r *Runner) Leave(ctx context.Context) {
+// Shutdown stops all runs and sends their output to the owners of their partitions.
+// The partitions must have been released before.
+func (r *Runner) Shutdown(ctx context.Context) {
 	r.mu.Lock()
-	r.leaving = true
+	r.shuttingDown = true
 	for _, t := range r.tasks {
 		if t.cancel != nil {
 			t.cancel()
 		}
 	}
 	r.mu.Unlock()
-	for ctx.Err() == nil && r.busy() {
-		wait.For(ctx, lookEvery)
+	for ctx.Err() == nil && r.hasUnfinishedWork() {
+		wait.For(ctx, pollInterval)
 	}
 }
 
-// busy says that something is still to be handed over.
-func (r *Runner) busy() bool {
+// hasUnfinishedWork says that tasks or hand-overs are left.
+func (r *Runner) hasUnfinishedWork() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.tasks) > 0 || r.handing.Load() > 0
+	return len(r.tasks) > 0 || r.handOvers.Load() > 0
 }
 
-// forget ends a task. It needs the lock.
-func (r *Runner) forget(t *task) {
+// endTask removes a task and cancels its run. The caller holds the lock.
+func (r *Runner) endTask(t *task) {
 	if r.tasks[t.id] == t {
 		delete(r.tasks, t.id)
 	}
@@ -262,7 +265,7 @@
 	if t.cancel != nil {
 		t.cancel()
 	}
-	r.unqueue(t)
+	r.dequeue(t)
 }
 
 // finish ends a task with a result.
@@ -270,32 +273,32 @@
 	r.mu.Lock()
 	ended := t.ended
 	if result.Outcome == jobs.Succeeded {
-		r.pace.learn(t.events, t.worked)
+		r.estimate.observe(t.events, t.runTime)
 	}
 	if !ended {
-		// The result waits in its partition now; until it is listed there, the
-		// item counts as pending and is not run again. Where the partition is
-		// held elsewhere, the holder is told.
+		// The result is now queued in its partition. Until it is published, the
+		// item counts as pending and does not run again. If another instance owns
+		// the partition, the result is sent to that instance.
 		t.ended = true
 		delete(r.tasks, t.id)
 	}
-	home := t.home
-	f := finished{job: t.id.job, result: result}
-	if !ended && home == nil {
-		r.delivers(f)
+	replica := t.replica
+	f := finishedItem{job: t.id.job, result: result}
+	if !ended && replica == nil {
+		r.startDelivery(f)
 	}
 	r.mu.Unlock()
 	switch {
 	case ended:
-	case home != nil:
-		home.finish(f)
+	case replica != nil:
+		replica.addResult(f)
 	default:
-		r.deliver(f)
+		r.deliverResult(f)
 	}
 }
 
-// Yield gives the slot back that a broker gave under a number, if an item still
-// has it. The item goes on elsewhere from where it is.
+// Yield ends the run that holds the slot granted under a number, and says whether
+// there was one. The item later continues from its last event, at any target.
 func (r *Runner) Yield(number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -313,10 +316,10 @@
 	return false
 }
 
-// runs notes that a task has begun. It needs the lock.
-func (r *Runner) runs(t *task, choice placement.Choice) {
+// startRun starts a run of a task at a target. The caller holds the lock.
+func (r *Runner) startRun(t *task, choice placement.Choice) {
 	ctx, cancel := context.WithCancel(r.ctx)
-	t.cancel, t.choice, t.yielding, t.began = cancel, choice, false, time.Now()
+	t.cancel, t.choice, t.yielding, t.startedAt = cancel, choice, false, time.Now()
 	itemRuns.Inc()
 	r.opts.Placer.Runs(choice, t.id.item)
 	go t.run(ctx, choice)
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -169,7 +169,7 @@
 
 // waitLimits returns how long the request may wait for a slot.
 func (c *call) waitLimits() placement.Patience {
-	onTime := c.ReceivedAt.Add(c.Route.Objective - expectedTimeToFirstByte)
+	onTime := c.ReceivedAt.Add(c.Route.LatencyObjective - expectedTimeToFirstByte)
 	if c.headSent {
 		// A resumed stream has to continue before the gap between two events
 		// exceeds its limit.
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -151,8 +151,8 @@
 const requestTime = 5 * time.Second
 
 var (
-	atMostOnceRoute = route.Route{Kind: route.Stream, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 1}
-	resumableRoute  = route.Route{Kind: route.Stream, Resumable: true, Objective: 300 * time.Millisecond, Gap: 600 * time.Millisecond, MaxAttempts: 2}
+	atMostOnceRoute = route.Route{Kind: route.Stream, LatencyObjective: 300 * time.Millisecond, GapObjective: 600 * time.Millisecond, MaxAttempts: 1}
+	resumableRoute  = route.Route{Kind: route.Stream, Resumable: true, LatencyObjective: 300 * time.Millisecond, GapObjective: 600 * time.Millisecond, MaxAttempts: 2}
 )
 
 // serve has a Relay serve a request with the targets of f. It returns the outcome,
--- a/internal/coordination/routed/relay/stall.go
+++ b/internal/coordination/routed/relay/stall.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// firstByteTimeoutFraction is the fraction of the route's objective after
-	// which an exchange without an answer counts as stalled and a request that may
+	// firstByteTimeoutFraction is the fraction of the route's latency objective
+	// after which an exchange without an answer counts as stalled and a request that may
 	// be retried tries to fail over. A target with a free slot answers within a
 	// tenth of the objective, so a second target still answers in time.
 	firstByteTimeoutFraction = 0.5
-	// gapTimeoutFraction is the fraction of the route's longest gap between two
-	// events after which a stream counts as stalled.
+	// gapTimeoutFraction is the fraction of the route's gap objective without an
+	// event after which a stream counts as stalled.
 	gapTimeoutFraction = 0.6
 	// minFirstByteTimeout and minGapTimeout are the lower bounds of the two
 	// timeouts, so that a short objective does not make every target suspect.
@@ -62,7 +62,7 @@
 	}
 	limit := c.gapTimeout()
 	if !c.headSent {
-		limit = max(minFirstByteTimeout, time.Duration(firstByteTimeoutFraction*float64(c.Route.Objective)))
+		limit = max(minFirstByteTimeout, time.Duration(firstByteTimeoutFraction*float64(c.Route.LatencyObjective)))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +73,7 @@
 // gapTimeout returns the time without an event after which a stream counts as
 // stalled.
 func (c *call) gapTimeout() time.Duration {
-	return max(minGapTimeout, time.Duration(gapTimeoutFraction*float64(c.Route.Gap)))
+	return max(minGapTimeout, time.Duration(gapTimeoutFraction*float64(c.Route.GapObjective)))
 }
 
 // onTimeout runs when no data arrived within the timeout.
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -58,9 +58,9 @@
 	mesh    *mesh.Mesh
 	peers   *peer.Server
 	calls   *peer.Client
-	keeper  *batchjobs.Keeper
+	keeper  *batchjobs.PartitionOwner
 	runner  *batchjobs.Runner
-	desk    *batchjobs.Desk
+	desk    *batchjobs.JobService
 	front   *front.Front
 
 	isolation *isolation
@@ -103,7 +103,7 @@
 		cutOff: d.mesh.CutOff, storeAge: d.view.StoreAge, logger: d.logger,
 		takesJobs: func() bool {
 			table := d.view.Table()
-			return table != nil && table.TakesJobs()
+			return table != nil && table.HasAnyBatchRoute()
 		},
 	}
 	d.joinFront()
@@ -163,8 +163,8 @@
 		Targets: d.targets, Placer: d.slots, Logger: d.logger,
 	}
 	d.runner = batchjobs.NewRunner(opts)
-	d.keeper = batchjobs.NewKeeper(opts, d.runner)
-	d.desk = batchjobs.NewDesk(opts, d.keeper, d.runner)
+	d.keeper = batchjobs.NewPartitionOwner(opts, d.runner)
+	d.desk = batchjobs.NewJobService(opts, d.keeper, d.runner)
 }
 
 func (d *Daemon) joinFront() {
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -25,8 +25,8 @@
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
-	beat.Partitions, beat.Generation = l.keeper.Holding()
-	beat.HasLost = l.keeper.HasLost()
+	beat.Partitions, beat.Generation = l.keeper.Owned()
+	beat.HasLost = l.keeper.HasLostPartition()
 	beat.Claims = l.runner.Claims()
 }
 
--- a/internal/state/jobs/record.go
+++ b/internal/state/jobs/record.go
@@ -12,21 +12,21 @@
 	"merlintiller/internal/external"
 )
 
-// Keys begin with a letter for what they hold, then the job.
+// A key begins with a letter for its kind of record, followed by the id of the job.
 const (
-	headKey   = "j/"
-	itemsKey  = "i/"
-	resultKey = "r/"
-	textKey   = "t/"
-	endKey    = "e/"
-	pieceKey  = "p/"
-	// MaxID is the longest id of a job, so that all keys fit into the log's
-	// bound of 255 bytes.
+	headPrefix    = "j/"
+	itemsPrefix   = "i/"
+	resultPrefix  = "r/"
+	textPrefix    = "t/"
+	cancelPrefix  = "e/"
+	segmentPrefix = "p/"
+	// MaxID is the maximum length of a job's id in bytes. It keeps all keys within
+	// the log's limit of 255 bytes.
 	MaxID = 200
 )
 
-// head is the record that makes a job exist.
-type head struct {
+// headRecord is the record that makes a job exist.
+type headRecord struct {
 	Organisation  string `cbor:"1,keyasint"`
 	Host          string `cbor:"2,keyasint"`
 	Prefix        string `cbor:"3,keyasint"`
@@ -35,24 +35,24 @@
 	Submitted int64 `cbor:"5,keyasint"`
 	Due       int64 `cbor:"6,keyasint"`
 	GiveUp    int64 `cbor:"7,keyasint"`
-	// Parts is the number of records of items.
-	Parts int `cbor:"8,keyasint"`
+	// ItemRecords is the number of records with items.
+	ItemRecords int `cbor:"8,keyasint"`
 }
 
-// entry is the record of a result.
-type entry struct {
+// resultRecord is the record of a result.
+type resultRecord struct {
 	Item    string  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
-	// Text is empty if it stands in Parts records of its own.
-	Text  string `cbor:"3,keyasint,omitempty"`
-	Parts int    `cbor:"4,keyasint,omitempty"`
+	// Text is empty if the text is in TextRecords records of its own.
+	Text        string `cbor:"3,keyasint,omitempty"`
+	TextRecords int    `cbor:"4,keyasint,omitempty"`
 }
 
-// recordOverhead is left free in a record for its key and its encoding.
+// recordOverhead is the space in bytes reserved in a record for its key and encoding.
 const recordOverhead = 1 << 10
 
-// EncodeJob gives the records of a job, its head last: a reader that has the
-// head has the items. No record is larger than a limit, unless one item is.
+// EncodeJob returns the records of a job, its head last: a reader that has the head has
+// the items too. No record exceeds recordBytes; an item that is too large is an error.
 func EncodeJob(job *Job, recordBytes int) ([]external.KeyedRecord, error) {
 	var records []external.KeyedRecord
 	for start := 0; start < len(job.Items); {
@@ -71,45 +71,46 @@
 		if len(value) > recordBytes-recordOverhead/2 {
 			return nil, trace.LimitExceeded("item %q is too large for a record", job.Items[start].ID)
 		}
-		records = append(records, external.KeyedRecord{Key: part(itemsKey+job.ID, len(records)), Value: value})
+		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+job.ID, len(records)), Value: value})
 		start = end
 	}
-	value, err := cbor.Marshal(head{
+	value, err := cbor.Marshal(headRecord{
 		Organisation: job.Organisation, Host: job.Host, Prefix: job.Prefix, ConfigVersion: job.ConfigVersion,
 		Submitted: job.Submitted.UnixMilli(), Due: job.Due.UnixMilli(), GiveUp: job.GiveUp.UnixMilli(),
-		Parts: len(records),
+		ItemRecords: len(records),
 	})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return append(records, external.KeyedRecord{Key: headKey + job.ID, Value: value}), nil
+	return append(records, external.KeyedRecord{Key: headPrefix + job.ID, Value: value}), nil
 }
 
+// itemSize estimates the encoded size of an item in bytes.
 func itemSize(item *Item) int {
-	const each = 32
-	size := each + len(item.ID) + len(item.Path) + len(item.Body)
+	const overhead = 32
+	size := overhead + len(item.ID) + len(item.Path) + len(item.Body)
 	for name, value := range item.Header {
-		size += each + len(name) + len(value)
+		size += overhead + len(name) + len(value)
 	}
 	return size
 }
 
-// EncodeEnd gives the record that ends a job.
-func EncodeEnd(job string) external.KeyedRecord {
-	return external.KeyedRecord{Key: endKey + job, Value: []byte{1}}
+// EncodeCancellation returns the record that cancels a job.
+func EncodeCancellation(job string) external.KeyedRecord {
+	return external.KeyedRecord{Key: cancelPrefix + job, Value: []byte{1}}
 }
 
-// EncodeResult gives the records of a result at a position.
+// EncodeResult returns the records of a result at a position.
 func EncodeResult(job string, position int, result Result, recordBytes int) ([]external.KeyedRecord, error) {
-	key := position6(resultKey+job, position)
-	record := entry{Item: result.Item, Outcome: result.Outcome, Text: result.Text}
+	key := indexKey(resultPrefix+job, position)
+	record := resultRecord{Item: result.Item, Outcome: result.Outcome, Text: result.Text}
 	var records []external.KeyedRecord
 	if limit := recordBytes - recordOverhead; len(result.Text) > limit {
 		record.Text = ""
-		for text := result.Text; len(text) > 0; record.Parts++ {
+		for text := result.Text; len(text) > 0; record.TextRecords++ {
 			n := min(limit, len(text))
 			records = append(records, external.KeyedRecord{
-				Key: part(position6(textKey+job, position), record.Parts), Value: []byte(text[:n]),
+				Key: recordKey(indexKey(textPrefix+job, position), record.TextRecords), Value: []byte(text[:n]),
 			})
 			text = text[n:]
 		}
@@ -121,37 +122,38 @@
 	return append(records, external.KeyedRecord{Key: key, Value: value}), nil
 }
 
-// EncodeDrop gives the records that remove all of a job, its head first: a reader
-// that finds only some of them finds no job.
-func EncodeDrop(l *Listed) []external.KeyedRecord {
-	records := []external.KeyedRecord{{Key: headKey + l.ID}, {Key: endKey + l.ID}}
-	for n := range l.itemParts {
-		records = append(records, external.KeyedRecord{Key: part(itemsKey+l.ID, n)})
+// EncodeRemoval returns the records that remove a job, its head first: a reader that gets
+// only some of them sees no job.
+func EncodeRemoval(job *JobState) []external.KeyedRecord {
+	records := []external.KeyedRecord{{Key: headPrefix + job.ID}, {Key: cancelPrefix + job.ID}}
+	for n := range job.itemRecords {
+		records = append(records, external.KeyedRecord{Key: recordKey(itemsPrefix+job.ID, n)})
 	}
-	for position := range l.Results {
-		records = append(records, external.KeyedRecord{Key: position6(resultKey+l.ID, position)})
-		for n := range l.textParts[position] {
-			records = append(records, external.KeyedRecord{Key: part(position6(textKey+l.ID, position), n)})
+	for position := range job.Results {
+		records = append(records, external.KeyedRecord{Key: indexKey(resultPrefix+job.ID, position)})
+		for n := range job.textRecords[position] {
+			records = append(records, external.KeyedRecord{Key: recordKey(indexKey(textPrefix+job.ID, position), n)})
 		}
 	}
-	for item := range l.Items {
-		records = append(records, l.DropProgress(item)...)
+	for item := range job.Items {
+		records = append(records, job.EncodeProgressRemoval(item)...)
 	}
 	return records
 }
 
-// Keys are of fixed width, so that they sort by number.
-func part(key string, n int) string      { return fmt.Sprintf("%s/%04d", key, n) }
-func position6(key string, n int) string { return fmt.Sprintf("%s/%06d", key, n) }
+// recordKey and indexKey append a number to a key. The number has a fixed width, so that
+// keys sort by it.
+func recordKey(key string, n int) string { return fmt.Sprintf("%s/%04d", key, n) }
+func indexKey(key string, n int) string  { return fmt.Sprintf("%s/%06d", key, n) }
 
-// cutNumber splits a key before its last slash.
-func cutNumber(key string) (rest string, n int, ok bool) {
-	at := strings.LastIndexByte(key, '/')
-	if at < 0 {
+// splitNumber splits a key at its last slash.
+func splitNumber(key string) (rest string, n int, ok bool) {
+	slash := strings.LastIndexByte(key, '/')
+	if slash < 0 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(key[at+1:])
-	return key[:at], n, err == nil && n >= 0
+	n, err := strconv.Atoi(key[slash+1:])
+	return key[:slash], n, err == nil && n >= 0
 }
 
 func fromMillis(n int64) time.Time { return time.UnixMilli(n) }
--- a/internal/state/route/table_test.go
+++ b/internal/state/route/table_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	r := Route{Split: []Weighted{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
+	r := Route{Split: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 10_000 {
 		service, ok := r.Choose(fmt.Sprint("request-", i))
@@ -35,17 +35,17 @@
 	require.InDelta(t, 9_000, counts["a"], 200)
 	require.InDelta(t, 1_000, counts["b"], 200)
 	require.Zero(t, counts["c"])
-	_, ok := (&Route{Split: []Weighted{{Service: "a"}}}).Choose("x")
+	_, ok := (&Route{Split: []WeightedService{{Service: "a"}}}).Choose("x")
 	require.False(t, ok)
 }
 
-func TestCallersAreFoundBySecret(t *testing.T) {
+func TestOrganisationBySecret(t *testing.T) {
 	table := NewTable(Config{Organisations: []Organisation{{Name: "one", Secrets: []string{"s1", "s2"}}, {Name: "two"}}})
-	caller, ok := table.Caller("s2")
+	caller, ok := table.OrganisationBySecret("s2")
 	require.True(t, ok)
 	require.Equal(t, "one", caller.Name)
-	_, ok = table.Caller("")
+	_, ok = table.OrganisationBySecret("")
 	require.False(t, ok)
-	require.True(t, table.Guarded())
-	require.False(t, NewTable(Config{}).Guarded())
+	require.True(t, table.RequiresKey())
+	require.False(t, NewTable(Config{}).RequiresKey())
 }
