--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -150,7 +150,7 @@
 		// The call did not run, so its time says nothing about how long calls take.
 		return
 	}
-	weight := c.settings.HoldMemory
+	weight := c.settings.HoldTimeSmoothing
 	s.holdTime = time.Duration((1-weight)*float64(s.holdTime) + weight*float64(held))
 }
 
--- a/internal/coordination/admission/settings.go
+++ b/internal/coordination/admission/settings.go
@@ -21,9 +21,9 @@
 	// DefaultHold is the expected time for which a call occupies a slot until calls
 	// have been observed.
 	DefaultHold time.Duration `yaml:"default_hold"`
-	// HoldMemory is the weight of the latest call in the moving average of the time
+	// HoldTimeSmoothing is the weight of the latest call in the moving average of the time
 	// for which a call occupies a slot.
-	HoldMemory float64 `yaml:"hold_memory"`
+	HoldTimeSmoothing float64 `yaml:"hold_memory"`
 	// Refresh is the interval at which the capacity of the services is updated.
 	Refresh time.Duration `yaml:"refresh"`
 }
@@ -36,7 +36,7 @@
 		Overcommit:           1.0,
 		DefaultSlots:         64,
 		DefaultHold:          2 * time.Second,
-		HoldMemory:           0.05,
+		HoldTimeSmoothing:           0.05,
 		Refresh:              100 * time.Millisecond,
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -235,7 +235,7 @@
 		{"routing.eject_share", s.Routing.EjectShare},
 		{"headroom.spare", s.Headroom.Spare},
 		{"headroom.grow_part", s.Headroom.GrowPart},
-		{"admission.hold_memory", s.Admission.HoldMemory},
+		{"admission.hold_memory", s.Admission.HoldTimeSmoothing},
 	}
 	for _, share := range shares {
 		if share.value > 1 {
