--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -175,7 +175,7 @@
 
 // Serve implements suture.Service.
 func (r *capacityRefresher) Serve(ctx context.Context) error {
-	return wait.AtOnceAndEvery(ctx, r.admission.Settings.Refresh, r.admission.refreshCapacities)
+	return wait.AtOnceAndEvery(ctx, r.admission.Settings.RefreshInterval, r.admission.refreshCapacities)
 }
 
 // refreshCapacities updates the capacity of each service and admits waiting calls.
--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -48,7 +48,7 @@
 func (c *Core) service(name protocol.ServiceName) *service {
 	s, ok := c.services[name]
 	if !ok {
-		s = &service{queue: newQueue(), holdTime: c.settings.DefaultHold, capacity: c.settings.DefaultSlots}
+		s = &service{queue: newQueue(), holdTime: c.settings.DefaultHoldTime, capacity: c.settings.InitialCapacity}
 		c.services[name] = s
 	}
 	return s
--- a/internal/coordination/admission/settings.go
+++ b/internal/coordination/admission/settings.go
@@ -15,17 +15,17 @@
 	// continuous batching and slow down only gradually when slightly above their
 	// slots, and a call that waits in front of an idle slot is worse.
 	Overcommit float64 `yaml:"overcommit"`
-	// DefaultSlots is the number of calls that are admitted at a time for a service
+	// InitialCapacity is the number of calls that are admitted at a time for a service
 	// whose capacity is not known yet.
-	DefaultSlots int `yaml:"default_slots"`
-	// DefaultHold is the expected time for which a call occupies a slot until calls
+	InitialCapacity int `yaml:"default_slots"`
+	// DefaultHoldTime is the expected time for which a call occupies a slot until calls
 	// have been observed.
-	DefaultHold time.Duration `yaml:"default_hold"`
+	DefaultHoldTime time.Duration `yaml:"default_hold"`
 	// HoldTimeSmoothing is the weight of the latest call in the moving average of the time
 	// for which a call occupies a slot.
 	HoldTimeSmoothing float64 `yaml:"hold_memory"`
-	// Refresh is the interval at which the capacity of the services is updated.
-	Refresh time.Duration `yaml:"refresh"`
+	// RefreshInterval is the interval at which the capacity of the services is updated.
+	RefreshInterval time.Duration `yaml:"refresh"`
 }
 
 // Defaults returns the default settings.
@@ -34,9 +34,9 @@
 		QueuePerOrganisation: 256,
 		QueuePerService:      2048,
 		Overcommit:           1.0,
-		DefaultSlots:         64,
-		DefaultHold:          2 * time.Second,
-		HoldTimeSmoothing:           0.05,
-		Refresh:              100 * time.Millisecond,
+		InitialCapacity:      64,
+		DefaultHoldTime:      2 * time.Second,
+		HoldTimeSmoothing:    0.05,
+		RefreshInterval:      100 * time.Millisecond,
 	}
 }
