--- a/internal/coordination/admission/core.go
+++ b/internal/coordination/admission/core.go
@@ -123,8 +123,8 @@
 	if s.queue.length >= c.settings.QueuePerService {
 		return true
 	}
-	l, ok := s.queue.flows[org]
-	return ok && len(l.calls) >= c.settings.QueuePerOrganisation
+	f, ok := s.queue.flows[org]
+	return ok && len(f.calls) >= c.settings.QueuePerOrganisation
 }
 
 // timeToFree returns the expected time in which a number of running calls end.
--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -43,34 +43,34 @@
 
 // push appends a call to the flow of its organisation. The flow adopts the weight.
 func (q *queue) push(org protocol.OrganisationID, weight float64, call queuedCall) {
-	l, ok := q.flows[org]
+	f, ok := q.flows[org]
 	if !ok {
-		l = &flow{organisation: org}
-		q.flows[org] = l
-		q.active = append(q.active, l)
+		f = &flow{organisation: org}
+		q.flows[org] = f
+		q.active = append(q.active, f)
 	}
-	l.weight = weight
-	l.calls = append(l.calls, call)
+	f.weight = weight
+	f.calls = append(f.calls, call)
 	q.length++
 }
 
 // pop removes and returns the next call, false if the queue is empty.
 func (q *queue) pop() (queuedCall, bool) {
 	for len(q.active) > 0 {
-		l := q.active[0]
+		f := q.active[0]
 		if q.quantumDue {
-			l.deficit += l.weight
+			f.deficit += f.weight
 			q.quantumDue = false
 		}
-		if l.deficit < 1 {
+		if f.deficit < 1 {
 			q.rotate()
 			continue
 		}
-		l.deficit--
-		call := l.calls[0]
-		l.calls = l.calls[1:]
+		f.deficit--
+		call := f.calls[0]
+		f.calls = f.calls[1:]
 		q.length--
-		if len(l.calls) == 0 {
+		if len(f.calls) == 0 {
 			q.removeFlowAt(0)
 		}
 		return call, true
@@ -98,18 +98,18 @@
 // remove removes a call from anywhere in the queue. It returns false if the call is not
 // in the queue.
 func (q *queue) remove(org protocol.OrganisationID, id WaitID) bool {
-	l, ok := q.flows[org]
+	f, ok := q.flows[org]
 	if !ok {
 		return false
 	}
-	for i := range l.calls {
-		if l.calls[i].id != id {
+	for i := range f.calls {
+		if f.calls[i].id != id {
 			continue
 		}
-		l.calls = append(l.calls[:i], l.calls[i+1:]...)
+		f.calls = append(f.calls[:i], f.calls[i+1:]...)
 		q.length--
-		if len(l.calls) == 0 {
-			q.removeFlow(l)
+		if len(f.calls) == 0 {
+			q.removeFlow(f)
 		}
 		return true
 	}
@@ -117,9 +117,9 @@
 }
 
 // removeFlow removes an empty flow.
-func (q *queue) removeFlow(l *flow) {
+func (q *queue) removeFlow(f *flow) {
 	for i := range q.active {
-		if q.active[i] == l {
+		if q.active[i] == f {
 			q.removeFlowAt(i)
 			return
 		}
@@ -130,14 +130,14 @@
 // organisation with a weight.
 func (q *queue) callsAhead(org protocol.OrganisationID, weight float64) float64 {
 	own := 0
-	if l, ok := q.flows[org]; ok {
-		own = len(l.calls)
+	if f, ok := q.flows[org]; ok {
+		own = len(f.calls)
 	}
 	rounds := float64(own+1) / weight
 	before := float64(own)
-	for _, l := range q.active {
-		if l.organisation != org {
-			before += min(float64(len(l.calls)), rounds*l.weight)
+	for _, f := range q.active {
+		if f.organisation != org {
+			before += min(float64(len(f.calls)), rounds*f.weight)
 		}
 	}
 	return before
--- a/internal/coordination/routed/relay/outcome.go
+++ b/internal/coordination/routed/relay/outcome.go
@@ -8,7 +8,7 @@
 // Reason is the cause of a request's outcome.
 type Reason string
 
-// The reasons. Their values appear in logs.
+// The reasons. Their values appear in logs and metrics.
 const (
 	// Relayed: the complete answer was forwarded to the caller.
 	Relayed Reason = "relayed"
