--- a/internal/coordination/routed/batchjobs/queue.go
+++ b/internal/coordination/routed/batchjobs/queue.go
@@ -44,8 +44,8 @@
 	}
 	remaining := r.estimate.remaining(t.events)
 	return broker.Item{
-		Service: service, Due: t.job.Due, BeginBy: t.job.Due.Add(-remaining),
-		Lasts: time.Duration(maxRuntimeFactor * float64(remaining)),
+		Service: service, Deadline: t.job.Due, StartBy: t.job.Due.Add(-remaining),
+		MaxRuntime: time.Duration(maxRuntimeFactor * float64(remaining)),
 	}, true
 }
 
@@ -81,7 +81,7 @@
 	defer r.mu.Unlock()
 	t, _ := r.firstRunnable(time.Now(), service)
 	if t == nil {
-		go r.opts.Placer.Done(choice, placement.Left)
+		go r.opts.Placer.Done(choice, placement.Cancelled)
 		return
 	}
 	r.dequeue(t)
--- a/internal/coordination/routed/relay/forward.go
+++ b/internal/coordination/routed/relay/forward.go
@@ -39,11 +39,11 @@
 		return finish
 	}
 	if c.contextEnded(ctx) {
-		c.opts.Placer.Done(choice, monitor.result(placement.Left))
+		c.opts.Placer.Done(choice, monitor.result(placement.Cancelled))
 		return finish
 	}
 	if errors.Is(err, errCallerDisconnected) {
-		c.opts.Placer.Done(choice, placement.Left)
+		c.opts.Placer.Done(choice, placement.Cancelled)
 		c.outcome.Reason = CallerDisconnected
 		return finish
 	}
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -38,20 +38,20 @@
 // Placer chooses targets and keeps track of their state.
 type Placer interface {
 	// Place chooses a target and waits for a free slot if necessary.
-	Place(context.Context, placement.Want, placement.Patience) (placement.Choice, bool)
+	Place(context.Context, placement.Requirements, placement.WaitLimits) (placement.Choice, bool)
 	// TryPlace chooses a target with a free slot, without waiting for one.
-	TryPlace(context.Context, placement.Want) (placement.Choice, bool)
-	// Heard records that data arrived from a target.
-	Heard(id string)
+	TryPlace(context.Context, placement.Requirements) (placement.Choice, bool)
+	// DataReceived records that data arrived from a target.
+	DataReceived(id string)
 	// Done releases the slot of a choice and records the result.
 	Done(placement.Choice, placement.Result)
-	// Told records the load that a target reported; nil if it reported none.
-	Told(choice placement.Choice, load *exchange.Load)
-	// Known reports whether any target of a service may be used.
-	Known(service string) bool
-	// Waiting marks the exchange with a target as stalled. The returned function
+	// ReportLoad records the load that a target reported; nil if it reported none.
+	ReportLoad(choice placement.Choice, load *exchange.Load)
+	// HasTargets reports whether any target of a service may be used.
+	HasTargets(service string) bool
+	// MarkStalled marks the exchange with a target as stalled. The returned function
 	// removes the mark; it is nil if the target is only busy.
-	Waiting(placement.Choice) (resumed func())
+	MarkStalled(placement.Choice) (resumed func())
 }
 
 // Sink writes an answer to the caller.
@@ -163,26 +163,26 @@
 }
 
 // requirements returns what the next target has to satisfy.
-func (c *call) requirements() placement.Want {
-	return placement.Want{Service: c.Service, Run: c.Request.ID, Exclude: slices.Clone(c.tried), Repeatable: c.Route.Repeatable()}
+func (c *call) requirements() placement.Requirements {
+	return placement.Requirements{Service: c.Service, Run: c.Request.ID, Exclude: slices.Clone(c.tried), Repeatable: c.Route.Repeatable()}
 }
 
 // waitLimits returns how long the request may wait for a slot.
-func (c *call) waitLimits() placement.Patience {
+func (c *call) waitLimits() placement.WaitLimits {
 	onTime := c.ReceivedAt.Add(c.Route.LatencyObjective - expectedTimeToFirstByte)
 	if c.headSent {
 		// A resumed stream has to continue before the gap between two events
 		// exceeds its limit.
 		onTime = time.Now().Add(c.gapTimeout())
 	}
-	return placement.Patience{OnTimeUntil: onTime, Until: c.ReceivedAt.Add(time.Duration(maxWaitFraction * float64(c.Deadline.Sub(c.ReceivedAt))))}
+	return placement.WaitLimits{SendBy: onTime, Deadline: c.ReceivedAt.Add(time.Duration(maxWaitFraction * float64(c.Deadline.Sub(c.ReceivedAt))))}
 }
 
 // releaseFailover releases the slot of a reserved target that is not needed any
 // more.
 func (c *call) releaseFailover() {
 	if c.failover != nil {
-		c.opts.Placer.Done(*c.failover, placement.Left)
+		c.opts.Placer.Done(*c.failover, placement.Cancelled)
 		c.failover = nil
 	}
 }
@@ -197,7 +197,7 @@
 		c.outcome.Reason = AnswerLost
 	case c.outcome.Attempts > 0:
 		c.outcome.Reason, c.outcome.RetryAfter = NotAccepted, fullRetryAfter
-	case c.opts.Placer.Known(c.Service):
+	case c.opts.Placer.HasTargets(c.Service):
 		c.outcome.Reason, c.outcome.RetryAfter = AllFull, fullRetryAfter
 	default:
 		c.outcome.Reason, c.outcome.RetryAfter = NoTarget, noTargetRetryAfter
@@ -212,7 +212,7 @@
 	if err != nil {
 		return c.handleSendError(ctx, choice, monitor, err)
 	}
-	c.opts.Placer.Told(choice, answer.Head().Load)
+	c.opts.Placer.ReportLoad(choice, answer.Head().Load)
 	if answer.Head().NotRun {
 		return c.handleNotRun(choice, answer)
 	}
@@ -265,7 +265,7 @@
 		c.outcome.PossibleRuns++
 	}
 	if ended := c.contextEnded(ctx); ended {
-		c.opts.Placer.Done(choice, monitor.result(placement.Left))
+		c.opts.Placer.Done(choice, monitor.result(placement.Cancelled))
 		return finish
 	}
 	if notSent {
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -39,7 +39,7 @@
 type scriptedFleet struct {
 	script       []scriptedAnswer
 	sent         []exchange.Dispatch
-	requirements []placement.Want
+	requirements []placement.Requirements
 	results      []placement.Result
 	// noFreeSlot makes Place wait in vain, noTargets makes it fail at once.
 	noFreeSlot, noTargets bool
@@ -60,13 +60,13 @@
 
 func (f *scriptedFleet) Forget(string) {}
 
-func (f *scriptedFleet) Place(ctx context.Context, want placement.Want, limits placement.Patience) (placement.Choice, bool) {
+func (f *scriptedFleet) Place(ctx context.Context, want placement.Requirements, limits placement.WaitLimits) (placement.Choice, bool) {
 	f.requirements = append(f.requirements, want)
 	if f.noTargets {
 		return placement.Choice{}, false
 	}
 	if f.noFreeSlot {
-		timer := time.NewTimer(time.Until(limits.Until))
+		timer := time.NewTimer(time.Until(limits.Deadline))
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -78,16 +78,16 @@
 	return placement.Choice{Target: roster.Target{ID: id, Address: id + ":1"}}, true
 }
 
-func (f *scriptedFleet) TryPlace(context.Context, placement.Want) (placement.Choice, bool) {
+func (f *scriptedFleet) TryPlace(context.Context, placement.Requirements) (placement.Choice, bool) {
 	return placement.Choice{}, false
 }
-func (f *scriptedFleet) Heard(string) {}
+func (f *scriptedFleet) DataReceived(string) {}
 func (f *scriptedFleet) Done(_ placement.Choice, result placement.Result) {
 	f.results = append(f.results, result)
 }
-func (f *scriptedFleet) Told(placement.Choice, *exchange.Load)     {}
-func (f *scriptedFleet) Known(string) bool                         { return !f.noTargets }
-func (f *scriptedFleet) Waiting(placement.Choice) (resumed func()) { return nil }
+func (f *scriptedFleet) ReportLoad(placement.Choice, *exchange.Load)   {}
+func (f *scriptedFleet) HasTargets(string) bool                        { return !f.noTargets }
+func (f *scriptedFleet) MarkStalled(placement.Choice) (resumed func()) { return nil }
 
 // answerReader is the answer of one scripted target.
 type answerReader struct {
--- a/internal/coordination/routed/relay/stall.go
+++ b/internal/coordination/routed/relay/stall.go
@@ -38,7 +38,7 @@
 	call   *call
 	choice placement.Choice
 	// requirements is what another target has to satisfy.
-	requirements placement.Want
+	requirements placement.Requirements
 	// mayFailOver is set if the route allows another run of the request.
 	mayFailOver bool
 
@@ -84,7 +84,7 @@
 		return
 	}
 	if m.clearSuspicion == nil {
-		m.clearSuspicion = m.call.opts.Placer.Waiting(m.choice)
+		m.clearSuspicion = m.call.opts.Placer.MarkStalled(m.choice)
 	}
 	m.mu.Unlock()
 	if m.mayFailOver {
@@ -102,7 +102,7 @@
 	case !found:
 		m.timer.Reset(failoverRetryInterval)
 	case m.stopped:
-		go m.call.opts.Placer.Done(choice, placement.Left)
+		go m.call.opts.Placer.Done(choice, placement.Cancelled)
 	default:
 		m.failover = &choice
 		m.cancel()
@@ -112,7 +112,7 @@
 // progress records that data arrived: the target is not suspect any more and the
 // timeout starts anew.
 func (m *stallMonitor) progress() {
-	m.call.opts.Placer.Heard(m.choice.ID)
+	m.call.opts.Placer.DataReceived(m.choice.ID)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.clearSuspicion != nil {
@@ -128,10 +128,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.clearSuspicion != nil {
-		return placement.Silent
+		return placement.TimedOut
 	}
 	if m.failover != nil {
-		return placement.Left
+		return placement.Cancelled
 	}
 	return fallback
 }
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		TargetsFromPeers: func() bool { return d.mesh.Follows() && !d.slots.First() },
+		TargetsFromPeers: func() bool { return d.mesh.Follows() && !d.slots.IsBroker() },
 	})
 }
 
@@ -149,7 +149,7 @@
 		Self: d.self, Peers: d.mesh, Caller: d.calls, Broker: d.broker, Local: d.placer,
 		Connected: d.targets.Connected, Logger: d.logger,
 	})
-	d.broker.SetLeads(d.slots.Leads)
+	d.broker.SetIsSoleBroker(d.slots.IsSoleBroker)
 }
 
 func (d *Daemon) joinJobs() {
@@ -210,9 +210,9 @@
 	d.tree.Add(d.broker)
 	d.tree.Add(d.slots)
 	d.tree.Add(&broker.Sweeper{
-		Broker: d.broker, First: d.slots.First, Targets: d.targets, Orphans: d.desk.Orphans, Logger: d.logger,
+		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, FilterOrphans: d.desk.Orphans, Logger: d.logger,
 	})
-	d.tree.Add(&broker.Checker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
+	d.tree.Add(&broker.HealthChecker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
 	d.tree.Add(d.runner)
 	d.tree.Add(d.keeper)
 	d.tree.Add(d.front)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -20,7 +20,7 @@
 func (l *local) Describe(beat *mesh.Beat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
-	beat.Held = l.placer.Held()
+	beat.Held = l.placer.InFlight()
 	beat.Admitted = l.meter.Own()
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
@@ -71,14 +71,14 @@
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
-	l.broker.Silent(i.Name)
+	l.broker.InstanceSilent(i.Name)
 	l.calls.Forget(i.Address)
 }
 
 // PeerGone implements mesh.Local.
 func (l *local) PeerGone(name string) {
 	l.placer.SetPeer(name, nil)
-	l.broker.Gone(name)
+	l.broker.InstanceDown(name)
 	l.meter.Gone(name)
 }
 
