--- a/internal/coordination/admission/queue.go
+++ b/internal/coordination/admission/queue.go
@@ -6,131 +6,138 @@
 	"merlintiller/internal/protocol"
 )
 
-// WaitID names a waiting call.
+// WaitID identifies a waiting call.
 type WaitID uint64
 
-// waiting is a call in a queue.
-type waiting struct {
+// queuedCall is a call in a queue.
+type queuedCall struct {
 	id       WaitID
 	deadline time.Time
 }
 
-// lane is the queue of one organisation for one service.
-type lane struct {
+// flow holds the waiting calls of one organisation for one service.
+type flow struct {
 	organisation protocol.OrganisationID
 	weight       float64
-	calls        []waiting
-	// deficit is what the lane may still send in its turn, in calls.
+	calls        []queuedCall
+	// deficit is the number of calls that the flow may still send in its turn.
 	deficit float64
 }
 
-// queue serves lanes by deficit round robin: a lane gets its weight in calls a
-// round, and keeps no credit while it is empty.
+// queue is the queue of one service. It serves its flows by deficit round robin: in each
+// round a flow may send as many calls as its weight, and an empty flow keeps no deficit.
 type queue struct {
-	lanes  map[protocol.OrganisationID]*lane
-	active []*lane
+	flows map[protocol.OrganisationID]*flow
+	// active holds the flows in the order of their turns.
+	active []*flow
+	// length is the number of calls in all flows.
 	length int
-	// fresh says that the lane in front has not had its weight this turn.
-	fresh bool
+	// quantumDue is set if the first flow has not received its quantum, which is its
+	// weight, in this turn.
+	quantumDue bool
 }
 
 func newQueue() *queue {
-	return &queue{lanes: map[protocol.OrganisationID]*lane{}, fresh: true}
+	return &queue{flows: map[protocol.OrganisationID]*flow{}, quantumDue: true}
 }
 
-func (q *queue) push(org protocol.OrganisationID, weight float64, call waiting) {
-	l, ok := q.lanes[org]
+// push appends a call to the flow of its organisation. The flow adopts the weight.
+func (q *queue) push(org protocol.OrganisationID, weight float64, call queuedCall) {
+	f, ok := q.flows[org]
 	if !ok {
-		l = &lane{organisation: org}
-		q.lanes[org] = l
-		q.active = append(q.active, l)
+		f = &flow{organisation: org}
+		q.flows[org] = f
+		q.active = append(q.active, f)
 	}
-	l.weight = weight
-	l.calls = append(l.calls, call)
+	f.weight = weight
+	f.calls = append(f.calls, call)
 	q.length++
 }
 
-// pop removes the call whose turn it is.
-func (q *queue) pop() (waiting, bool) {
+// pop removes and returns the next call, false if the queue is empty.
+func (q *queue) pop() (queuedCall, bool) {
 	for len(q.active) > 0 {
-		l := q.active[0]
-		if q.fresh {
-			l.deficit += l.weight
-			q.fresh = false
+		f := q.active[0]
+		if q.quantumDue {
+			f.deficit += f.weight
+			q.quantumDue = false
 		}
-		if l.deficit < 1 {
+		if f.deficit < 1 {
 			q.rotate()
 			continue
 		}
-		l.deficit--
-		call := l.calls[0]
-		l.calls = l.calls[1:]
+		f.deficit--
+		call := f.calls[0]
+		f.calls = f.calls[1:]
 		q.length--
-		if len(l.calls) == 0 {
-			q.drop(0)
+		if len(f.calls) == 0 {
+			q.removeFlowAt(0)
 		}
 		return call, true
 	}
-	return waiting{}, false
+	return queuedCall{}, false
 }
 
+// rotate ends the turn of the first flow.
 func (q *queue) rotate() {
 	first := q.active[0]
 	copy(q.active, q.active[1:])
 	q.active[len(q.active)-1] = first
-	q.fresh = true
+	q.quantumDue = true
 }
 
-// drop removes an empty lane and its credit.
-func (q *queue) drop(i int) {
-	delete(q.lanes, q.active[i].organisation)
+// removeFlowAt removes an empty flow with its deficit.
+func (q *queue) removeFlowAt(i int) {
+	delete(q.flows, q.active[i].organisation)
 	q.active = append(q.active[:i], q.active[i+1:]...)
 	if i == 0 {
-		q.fresh = true
+		q.quantumDue = true
 	}
 }
 
-// remove takes a call out of the middle of the queue.
+// remove removes a call from anywhere in the queue. It returns false if the call is not
+// in the queue.
 func (q *queue) remove(org protocol.OrganisationID, id WaitID) bool {
-	l, ok := q.lanes[org]
+	f, ok := q.flows[org]
 	if !ok {
 		return false
 	}
-	for i := range l.calls {
-		if l.calls[i].id != id {
+	for i := range f.calls {
+		if f.calls[i].id != id {
 			continue
 		}
-		l.calls = append(l.calls[:i], l.calls[i+1:]...)
+		f.calls = append(f.calls[:i], f.calls[i+1:]...)
 		q.length--
-		if len(l.calls) == 0 {
-			q.dropLane(l)
+		if len(f.calls) == 0 {
+			q.removeFlow(f)
 		}
 		return true
 	}
 	return false
 }
 
-func (q *queue) dropLane(l *lane) {
+// removeFlow removes an empty flow.
+func (q *queue) removeFlow(f *flow) {
 	for i := range q.active {
-		if q.active[i] == l {
-			q.drop(i)
+		if q.active[i] == f {
+			q.removeFlowAt(i)
 			return
 		}
 	}
 }
 
-// ahead is the number of calls that will be served before a new call of an
+// callsAhead estimates the number of calls that are admitted before a new call of an
 // organisation with a weight.
-func (q *queue) ahead(org protocol.OrganisationID, weight float64) float64 {
+func (q *queue) callsAhead(org protocol.OrganisationID, weight float64) float64 {
 	own := 0
-	if l, ok := q.lanes[org]; ok {
-		own = len(l.calls)
+	if f, ok := q.flows[org]; ok {
+		own = len(f.calls)
 	}
 	rounds := float64(own+1) / weight
 	before := float64(own)
-	for _, l := range q.active {
-		if l.organisation != org {
-			before += min(float64(len(l.calls)), rounds*l.weight)
+	for _, f := range q.active {
+		if f.organisation != org {
+			before += min(float64(len(f.calls)), rounds*f.weight)
 		}
 	}
 	return before
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		Follows: func() bool { return d.mesh.Follows() && !d.slots.IsBroker() },
+		TargetsFromPeers: func() bool { return d.mesh.Follows() && !d.slots.IsBroker() },
 	})
 }
 
@@ -201,7 +201,7 @@
 // invariant and stops the process; the platform starts it again.
 func (d *Daemon) plant() {
 	d.tree = suture.New("tillerd", suture.Spec{EventHook: d.event, PassThroughPanics: true})
-	for _, duty := range d.view.Duties() {
+	for _, duty := range d.view.BackgroundServices() {
 		d.tree.Add(duty)
 	}
 	d.tree.Add(d.peers)
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -263,14 +263,14 @@
 			capacity.Slots += slotsPerTarget
 			others += status.Others
 		}
-		capacity.Others = int(others)
+		capacity.OtherLoad = int(others)
 		n.admission.SetCapacity(s.user.service, capacity)
 		s.next(n)
 	}
 }
 
 func (s *servingSim) next(n *node) {
-	for _, id := range n.admission.Next(s.user.service) {
+	for _, id := range n.admission.AdmitWaiting(s.user.service) {
 		if run, ok := n.waiting[id]; ok {
 			delete(n.waiting, id)
 			run()
@@ -341,15 +341,15 @@
 	})
 	run := func() { s.dispatch(at, org, arrived, inRate) }
 	switch {
-	case decision.Run:
+	case decision.Admitted:
 		run()
-	case decision.Wait == 0:
+	case decision.WaitID == 0:
 		s.result.refused++
 	default:
-		n.waiting[decision.Wait] = run
+		n.waiting[decision.WaitID] = run
 		s.clock.After(arrived.Add(firstDeadline).Sub(s.clock.Now()), func() {
-			if n.admission.Remove(queue, s.user.service, decision.Wait) {
-				delete(n.waiting, decision.Wait)
+			if n.admission.Remove(queue, s.user.service, decision.WaitID) {
+				delete(n.waiting, decision.WaitID)
 				s.result.refused++
 			}
 		})
