--- a/internal/coordination/journal/matrix_test.go
+++ b/internal/coordination/journal/matrix_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// verifyWithdrawn checks that every live instance rejects the key if the
+// verifyWithdrawn checks that every live instance rejects the key exactly if the
 // withdrawal was accepted.
 func (cl *cluster) verifyWithdrawn() {
 	accepted := cl.countAccepted(isWithdrawal) > 0
