--- a/internal/coordination/faulttest/broken_test.go
+++ b/internal/coordination/faulttest/broken_test.go
@@ -203,7 +203,7 @@
 // retrying sends a call again when its answer did not come.
 type retrying struct{ online.OnceCaller }
 
-func (r retrying) CallOnce(ctx context.Context, call online.OnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (r retrying) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
 	return r.OnceCaller.CallOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.OnceAnswer, error) {
 		answer, err := dispatch(ctx, id)
 		if err != nil {
@@ -223,7 +223,7 @@
 // greedy sends without asking who won the reservation.
 type greedy struct{}
 
-func (greedy) CallOnce(ctx context.Context, _ online.OnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (greedy) CallOnce(ctx context.Context, _ online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
 	answer, err := dispatch(ctx, "call")
 	if err == nil {
 		return answer, nil
@@ -241,7 +241,7 @@
 // boastful says that a call did not run whenever it has no answer.
 type boastful struct{ online.OnceCaller }
 
-func (b boastful) CallOnce(ctx context.Context, call online.OnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (b boastful) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
 	answer, refusal := b.OnceCaller.CallOnce(ctx, call, dispatch)
 	if refusal != nil && refusal.Run == protocol.MayHaveRun {
 		return answer, protocol.Refuse(protocol.CodeNoTarget, joinAgain, "not run")
--- a/internal/coordination/faulttest/callmatrix_test.go
+++ b/internal/coordination/faulttest/callmatrix_test.go
@@ -137,7 +137,7 @@
 
 // call makes the call until it has a final answer.
 func (c *callClient) call(v *verdicts) string {
-	request := online.OnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: swap}, BodyHash: 7}
+	request := online.AtMostOnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: swap}, BodyHash: 7}
 	for range maxTries {
 		try := c.first + c.tries
 		c.tries++
--- a/internal/coordination/faulttest/calls_test.go
+++ b/internal/coordination/faulttest/calls_test.go
@@ -15,8 +15,8 @@
 	"merlintiller/internal/state/replica"
 )
 
-func onceCall(key string, hash uint64) online.OnceCall {
-	return online.OnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: key}, BodyHash: hash}
+func onceCall(key string, hash uint64) online.AtMostOnceCall {
+	return online.AtMostOnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: key}, BodyHash: hash}
 }
 
 // answering is a dispatch that takes a while and counts its runs.
--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -113,7 +113,7 @@
 
 // CallOnce implements online.OnceCaller. Once the call is under way it goes on
 // when the caller leaves, so that a resend finds the answer.
-func (c *Caller) CallOnce(ctx context.Context, call online.OnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (c *Caller) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
 	if len(call.Key.Key) > maxKey {
 		return online.OnceAnswer{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKey)
 	}
@@ -138,7 +138,7 @@
 
 // attempt reserves the call and sends it. lost says that another instance has
 // the reservation.
-func (c *Caller) attempt(ctx context.Context, call online.OnceCall, dispatch online.Dispatch) (answer online.OnceAnswer, refusal *protocol.Refusal, lost bool) {
+func (c *Caller) attempt(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (answer online.OnceAnswer, refusal *protocol.Refusal, lost bool) {
 	if c.remembered() >= c.opts.MaxCalls {
 		return answer, protocol.Refuse(protocol.CodeOverloaded, fullRetry, "too many calls with an idempotency key are remembered"), false
 	}
@@ -179,7 +179,7 @@
 	return protocol.Refuse(protocol.CodePlatformDown, c.opts.RetryAfter, "the platform's log does not confirm that this call is the only one; it was not sent")
 }
 
-func (c *Caller) reserve(ctx context.Context, call online.OnceCall, id protocol.CallID) coordination.Outcome {
+func (c *Caller) reserve(ctx context.Context, call online.AtMostOnceCall, id protocol.CallID) coordination.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ReserveTimeout)
 	defer cancel()
 	return c.journal.Submit(ctx, protocol.Record{CallReserve: &protocol.CallReserve{
--- a/internal/coordination/oncecall/join.go
+++ b/internal/coordination/oncecall/join.go
@@ -16,7 +16,7 @@
 // join answers a resend from the reservation of the first call, and waits for
 // its outcome for a little while if it still runs. released says that the first
 // dispatch did not run and the call may be reserved again.
-func (c *Caller) join(ctx context.Context, call online.OnceCall, known once.Call) (answer online.OnceAnswer, refusal *protocol.Refusal, released bool) {
+func (c *Caller) join(ctx context.Context, call online.AtMostOnceCall, known once.Call) (answer online.OnceAnswer, refusal *protocol.Refusal, released bool) {
 	if known.BodyHash != call.BodyHash {
 		return answer, protocol.Refuse(protocol.CodeConflict, 0, "the idempotency key was used for another request"), false
 	}
--- a/internal/coordination/online/once.go
+++ b/internal/coordination/online/once.go
@@ -7,9 +7,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// OnceCall is a call that may not be repeated, with the idempotency key that
+// AtMostOnceCall is a call that may not be repeated, with the idempotency key that
 // its caller sent.
-type OnceCall struct {
+type AtMostOnceCall struct {
 	Key protocol.CallKey
 	// BodyHash detects a key that is used again for another request. It
 	// covers service, method, path and body.
@@ -34,5 +34,5 @@
 // calls dispatch at most once, and only after its reservation was read back as
 // the winner; otherwise it gives the stored answer or a refusal.
 type OnceCaller interface {
-	CallOnce(ctx context.Context, call OnceCall, dispatch Dispatch) (OnceAnswer, *protocol.Refusal)
+	CallOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (OnceAnswer, *protocol.Refusal)
 }
