--- a/internal/coordination/faulttest/broken_test.go
+++ b/internal/coordination/faulttest/broken_test.go
@@ -201,10 +201,10 @@
 }
 
 // retrying sends a call again when its answer did not come.
-type retrying struct{ online.OnceCaller }
+type retrying struct{ online.AtMostOnceCaller }
 
 func (r retrying) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
-	return r.OnceCaller.CallOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.OnceAnswer, error) {
+	return r.AtMostOnceCaller.CallOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.OnceAnswer, error) {
 		answer, err := dispatch(ctx, id)
 		if err != nil {
 			return dispatch(ctx, id)
@@ -216,7 +216,7 @@
 // If a call that may not be repeated were sent again after its answer was lost,
 // it would run twice.
 func TestBrokenRetryOfACallIsNoticed(t *testing.T) {
-	broken := variant{caller: func(c online.OnceCaller) online.OnceCaller { return retrying{c} }}
+	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return retrying{c} }}
 	requireRed(t, callStrike("call-answer", broken), "the call ran 2 times", answerLost, crossed)
 }
 
@@ -234,15 +234,15 @@
 // If the reservation were not decided over the whole fleet, two instances that
 // get the same call would both send it.
 func TestBrokenReservationIsNoticed(t *testing.T) {
-	broken := variant{caller: func(online.OnceCaller) online.OnceCaller { return greedy{} }}
+	broken := variant{caller: func(online.AtMostOnceCaller) online.AtMostOnceCaller { return greedy{} }}
 	requireRed(t, callStrike("call-dispatch", broken), "the call ran [23] times", crossed, answerLost)
 }
 
 // boastful says that a call did not run whenever it has no answer.
-type boastful struct{ online.OnceCaller }
+type boastful struct{ online.AtMostOnceCaller }
 
 func (b boastful) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
-	answer, refusal := b.OnceCaller.CallOnce(ctx, call, dispatch)
+	answer, refusal := b.AtMostOnceCaller.CallOnce(ctx, call, dispatch)
 	if refusal != nil && refusal.Run == protocol.MayHaveRun {
 		return answer, protocol.Refuse(protocol.CodeNoTarget, joinAgain, "not run")
 	}
@@ -254,6 +254,6 @@
 // If a call without an answer were refused as not run, the caller would make it
 // again under another key.
 func TestBrokenRunStateIsNoticed(t *testing.T) {
-	broken := variant{caller: func(c online.OnceCaller) online.OnceCaller { return boastful{c} }}
+	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return boastful{c} }}
 	requireRed(t, callStrike("call-answer", broken), "ran and was refused as not run", answerLost)
 }
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -37,7 +37,7 @@
 	// executor replaces the journal of the executor alone.
 	executor func(coordination.Journal) coordination.Journal
 	// caller replaces the way in which calls that may not be repeated are made.
-	caller func(online.OnceCaller) online.OnceCaller
+	caller func(online.AtMostOnceCaller) online.AtMostOnceCaller
 	// lines replaces what is delivered to the caller of a job.
 	lines func(*world, protocol.JobID) []line
 }
@@ -177,7 +177,7 @@
 	seen     coordination.Journal
 	service  *batch.Service
 	executor *batch.Executor
-	caller   online.OnceCaller
+	caller   online.AtMostOnceCaller
 	carrier  *batch.Carrier
 	slots    *slots
 	// delivering marks reads of results for a caller.
--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -90,7 +90,7 @@
 	unrecorded *ring.Ring[note]
 }
 
-var _ online.OnceCaller = (*Caller)(nil)
+var _ online.AtMostOnceCaller = (*Caller)(nil)
 
 // New returns a Caller. name distinguishes its ring in expvar; empty publishes
 // nothing.
--- a/internal/coordination/online/once.go
+++ b/internal/coordination/online/once.go
@@ -30,9 +30,9 @@
 // said only if certainly no byte reached a target.
 type Dispatch func(ctx context.Context, id protocol.CallID) (OnceAnswer, error)
 
-// OnceCaller reserves the only dispatch of a call over the whole fleet. It
+// AtMostOnceCaller reserves the only dispatch of a call over the whole fleet. It
 // calls dispatch at most once, and only after its reservation was read back as
 // the winner; otherwise it gives the stored answer or a refusal.
-type OnceCaller interface {
+type AtMostOnceCaller interface {
 	CallOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (OnceAnswer, *protocol.Refusal)
 }
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -74,7 +74,7 @@
 type systemOptions struct {
 	policy online.Policy
 	limits Limits
-	once   online.OnceCaller
+	once   online.AtMostOnceCaller
 	// target replaces the way to the targets.
 	target external.Target
 	tokens int
