--- a/internal/coordination/faulttest/callmatrix_test.go
+++ b/internal/coordination/faulttest/callmatrix_test.go
@@ -131,7 +131,7 @@
 }
 
 type onceAnswer struct {
-	answer  online.OnceAnswer
+	answer  online.Response
 	refusal *protocol.Refusal
 }
 
@@ -184,20 +184,20 @@
 
 // dispatch sends the call to a target, at which it takes half a second.
 func (n *node) dispatch(name string) online.Dispatch {
-	return func(_ context.Context, _ protocol.CallID) (online.OnceAnswer, error) {
+	return func(_ context.Context, _ protocol.CallID) (online.Response, error) {
 		n.link.pass()
 		refused := false
 		if !n.strike(func() { refused = n.alive() && !n.world.targets.begin(name) }, atDispatch) {
-			return online.OnceAnswer{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
+			return online.Response{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
 		}
 		if refused {
-			return online.OnceAnswer{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
+			return online.Response{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
 		}
 		<-time.After(500 * time.Millisecond)
 		n.link.pass()
 		if !n.strike(func() {}, atAnswer) || n.world.targets.failing(name) {
-			return online.OnceAnswer{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
+			return online.Response{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
 		}
-		return online.OnceAnswer{Status: 200, Body: []byte("swapped")}, nil
+		return online.Response{Status: 200, Body: []byte("swapped")}, nil
 	}
 }
--- a/internal/coordination/faulttest/calls_test.go
+++ b/internal/coordination/faulttest/calls_test.go
@@ -21,21 +21,21 @@
 
 // answering is a dispatch that takes a while and counts its runs.
 func answering(runs *int, takes time.Duration, body []byte) online.Dispatch {
-	return func(ctx context.Context, _ protocol.CallID) (online.OnceAnswer, error) {
+	return func(ctx context.Context, _ protocol.CallID) (online.Response, error) {
 		*runs++
 		select {
 		case <-time.After(takes):
-			return online.OnceAnswer{Status: 201, Header: map[string][]string{"X-Roster": {"7"}}, Body: body}, nil
+			return online.Response{Status: 201, Header: map[string][]string{"X-Roster": {"7"}}, Body: body}, nil
 		case <-ctx.Done():
-			return online.OnceAnswer{}, &external.CallError{Run: protocol.MayHaveRun, Err: ctx.Err()}
+			return online.Response{}, &external.CallError{Run: protocol.MayHaveRun, Err: ctx.Err()}
 		}
 	}
 }
 
 func never(t *testing.T) online.Dispatch {
-	return func(context.Context, protocol.CallID) (online.OnceAnswer, error) {
+	return func(context.Context, protocol.CallID) (online.Response, error) {
 		require.Fail(t, "sent")
-		return online.OnceAnswer{}, nil
+		return online.Response{}, nil
 	}
 }
 
@@ -160,8 +160,8 @@
 func TestRefusedConnectionFreesTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, variant{})
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), func(context.Context, protocol.CallID) (online.OnceAnswer, error) {
-			return online.OnceAnswer{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
+		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), func(context.Context, protocol.CallID) (online.Response, error) {
+			return online.Response{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
 		})
 		require.Equal(t, protocol.NotRun, refusal.Run)
 		runs := 0
--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -113,9 +113,9 @@
 
 // CallOnce implements online.OnceCaller. Once the call is under way it goes on
 // when the caller leaves, so that a resend finds the answer.
-func (c *Caller) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (c *Caller) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	if len(call.Key.Key) > maxKey {
-		return online.OnceAnswer{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKey)
+		return online.Response{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKey)
 	}
 	for range maxTurns {
 		if known, found := c.lookup(call.Key); found {
@@ -129,7 +129,7 @@
 			return answer, refusal
 		}
 	}
-	return online.OnceAnswer{}, running("the call is tried through other instances; ask again")
+	return online.Response{}, running("the call is tried through other instances; ask again")
 }
 
 // maxTurns bounds how often a call is reserved after another instance released
@@ -138,7 +138,7 @@
 
 // attempt reserves the call and sends it. lost says that another instance has
 // the reservation.
-func (c *Caller) attempt(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (answer online.OnceAnswer, refusal *protocol.Refusal, lost bool) {
+func (c *Caller) attempt(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (answer online.Response, refusal *protocol.Refusal, lost bool) {
 	if c.remembered() >= c.opts.MaxCalls {
 		return answer, protocol.Refuse(protocol.CodeOverloaded, fullRetry, "too many calls with an idempotency key are remembered"), false
 	}
@@ -196,19 +196,19 @@
 }
 
 // send makes the only dispatch of a reserved call.
-func (c *Caller) send(ctx context.Context, key protocol.CallKey, id protocol.CallID, dispatch online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
+func (c *Caller) send(ctx context.Context, key protocol.CallKey, id protocol.CallID, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	if ctx.Err() != nil || !c.stillHolds(key, id) {
 		// An instance that was paused here would send a call whose caller has
 		// long been told something else.
 		counters.Add("not_sent_after_pause", 1)
 		c.record(ctx, note{release: true, key: key, id: id})
-		return online.OnceAnswer{}, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance lost its session before it sent the call")
+		return online.Response{}, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance lost its session before it sent the call")
 	}
 	sendCtx, cancel := c.detach(ctx)
 	defer cancel()
 	answer, err := dispatch(sendCtx, id)
 	if err != nil {
-		return online.OnceAnswer{}, c.failed(sendCtx, key, id, err)
+		return online.Response{}, c.failed(sendCtx, key, id, err)
 	}
 	c.record(sendCtx, note{key: key, id: id, answer: &answer})
 	return answer, nil
--- a/internal/coordination/oncecall/join.go
+++ b/internal/coordination/oncecall/join.go
@@ -16,7 +16,7 @@
 // join answers a resend from the reservation of the first call, and waits for
 // its outcome for a little while if it still runs. released says that the first
 // dispatch did not run and the call may be reserved again.
-func (c *Caller) join(ctx context.Context, call online.AtMostOnceCall, known once.Call) (answer online.OnceAnswer, refusal *protocol.Refusal, released bool) {
+func (c *Caller) join(ctx context.Context, call online.AtMostOnceCall, known once.Call) (answer online.Response, refusal *protocol.Refusal, released bool) {
 	if known.BodyHash != call.BodyHash {
 		return answer, protocol.Refuse(protocol.CodeConflict, 0, "the idempotency key was used for another request"), false
 	}
@@ -54,19 +54,19 @@
 }
 
 // stored gives the answer of the first dispatch.
-func (c *Caller) stored(ctx context.Context, known once.Call) (online.OnceAnswer, *protocol.Refusal) {
+func (c *Caller) stored(ctx context.Context, known once.Call) (online.Response, *protocol.Refusal) {
 	if known.Status == 0 {
-		return online.OnceAnswer{}, unknownOutcome()
+		return online.Response{}, unknownOutcome()
 	}
 	if known.Data == protocol.NoOffset {
-		return online.OnceAnswer{}, gone()
+		return online.Response{}, gone()
 	}
 	payload, err := c.journal.ReadData(ctx, known.Data)
 	if errors.Is(err, external.ErrTrimmed) {
-		return online.OnceAnswer{}, gone()
+		return online.Response{}, gone()
 	}
 	if err != nil {
-		return online.OnceAnswer{}, &protocol.Refusal{
+		return online.Response{}, &protocol.Refusal{
 			Code:       protocol.CodePlatformDown,
 			Message:    "the call ran; the platform's log does not give its answer now",
 			Run:        protocol.Completed,
@@ -75,9 +75,9 @@
 	}
 	entry, err := bulk.Decode(payload)
 	if err != nil || entry.Answer == nil {
-		return online.OnceAnswer{}, gone()
+		return online.Response{}, gone()
 	}
-	return online.OnceAnswer{
+	return online.Response{
 		Status: entry.Answer.Status,
 		Header: entry.Answer.Header,
 		Body:   entry.Answer.Body,
--- a/internal/coordination/oncecall/record.go
+++ b/internal/coordination/oncecall/record.go
@@ -18,7 +18,7 @@
 	release bool
 	key     protocol.CallKey
 	id      protocol.CallID
-	answer  *online.OnceAnswer
+	answer  *online.Response
 }
 
 // record writes a note within RecordTimeout, or leaves it to the Recorder. The
@@ -60,7 +60,7 @@
 
 // store keeps an answer for resends. One that does not fit in a log entry is
 // not kept; a resend learns that the call ran.
-func (c *Caller) store(ctx context.Context, answer *online.OnceAnswer) (protocol.Offset, error) {
+func (c *Caller) store(ctx context.Context, answer *online.Response) (protocol.Offset, error) {
 	payload, err := bulk.Encode(bulk.Entry{
 		At:     time.Now().Unix(),
 		Answer: &bulk.Answer{Status: answer.Status, Header: answer.Header, Body: answer.Body},
--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -146,11 +146,11 @@
 		return again, false
 	}
 	c.firstByte()
-	return c.deliver(OnceAnswer{Status: answer.Status, Header: answer.Header, Body: body}), true
+	return c.deliver(Response{Status: answer.Status, Header: answer.Header, Body: body}), true
 }
 
 // deliver writes a whole answer.
-func (c *call) deliver(answer OnceAnswer) ending {
+func (c *call) deliver(answer Response) ending {
 	if !c.keyActive(protocol.MayHaveRun) {
 		return final
 	}
--- a/internal/coordination/online/once.go
+++ b/internal/coordination/online/once.go
@@ -16,8 +16,8 @@
 	BodyHash uint64
 }
 
-// OnceAnswer is the whole answer of a call that may not be repeated.
-type OnceAnswer struct {
+// Response is the whole answer of a call that may not be repeated.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -28,11 +28,11 @@
 // Dispatch sends the call to a target, once. Its error is a
 // *external.CallError whose Run says what is known of the effect: NotRun is
 // said only if certainly no byte reached a target.
-type Dispatch func(ctx context.Context, id protocol.CallID) (OnceAnswer, error)
+type Dispatch func(ctx context.Context, id protocol.CallID) (Response, error)
 
 // AtMostOnceCaller reserves the only dispatch of a call over the whole fleet. It
 // calls dispatch at most once, and only after its reservation was read back as
 // the winner; otherwise it gives the stored answer or a refusal.
 type AtMostOnceCaller interface {
-	CallOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (OnceAnswer, *protocol.Refusal)
+	CallOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (Response, *protocol.Refusal)
 }
--- a/internal/coordination/online/oncepath.go
+++ b/internal/coordination/online/oncepath.go
@@ -30,16 +30,16 @@
 	c.deliver(answer)
 }
 
-func (c *call) onceAnswer(ctx context.Context) (OnceAnswer, *protocol.Refusal) {
+func (c *call) onceAnswer(ctx context.Context) (Response, *protocol.Refusal) {
 	if c.req.IdempotencyKey == "" {
 		answer, err := c.dispatch(ctx, c.path.nextID())
 		if err != nil {
-			return OnceAnswer{}, c.onceRefusal(ctx, err)
+			return Response{}, c.onceRefusal(ctx, err)
 		}
 		return answer, nil
 	}
 	if c.path.opts.Once == nil {
-		return OnceAnswer{}, protocol.Refuse(protocol.CodePlatformDown, c.path.policy.RetryAfter, "calls that may not be repeated can't be reserved now")
+		return Response{}, protocol.Refuse(protocol.CodePlatformDown, c.path.policy.RetryAfter, "calls that may not be repeated can't be reserved now")
 	}
 	return c.path.opts.Once.CallOnce(ctx, AtMostOnceCall{
 		Key:      protocol.CallKey{Organisation: c.req.Caller.Organisation, Key: c.req.IdempotencyKey},
@@ -79,13 +79,13 @@
 var errNoTarget = errors.New("no target")
 
 // dispatch sends the call until a byte of it has left, and never again after.
-func (c *call) dispatch(ctx context.Context, id protocol.CallID) (OnceAnswer, error) {
+func (c *call) dispatch(ctx context.Context, id protocol.CallID) (Response, error) {
 	c.path.called(c.req.Service)
 	var last error = &external.CallError{Run: protocol.NotRun, Err: errNoTarget}
 	for {
 		pick, done, ok := c.pick()
 		if !ok {
-			return OnceAnswer{}, last
+			return Response{}, last
 		}
 		c.result.Attempts++
 		c.result.Target = pick.Target
@@ -95,21 +95,21 @@
 			return answer, err
 		}
 		if errors.Is(err, external.ErrPathClosed) {
-			return OnceAnswer{}, err
+			return Response{}, err
 		}
 		last = err
 		c.failed = append(c.failed, pick.Target)
 		if !c.mayRetry(ctx) {
-			return OnceAnswer{}, last
+			return Response{}, last
 		}
 	}
 }
 
-func (c *call) dispatchTo(ctx context.Context, pick coordination.Pick, id protocol.CallID) (OnceAnswer, coordination.CallResult, error) {
+func (c *call) dispatchTo(ctx context.Context, pick coordination.Pick, id protocol.CallID) (Response, coordination.CallResult, error) {
 	begun := time.Now()
 	answer, err := c.path.opts.OnceTarget.Do(ctx, pick.Address, c.message(id))
 	if err != nil {
-		return OnceAnswer{}, c.judge(ctx, begun, err), err
+		return Response{}, c.judge(ctx, begun, err), err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	body, err := readWhole(answer.Body, c.path.policy.MaxAnswer)
@@ -117,9 +117,9 @@
 		err = wholeStream(body)
 	}
 	if err != nil {
-		return OnceAnswer{}, c.judge(ctx, begun, err), &external.CallError{Run: protocol.MayHaveRun, Err: err}
+		return Response{}, c.judge(ctx, begun, err), &external.CallError{Run: protocol.MayHaveRun, Err: err}
 	}
-	return OnceAnswer{Status: answer.Status, Header: keptHeader(answer.Header), Body: body}, coordination.CallResult{}, nil
+	return Response{Status: answer.Status, Header: keptHeader(answer.Header), Body: body}, coordination.CallResult{}, nil
 }
 
 // wholeStream checks that a stream has its end mark.
--- a/internal/transport/edge/matrix_dispatch_test.go
+++ b/internal/transport/edge/matrix_dispatch_test.go
@@ -80,8 +80,8 @@
 // logDownOnce is the reservation of calls while the log is down.
 type logDownOnce struct{}
 
-func (logDownOnce) CallOnce(context.Context, online.AtMostOnceCall, online.Dispatch) (online.OnceAnswer, *protocol.Refusal) {
-	return online.OnceAnswer{}, protocol.Refuse(protocol.CodePlatformDown, time.Second, "the log is down")
+func (logDownOnce) CallOnce(context.Context, online.AtMostOnceCall, online.Dispatch) (online.Response, *protocol.Refusal) {
+	return online.Response{}, protocol.Refuse(protocol.CodePlatformDown, time.Second, "the log is down")
 }
 
 func dispatchLogDown(s *system) error {
