--- a/internal/coordination/faulttest/broken_test.go
+++ b/internal/coordination/faulttest/broken_test.go
@@ -203,8 +203,8 @@
 // retrying sends a call again when its answer did not come.
 type retrying struct{ online.AtMostOnceCaller }
 
-func (r retrying) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
-	return r.AtMostOnceCaller.CallOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.Response, error) {
+func (r retrying) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+	return r.AtMostOnceCaller.CallAtMostOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.Response, error) {
 		answer, err := dispatch(ctx, id)
 		if err != nil {
 			return dispatch(ctx, id)
@@ -223,7 +223,7 @@
 // greedy sends without asking who won the reservation.
 type greedy struct{}
 
-func (greedy) CallOnce(ctx context.Context, _ online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+func (greedy) CallAtMostOnce(ctx context.Context, _ online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	answer, err := dispatch(ctx, "call")
 	if err == nil {
 		return answer, nil
@@ -241,8 +241,8 @@
 // boastful says that a call did not run whenever it has no answer.
 type boastful struct{ online.AtMostOnceCaller }
 
-func (b boastful) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
-	answer, refusal := b.AtMostOnceCaller.CallOnce(ctx, call, dispatch)
+func (b boastful) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+	answer, refusal := b.AtMostOnceCaller.CallAtMostOnce(ctx, call, dispatch)
 	if refusal != nil && refusal.Run == protocol.MayHaveRun {
 		return answer, protocol.Refuse(protocol.CodeNoTarget, joinAgain, "not run")
 	}
--- a/internal/coordination/faulttest/callmatrix_test.go
+++ b/internal/coordination/faulttest/callmatrix_test.go
@@ -144,7 +144,7 @@
 		n := c.turn()
 		n.delivering.Store(true)
 		got, ok := ask(n, func(ctx context.Context) onceAnswer {
-			answer, refusal := n.caller.CallOnce(ctx, request, n.dispatch(fmt.Sprintf("%s#%d", swap, try)))
+			answer, refusal := n.caller.CallAtMostOnce(ctx, request, n.dispatch(fmt.Sprintf("%s#%d", swap, try)))
 			return onceAnswer{answer, refusal}
 		})
 		n.delivering.Store(false)
--- a/internal/coordination/faulttest/calls_test.go
+++ b/internal/coordination/faulttest/calls_test.go
@@ -45,10 +45,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, variant{})
 		runs := 0
-		first, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, []byte("done")))
+		first, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, []byte("done")))
 		require.Nil(t, refusal)
 		<-time.After(time.Second)
-		again, refusal := w.nodes[1].caller.CallOnce(w.ctx, onceCall("k", 1), never(t))
+		again, refusal := w.nodes[1].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), never(t))
 		require.Nil(t, refusal)
 		require.True(t, again.Stored)
 		require.Equal(t, first.Body, again.Body)
@@ -66,10 +66,10 @@
 		for name, takes := range map[string]time.Duration{"short": time.Second, "long": 10 * time.Second} {
 			runs := 0
 			w.background.Go(func() {
-				_, _ = w.nodes[0].caller.CallOnce(w.ctx, onceCall(name, 1), answering(&runs, takes, []byte("done")))
+				_, _ = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall(name, 1), answering(&runs, takes, []byte("done")))
 			})
 			<-time.After(500 * time.Millisecond)
-			answer, refusal := w.nodes[1].caller.CallOnce(w.ctx, onceCall(name, 1), never(t))
+			answer, refusal := w.nodes[1].caller.CallAtMostOnce(w.ctx, onceCall(name, 1), never(t))
 			if name == "short" {
 				require.Nil(t, refusal)
 				require.Equal(t, "done", string(answer.Body))
@@ -89,9 +89,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 1, variant{})
 		runs := 0
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
+		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
-		_, refusal = w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 2), never(t))
+		_, refusal = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 2), never(t))
 		require.Equal(t, protocol.CodeConflict, refusal.Code)
 		require.Equal(t, protocol.NotRun, refusal.Run)
 		require.Zero(t, refusal.RetryAfter)
@@ -106,14 +106,14 @@
 		w.outage(time.Minute)
 		<-time.After(10 * time.Second)
 		began := time.Now()
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), never(t))
+		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), never(t))
 		require.Equal(t, protocol.CodePlatformDown, refusal.Code)
 		require.Equal(t, protocol.NotRun, refusal.Run)
 		require.Positive(t, refusal.RetryAfter)
 		require.Zero(t, time.Since(began))
 		<-time.After(2 * time.Minute)
 		runs := 0
-		_, refusal = w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
+		_, refusal = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
 		require.Equal(t, 1, runs)
 	})
@@ -127,12 +127,12 @@
 		runs := 0
 		ctx, hangUp := context.WithCancel(w.ctx)
 		w.background.Go(func() {
-			_, _ = w.nodes[0].caller.CallOnce(ctx, onceCall("k", 1), answering(&runs, 3*time.Second, []byte("done")))
+			_, _ = w.nodes[0].caller.CallAtMostOnce(ctx, onceCall("k", 1), answering(&runs, 3*time.Second, []byte("done")))
 		})
 		<-time.After(time.Second)
 		hangUp()
 		<-time.After(3 * time.Second)
-		answer, refusal := w.nodes[1].caller.CallOnce(w.ctx, onceCall("k", 1), never(t))
+		answer, refusal := w.nodes[1].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), never(t))
 		require.Nil(t, refusal)
 		require.Equal(t, "done", string(answer.Body))
 		require.Equal(t, 1, runs)
@@ -146,10 +146,10 @@
 		w := newWorld(t, 1, variant{})
 		runs := 0
 		large := bytes.Repeat([]byte("x"), protocol.MaxEntryBytes)
-		answer, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, large))
+		answer, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, large))
 		require.Nil(t, refusal)
 		require.Len(t, answer.Body, len(large))
-		_, refusal = w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), never(t))
+		_, refusal = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), never(t))
 		require.Equal(t, protocol.CodeGone, refusal.Code)
 		require.Equal(t, protocol.Completed, refusal.Run)
 	})
@@ -160,12 +160,12 @@
 func TestRefusedConnectionFreesTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2, variant{})
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), func(context.Context, protocol.CallID) (online.Response, error) {
+		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), func(context.Context, protocol.CallID) (online.Response, error) {
 			return online.Response{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
 		})
 		require.Equal(t, protocol.NotRun, refusal.Run)
 		runs := 0
-		_, refusal = w.nodes[1].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
+		_, refusal = w.nodes[1].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
 		require.Equal(t, 1, runs)
 	})
@@ -177,7 +177,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWith(t, 1, func(w *world) { w.calls.Remember = 10 * time.Minute })
 		runs := 0
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
+		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
 		known := func() (count int) {
 			w.nodes[0].View(func(state *replica.State) { count = state.Once.Len() })
@@ -196,12 +196,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldWith(t, 1, func(w *world) { w.calls.MaxCalls = 1 })
 		runs := 0
-		_, refusal := w.nodes[0].caller.CallOnce(w.ctx, onceCall("a", 1), answering(&runs, time.Second, nil))
+		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("a", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
-		_, refusal = w.nodes[0].caller.CallOnce(w.ctx, onceCall("b", 1), never(t))
+		_, refusal = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("b", 1), never(t))
 		require.Equal(t, protocol.CodeOverloaded, refusal.Code)
 		require.Equal(t, protocol.NotRun, refusal.Run)
-		_, refusal = w.nodes[0].caller.CallOnce(w.ctx, onceCall("a", 1), never(t))
+		_, refusal = w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("a", 1), never(t))
 		require.Nil(t, refusal)
 	})
 }
--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -111,9 +111,9 @@
 	return protocol.CallID("call_" + hex.EncodeToString(random[:]))
 }
 
-// CallOnce implements online.OnceCaller. Once the call is under way it goes on
+// CallAtMostOnce implements online.OnceCaller. Once the call is under way it goes on
 // when the caller leaves, so that a resend finds the answer.
-func (c *Caller) CallOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+func (c *Caller) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	if len(call.Key.Key) > maxKey {
 		return online.Response{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKey)
 	}
--- a/internal/coordination/online/once.go
+++ b/internal/coordination/online/once.go
@@ -34,5 +34,5 @@
 // calls dispatch at most once, and only after its reservation was read back as
 // the winner; otherwise it gives the stored answer or a refusal.
 type AtMostOnceCaller interface {
-	CallOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (Response, *protocol.Refusal)
+	CallAtMostOnce(ctx context.Context, call AtMostOnceCall, dispatch Dispatch) (Response, *protocol.Refusal)
 }
--- a/internal/coordination/online/oncepath.go
+++ b/internal/coordination/online/oncepath.go
@@ -41,7 +41,7 @@
 	if c.path.opts.Once == nil {
 		return Response{}, protocol.Refuse(protocol.CodePlatformDown, c.path.policy.RetryAfter, "calls that may not be repeated can't be reserved now")
 	}
-	return c.path.opts.Once.CallOnce(ctx, AtMostOnceCall{
+	return c.path.opts.Once.CallAtMostOnce(ctx, AtMostOnceCall{
 		Key:      protocol.CallKey{Organisation: c.req.Caller.Organisation, Key: c.req.IdempotencyKey},
 		BodyHash: c.bodyHash(),
 	}, c.dispatch)
--- a/internal/transport/edge/matrix_dispatch_test.go
+++ b/internal/transport/edge/matrix_dispatch_test.go
@@ -80,7 +80,7 @@
 // logDownOnce is the reservation of calls while the log is down.
 type logDownOnce struct{}
 
-func (logDownOnce) CallOnce(context.Context, online.AtMostOnceCall, online.Dispatch) (online.Response, *protocol.Refusal) {
+func (logDownOnce) CallAtMostOnce(context.Context, online.AtMostOnceCall, online.Dispatch) (online.Response, *protocol.Refusal) {
 	return online.Response{}, protocol.Refuse(protocol.CodePlatformDown, time.Second, "the log is down")
 }
 
