--- a/internal/coordination/online/oncepath.go
+++ b/internal/coordination/online/oncepath.go
@@ -38,10 +38,10 @@
 		}
 		return answer, nil
 	}
-	if c.path.opts.Once == nil {
+	if c.path.opts.AtMostOnce == nil {
 		return Response{}, protocol.Refuse(protocol.CodePlatformDown, c.path.policy.RetryAfter, "calls that may not be repeated can't be reserved now")
 	}
-	return c.path.opts.Once.CallAtMostOnce(ctx, AtMostOnceCall{
+	return c.path.opts.AtMostOnce.CallAtMostOnce(ctx, AtMostOnceCall{
 		Key:      protocol.CallKey{Organisation: c.req.Caller.Organisation, Key: c.req.IdempotencyKey},
 		BodyHash: c.bodyHash(),
 	}, c.dispatch)
--- a/internal/coordination/online/options.go
+++ b/internal/coordination/online/options.go
@@ -27,7 +27,7 @@
 	// repeated, over connections of its own.
 	Target     external.Target
 	OnceTarget external.Target
-	Once       AtMostOnceCaller
+	AtMostOnce AtMostOnceCaller
 	// Current reports whether the configuration is as new as this instance
 	// can have it; after a long pause it is not, for the time of a read. Nil
 	// is always current.
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -34,7 +34,7 @@
 		Router:     d.fleet.headroom.Watch(d.fleet.router),
 		Target:     d.outside.online,
 		OnceTarget: d.outside.once,
-		Once:       d.batch.once,
+		AtMostOnce: d.batch.once,
 		Loads:      d.outside.control,
 		Current:    d.agreement.journal.Current,
 		Observe:    d.operators.observe,
