--- a/internal/coordination/online/oncepath.go
+++ b/internal/coordination/online/oncepath.go
@@ -107,7 +107,7 @@
 
 func (c *call) dispatchTo(ctx context.Context, pick coordination.Pick, id protocol.CallID) (Response, coordination.CallResult, error) {
 	begun := time.Now()
-	answer, err := c.path.opts.OnceTarget.Do(ctx, pick.Address, c.message(id))
+	answer, err := c.path.opts.AtMostOnceTarget.Do(ctx, pick.Address, c.message(id))
 	if err != nil {
 		return Response{}, c.judge(ctx, begun, err), err
 	}
--- a/internal/coordination/online/options.go
+++ b/internal/coordination/online/options.go
@@ -25,9 +25,9 @@
 	Router    coordination.Router
 	// Target sends repeatable calls, OnceTarget those that may not be
 	// repeated, over connections of its own.
-	Target     external.Target
-	OnceTarget external.Target
-	AtMostOnce AtMostOnceCaller
+	Target           external.Target
+	AtMostOnceTarget external.Target
+	AtMostOnce       AtMostOnceCaller
 	// Current reports whether the configuration is as new as this instance
 	// can have it; after a long pause it is not, for the time of a read. Nil
 	// is always current.
--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -42,8 +42,8 @@
 	if opts.Logger == nil {
 		opts.Logger = log.NewNopLogger()
 	}
-	if opts.OnceTarget == nil {
-		opts.OnceTarget = opts.Target
+	if opts.AtMostOnceTarget == nil {
+		opts.AtMostOnceTarget = opts.Target
 	}
 	policy := opts.Policy.withDefaults()
 	random := make([]byte, 8)
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -27,19 +27,19 @@
 func (d *Daemon) joinCallers() {
 	d.operators.recorder = newRecorder(d.agreement.journal.Fleet)
 	d.callers.path = online.New(online.Options{
-		Fleet:      d.agreement.journal.Fleet,
-		Keys:       d.keys,
-		Limits:     d.fleet.limits,
-		Admission:  d.fleet.admission,
-		Router:     d.fleet.headroom.Watch(d.fleet.router),
-		Target:     d.outside.online,
-		OnceTarget: d.outside.once,
-		AtMostOnce: d.batch.once,
-		Loads:      d.outside.control,
-		Current:    d.agreement.journal.Current,
-		Observe:    d.operators.observe,
-		Logger:     d.logger,
-		Policy:     onlinePolicy(d.settings.Calls),
+		Fleet:            d.agreement.journal.Fleet,
+		Keys:             d.keys,
+		Limits:           d.fleet.limits,
+		Admission:        d.fleet.admission,
+		Router:           d.fleet.headroom.Watch(d.fleet.router),
+		Target:           d.outside.online,
+		AtMostOnceTarget: d.outside.once,
+		AtMostOnce:       d.batch.once,
+		Loads:            d.outside.control,
+		Current:          d.agreement.journal.Current,
+		Observe:          d.operators.observe,
+		Logger:           d.logger,
+		Policy:           onlinePolicy(d.settings.Calls),
 	})
 	batchAPI := batchapi.New(d.batch.service, organisationOf, d.logger)
 	d.callers.edge = edge.New(edge.Options{
