--- a/internal/coordination/online/call.go
+++ b/internal/coordination/online/call.go
@@ -167,7 +167,7 @@
 // tokens waiting and the keys of before the pause, and shows them to a caller
 // whose key was withdrawn meanwhile.
 func (c *call) catchUp() {
-	current := c.path.opts.Current
+	current := c.path.opts.ConfigCurrent
 	if current == nil || current() {
 		return
 	}
--- a/internal/coordination/online/options.go
+++ b/internal/coordination/online/options.go
@@ -28,10 +28,10 @@
 	Target           external.Target
 	AtMostOnceTarget external.Target
 	AtMostOnce       AtMostOnceCaller
-	// Current reports whether the configuration is as new as this instance
+	// ConfigCurrent reports whether the configuration is as new as this instance
 	// can have it; after a long pause it is not, for the time of a read. Nil
 	// is always current.
-	Current func() bool
+	ConfigCurrent func() bool
 	// Loads asks a target for a sign of life while a whole answer is long in
 	// coming. Without it only the deadline ends such a call.
 	Loads external.LoadReports
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -36,7 +36,7 @@
 		AtMostOnceTarget: d.outside.once,
 		AtMostOnce:       d.batch.once,
 		Loads:            d.outside.control,
-		Current:          d.agreement.journal.Current,
+		ConfigCurrent:    d.agreement.journal.Current,
 		Observe:          d.operators.observe,
 		Logger:           d.logger,
 		Policy:           onlinePolicy(d.settings.Calls),
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -96,7 +96,7 @@
 	}
 	s.path = online.New(online.Options{
 		Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load), Router: s.router,
-		Target: calls, AtMostOnceTarget: onceCalls, AtMostOnce: opts.once, Policy: opts.policy, Current: s.current,
+		Target: calls, AtMostOnceTarget: onceCalls, AtMostOnce: opts.once, Policy: opts.policy, ConfigCurrent: s.current,
 	})
 	s.edge = New(Options{
 		Listen: s.listen, Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load),
