--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -136,7 +136,7 @@
 // whole reads an answer to its end before the first byte goes to the caller,
 // so that a cut answer can't be taken for a whole one.
 func (c *call) whole(ctx context.Context, answer *external.Answer) (ending, bool) {
-	body, err := readWhole(answer.Body, c.path.policy.MaxAnswer)
+	body, err := readWhole(answer.Body, c.path.policy.MaxResponseBytes)
 	if ctx.Err() != nil {
 		c.expired(ctx, protocol.MayHaveRun)
 		return final, true
--- a/internal/coordination/online/oncepath.go
+++ b/internal/coordination/online/oncepath.go
@@ -112,7 +112,7 @@
 		return Response{}, c.judge(ctx, begun, err), err
 	}
 	defer func() { _ = answer.Body.Close() }()
-	body, err := readWhole(answer.Body, c.path.policy.MaxAnswer)
+	body, err := readWhole(answer.Body, c.path.policy.MaxResponseBytes)
 	if err == nil && isEventStream(answer.Header) {
 		err = wholeStream(body)
 	}
--- a/internal/coordination/online/options.go
+++ b/internal/coordination/online/options.go
@@ -64,8 +64,8 @@
 	// allowed for each call, for each second, and saved up at most. Defaults
 	// 0.1, 1 and 20: a fleet in trouble gets at most a tenth more load.
 	RetryRatio, RetryPerSecond, RetryMost float64
-	// MaxAnswer bounds a whole answer in bytes. Default 16 MiB.
-	MaxAnswer int64
+	// MaxResponseBytes bounds a whole answer in bytes. Default 16 MiB.
+	MaxResponseBytes int64
 	// RetryAfter is told to callers that were refused for want of a target.
 	// Default 1 s.
 	RetryAfter time.Duration
@@ -84,7 +84,7 @@
 	defaults.SetPositive(&p.RetryRatio, 0.1)
 	defaults.SetPositive(&p.RetryPerSecond, 1)
 	defaults.SetPositive(&p.RetryMost, 20)
-	defaults.SetPositive(&p.MaxAnswer, 16<<20)
+	defaults.SetPositive(&p.MaxResponseBytes, 16<<20)
 	defaults.SetPositive(&p.RetryAfter, time.Second)
 	defaults.SetPositive(&p.CancelTimeout, time.Second)
 	return p
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -66,7 +66,7 @@
 		StallTimeout:     c.StallTimeout,
 		Attempts:         c.Attempts,
 		RetryRatio:       c.RetryShare,
-		MaxAnswer:        c.AnswerBytes,
+		MaxResponseBytes: c.AnswerBytes,
 		AllowHeaders:     c.AllowHeaders,
 	}
 }
