--- a/internal/coordination/online/call.go
+++ b/internal/coordination/online/call.go
@@ -87,7 +87,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return false
-	case c.result.Attempts >= c.path.policy.Attempts:
+	case c.result.Attempts >= c.path.policy.MaxAttempts:
 		return false
 	case c.result.Begun && c.position == 0:
 		return false
--- a/internal/coordination/online/options.go
+++ b/internal/coordination/online/options.go
@@ -58,8 +58,8 @@
 	// StallTimeout gives up a stream that shows no further event. Default 5 s,
 	// more than a hundred times the aim between tokens.
 	StallTimeout time.Duration
-	// Attempts bounds the attempts of one call. Default 3.
-	Attempts int
+	// MaxAttempts bounds the attempts of one call. Default 3.
+	MaxAttempts int
 	// RetryRatio, RetryPerSecond and RetryMost are the retry budget: retries
 	// allowed for each call, for each second, and saved up at most. Defaults
 	// 0.1, 1 and 20: a fleet in trouble gets at most a tenth more load.
@@ -80,7 +80,7 @@
 	defaults.SetPositive(&p.FirstByteTimeout, 10*time.Second)
 	defaults.SetPositive(&p.ProbeTimeout, 2*time.Second)
 	defaults.SetPositive(&p.StallTimeout, 5*time.Second)
-	defaults.SetPositive(&p.Attempts, 3)
+	defaults.SetPositive(&p.MaxAttempts, 3)
 	defaults.SetPositive(&p.RetryRatio, 0.1)
 	defaults.SetPositive(&p.RetryPerSecond, 1)
 	defaults.SetPositive(&p.RetryMost, 20)
--- a/internal/coordination/online/path_test.go
+++ b/internal/coordination/online/path_test.go
@@ -223,7 +223,7 @@
 // A target ends a stream tidily, but without its end mark. Passed on as it is,
 // the caller would take a part of the answer for the whole.
 func TestStreamWithoutEndMarkIsNotWhole(t *testing.T) {
-	b := newBench(Policy{Attempts: 1}, answers(0, sseType, numbered(1, 3, false), io.EOF))
+	b := newBench(Policy{MaxAttempts: 1}, answers(0, sseType, numbered(1, 3, false), io.EOF))
 	result := b.serve(testService, true)
 	require.NotNil(t, result.Refusal)
 	require.True(t, result.Begun)
@@ -302,7 +302,7 @@
 // One attempt may have run and the next was not begun. The call as a whole may
 // have run; "not run" would be a lie.
 func TestOneAttemptThatMayHaveRunDecidesTheRunState(t *testing.T) {
-	b := newBench(Policy{Attempts: 2}, fails(protocol.MayHaveRun, errCut), fails(protocol.NotRun, external.ErrNotBegun))
+	b := newBench(Policy{MaxAttempts: 2}, fails(protocol.MayHaveRun, errCut), fails(protocol.NotRun, external.ErrNotBegun))
 	result := b.serve(testService, false)
 	require.Equal(t, protocol.MayHaveRun, result.Refusal.Run)
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -64,7 +64,7 @@
 		Timeout:          c.Deadline,
 		FirstByteTimeout: c.FirstByteTimeout,
 		StallTimeout:     c.StallTimeout,
-		Attempts:         c.Attempts,
+		MaxAttempts:      c.Attempts,
 		RetryRatio:       c.RetryShare,
 		MaxResponseBytes: c.AnswerBytes,
 		AllowHeaders:     c.AllowHeaders,
