--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -126,7 +126,7 @@
 		return again, false
 	case c.req.Stream && isEventStream(answer.Header):
 		return c.stream(ctx, answer, dog)
-	case c.result.Begun:
+	case c.result.Started:
 		c.fail(protocol.MayHaveRun, "the target did not go on with the stream")
 		return again, false
 	}
@@ -181,7 +181,7 @@
 }
 
 func (c *call) begin(status int, header http.Header) {
-	c.result.Begun = true
+	c.result.Started = true
 	c.result.Status = status
 	// An error shows at the first write.
 	_ = c.w.Begin(status, header)
--- a/internal/coordination/online/call.go
+++ b/internal/coordination/online/call.go
@@ -89,7 +89,7 @@
 		return false
 	case c.result.Attempts >= c.path.policy.MaxAttempts:
 		return false
-	case c.result.Begun && c.position == 0:
+	case c.result.Started && c.position == 0:
 		return false
 	}
 	return c.path.mayRetry(c.req.Service)
@@ -107,7 +107,7 @@
 // attempt may have run, the call may have run.
 func (c *call) fail(run protocol.RunState, message string) {
 	earlier := c.result.Refusal
-	if run == protocol.NotRun && !c.result.Begun && (earlier == nil || earlier.Run == protocol.NotRun) {
+	if run == protocol.NotRun && !c.result.Started && (earlier == nil || earlier.Run == protocol.NotRun) {
 		c.result.Refusal = protocol.Refuse(protocol.CodeTargetFailed, c.path.policy.RetryAfter, "%s", message)
 		return
 	}
@@ -126,7 +126,7 @@
 // expired ends a call whose deadline passed or whose caller left.
 func (c *call) expired(ctx context.Context, run protocol.RunState) {
 	earlier := c.result.Refusal
-	if c.result.Begun || (earlier != nil && earlier.Run == protocol.MayHaveRun) {
+	if c.result.Started || (earlier != nil && earlier.Run == protocol.MayHaveRun) {
 		run = protocol.MayHaveRun
 	}
 	message := "the caller left"
--- a/internal/coordination/online/path_test.go
+++ b/internal/coordination/online/path_test.go
@@ -226,7 +226,7 @@
 	b := newBench(Policy{MaxAttempts: 1}, answers(0, sseType, numbered(1, 3, false), io.EOF))
 	result := b.serve(testService, true)
 	require.NotNil(t, result.Refusal)
-	require.True(t, result.Begun)
+	require.True(t, result.Started)
 }
 
 // A target goes silent in the middle of a stream and keeps its connection. The
--- a/internal/coordination/online/request.go
+++ b/internal/coordination/online/request.go
@@ -46,9 +46,9 @@
 type Result struct {
 	// Refusal is nil if the caller got the whole answer.
 	Refusal *protocol.Refusal
-	// Begun says that the answer had begun: a Refusal can be told only
+	// Started says that the answer had begun: a Refusal can be told only
 	// within it.
-	Begun bool
+	Started bool
 	// Status is the answer's HTTP status, 0 if it was refused before one.
 	Status   int
 	Target   protocol.TargetID
--- a/internal/coordination/online/stream.go
+++ b/internal/coordination/online/stream.go
@@ -18,7 +18,7 @@
 // stream passes events on as they come, byte for byte.
 func (c *call) stream(ctx context.Context, answer *external.Answer, dog *watchdog) (ending, bool) {
 	events := sse.NewReader(answer.Body)
-	resumed := c.result.Begun
+	resumed := c.result.Started
 	for {
 		event, err := events.Next()
 		switch {
@@ -62,7 +62,7 @@
 // event writes one event to the caller.
 func (c *call) event(event sse.Event, answer *external.Answer, flush bool) error {
 	now := time.Now()
-	if !c.result.Begun {
+	if !c.result.Started {
 		c.result.FirstByte = now.Sub(c.start)
 		c.firstEvent = now
 		c.begin(answer.Status, toCaller(c.req, answer.Header, protocol.MayHaveRun))
--- a/internal/transport/edge/completion.go
+++ b/internal/transport/edge/completion.go
@@ -124,9 +124,9 @@
 	if result.Refusal.Run != protocol.NotRun {
 		_ = e.opts.Logger.Log("event", "call_given_up", "request", req.ID, "organisation", req.Caller.Organisation,
 			"service", req.Service, "code", result.Refusal.Code, "run_state", result.Refusal.Run,
-			"target", result.Target, "attempts", result.Attempts, "begun", result.Begun)
+			"target", result.Target, "attempts", result.Attempts, "begun", result.Started)
 	}
-	if !result.Begun {
+	if !result.Started {
 		w.limit()
 		x.refuse(result.Refusal)
 		return
