--- a/internal/coordination/online/call.go
+++ b/internal/coordination/online/call.go
@@ -137,8 +137,8 @@
 }
 
 func (c *call) firstByte() {
-	if c.result.FirstByte == 0 {
-		c.result.FirstByte = time.Since(c.start)
+	if c.result.TimeToFirstByte == 0 {
+		c.result.TimeToFirstByte = time.Since(c.start)
 	}
 }
 
--- a/internal/coordination/online/request.go
+++ b/internal/coordination/online/request.go
@@ -55,8 +55,8 @@
 	Attempts int
 	// Resumed counts the attempts that went on with a begun stream.
 	Resumed int
-	// FirstByte is the time from the request to the first byte, 0 if none.
-	FirstByte time.Duration
+	// TimeToFirstByte is the time from the request to the first byte, 0 if none.
+	TimeToFirstByte time.Duration
 	// Events counts the delivered events of a stream, BetweenEvents is the
 	// mean gap between them.
 	Events        int
--- a/internal/coordination/online/stream.go
+++ b/internal/coordination/online/stream.go
@@ -63,7 +63,7 @@
 func (c *call) event(event sse.Event, answer *external.Answer, flush bool) error {
 	now := time.Now()
 	if !c.result.Started {
-		c.result.FirstByte = now.Sub(c.start)
+		c.result.TimeToFirstByte = now.Sub(c.start)
 		c.firstEvent = now
 		c.begin(answer.Status, toCaller(c.req, answer.Header, protocol.MayHaveRun))
 	}
