--- a/internal/coordination/online/request.go
+++ b/internal/coordination/online/request.go
@@ -59,8 +59,8 @@
 	TimeToFirstByte time.Duration
 	// Events counts the delivered events of a stream, BetweenEvents is the
 	// mean gap between them.
-	Events        int
-	BetweenEvents time.Duration
+	Events       int
+	MeanEventGap time.Duration
 }
 
 // Observation is a finished call as the burn report sees it.
--- a/internal/coordination/online/stream.go
+++ b/internal/coordination/online/stream.go
@@ -81,6 +81,6 @@
 
 func (c *call) finishStream() {
 	if gaps := c.result.Events - 1; gaps > 0 {
-		c.result.BetweenEvents = c.lastEvent.Sub(c.firstEvent) / time.Duration(gaps)
+		c.result.MeanEventGap = c.lastEvent.Sub(c.firstEvent) / time.Duration(gaps)
 	}
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -56,7 +56,7 @@
 	}
 	var firstToken, between time.Duration
 	if seen.Result.Events > 0 {
-		firstToken, between = seen.Result.TimeToFirstByte, seen.Result.BetweenEvents
+		firstToken, between = seen.Result.TimeToFirstByte, seen.Result.MeanEventGap
 	}
 	o.recorder.Record(seen.Organisation, seen.Service, firstToken, between, seen.Result.Refusal == nil)
 }
