--- a/internal/coordination/online/call.go
+++ b/internal/coordination/online/call.go
@@ -13,7 +13,7 @@
 
 // call is one call on its way.
 type call struct {
-	path   *Path
+	path   *Handler
 	req    *Request
 	w      Writer
 	start  time.Time
--- a/internal/coordination/online/header.go
+++ b/internal/coordination/online/header.go
@@ -36,7 +36,7 @@
 )
 
 // toTarget is the part of the caller's headers that a target gets.
-func (p *Path) toTarget(req *Request) http.Header {
+func (p *Handler) toTarget(req *Request) http.Header {
 	out := make(http.Header, len(p.allowed))
 	for _, name := range p.allowed {
 		if values := req.Header[name]; len(values) > 0 {
@@ -62,7 +62,7 @@
 
 // showsKey reports whether the caller's key would reach a target in some other
 // part of the request than its Authorization header.
-func (p *Path) showsKey(req *Request, header http.Header) bool {
+func (p *Handler) showsKey(req *Request, header http.Header) bool {
 	if req.Secret == "" {
 		return false
 	}
--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -21,8 +21,8 @@
 // published counts answers by code, retries and resumed streams.
 var published = expvar.NewMap("online")
 
-// Path serves online calls.
-type Path struct {
+// Handler serves online calls.
+type Handler struct {
 	opts    Options
 	policy  Policy
 	allowed []string
@@ -38,7 +38,7 @@
 }
 
 // New returns a path. Its Services must run.
-func New(opts Options) *Path {
+func New(opts Options) *Handler {
 	if opts.Logger == nil {
 		opts.Logger = log.NewNopLogger()
 	}
@@ -48,7 +48,7 @@
 	policy := opts.Policy.withDefaults()
 	random := make([]byte, 8)
 	_, _ = rand.Read(random)
-	p := &Path{
+	p := &Handler{
 		opts:     opts,
 		policy:   policy,
 		cancels:  newCanceller(opts.Target, policy.CancelTimeout),
@@ -63,18 +63,18 @@
 }
 
 // Services returns the duties that run beside the calls.
-func (p *Path) Services() []suture.Service { return p.cancels.services() }
+func (p *Handler) Services() []suture.Service { return p.cancels.services() }
 
 // Serve takes one call to its end and writes its answer, but for a refusal,
 // which the caller of Serve writes.
-func (p *Path) Serve(ctx context.Context, req *Request, w Writer) Result {
+func (p *Handler) Serve(ctx context.Context, req *Request, w Writer) Result {
 	start := time.Now()
 	result := p.serve(ctx, start, req, w)
 	p.observe(start, req, result)
 	return result
 }
 
-func (p *Path) serve(ctx context.Context, start time.Time, req *Request, w Writer) Result {
+func (p *Handler) serve(ctx context.Context, start time.Time, req *Request, w Writer) Result {
 	if longest := start.Add(p.policy.Timeout); req.Deadline.IsZero() || req.Deadline.After(longest) {
 		req.Deadline = longest
 	}
@@ -105,7 +105,7 @@
 }
 
 // check refuses what can be told without a target.
-func (p *Path) check(req *Request) (protocol.Service, *protocol.Refusal) {
+func (p *Handler) check(req *Request) (protocol.Service, *protocol.Refusal) {
 	service, ok := p.opts.Fleet().Services[req.Service]
 	if !ok {
 		return service, protocol.Refuse(protocol.CodeNotFound, 0, "no service %q", req.Service)
@@ -116,14 +116,14 @@
 	return service, nil
 }
 
-func (p *Path) limit(ctx context.Context, req *Request) *protocol.Refusal {
+func (p *Handler) limit(ctx context.Context, req *Request) *protocol.Refusal {
 	if p.opts.Limits == nil {
 		return nil
 	}
 	return p.opts.Limits.Admit(ctx, req.Caller.Organisation, 1)
 }
 
-func (p *Path) enter(ctx context.Context, req *Request) (func(), *protocol.Refusal) {
+func (p *Handler) enter(ctx context.Context, req *Request) (func(), *protocol.Refusal) {
 	if p.opts.Admission == nil {
 		return func() {}, nil
 	}
@@ -134,7 +134,7 @@
 	return ticket.Release, nil
 }
 
-func (p *Path) observe(start time.Time, req *Request, result Result) {
+func (p *Handler) observe(start time.Time, req *Request, result Result) {
 	code := "ok"
 	if result.Refusal != nil {
 		code = string(result.Refusal.Code)
@@ -151,11 +151,11 @@
 	})
 }
 
-func (p *Path) nextID() protocol.CallID {
+func (p *Handler) nextID() protocol.CallID {
 	return protocol.CallID(p.idPrefix + strconv.FormatUint(p.idCount.Add(1), 10))
 }
 
-func (p *Path) budget(service protocol.ServiceName) *routing.Budget {
+func (p *Handler) budget(service protocol.ServiceName) *routing.Budget {
 	b, ok := p.budgets[service]
 	if !ok {
 		b = routing.NewBudget(p.policy.RetryRatio, p.policy.RetryPerSecond, p.policy.RetryMost)
@@ -164,13 +164,13 @@
 	return b
 }
 
-func (p *Path) called(service protocol.ServiceName) {
+func (p *Handler) called(service protocol.ServiceName) {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	p.budget(service).Called()
 }
 
-func (p *Path) mayRetry(service protocol.ServiceName) bool {
+func (p *Handler) mayRetry(service protocol.ServiceName) bool {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return p.budget(service).Retry(time.Now())
--- a/internal/coordination/online/path_test.go
+++ b/internal/coordination/online/path_test.go
@@ -123,7 +123,7 @@
 	router *fakeRouter
 	writer *fakeWriter
 	keys   *fakeKeys
-	path   *Path
+	path   *Handler
 }
 
 func newBench(policy Policy, script ...attemptFunc) *bench {
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -16,7 +16,7 @@
 
 // callers is the way of online calls, and the callers' HTTP server.
 type callers struct {
-	path *online.Path
+	path *online.Handler
 	edge *edge.Edge
 }
 
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -63,7 +63,7 @@
 	plain    *target.Target
 	router   *routing.Router
 	client   *targethttp.Client
-	path     *online.Path
+	path     *online.Handler
 	edge     *Edge
 	listing  external.Listing
 	url      string
