--- a/internal/coordination/faulttest/calls_test.go
+++ b/internal/coordination/faulttest/calls_test.go
@@ -175,7 +175,7 @@
 // without end. Then they are forgotten.
 func TestKeysAreForgottenAfterTheirTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, 1, func(w *world) { w.calls.Remember = 10 * time.Minute })
+		w := newWorldWith(t, 1, func(w *world) { w.calls.Retention = 10 * time.Minute })
 		runs := 0
 		_, refusal := w.nodes[0].caller.CallAtMostOnce(w.ctx, onceCall("k", 1), answering(&runs, time.Second, nil))
 		require.Nil(t, refusal)
--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -51,9 +51,9 @@
 	JoinTimeout time.Duration
 	// RetryAfter is what callers are told when the log is down. Default 5 s.
 	RetryAfter time.Duration
-	// Remember is how long a key is remembered. Default 24 h, less than the
+	// Retention is how long a key is remembered. Default 24 h, less than the
 	// platform's retention, since stored answers are not carried forward.
-	Remember time.Duration
+	Retention time.Duration
 	// MaxCalls bounds the keys that are remembered. Default 200,000, which take
 	// 25 MB. Beyond it calls are refused as not run: forgetting one early could
 	// run it twice.
@@ -68,7 +68,7 @@
 	defaults.Set(&o.RecordTimeout, time.Second)
 	defaults.Set(&o.JoinTimeout, 2*time.Second)
 	defaults.Set(&o.RetryAfter, 5*time.Second)
-	defaults.Set(&o.Remember, 24*time.Hour)
+	defaults.Set(&o.Retention, 24*time.Hour)
 	defaults.Set(&o.MaxCalls, 200_000)
 	defaults.Set(&o.Unrecorded, 1024)
 	return o
--- a/internal/coordination/oncecall/forget.go
+++ b/internal/coordination/oncecall/forget.go
@@ -37,7 +37,7 @@
 	last := protocol.NoOffset
 	first := false
 	c.journal.View(func(state *replica.State) {
-		last = state.Once.LastBefore(time.Now().Add(-c.opts.Remember))
+		last = state.Once.LastBefore(time.Now().Add(-c.opts.Retention))
 		first = member.Rank("oncecall/forget", session, openIDs(state)) == 0
 	})
 	if last == protocol.NoOffset || !first {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -42,7 +42,7 @@
 		carrier:  batch.NewCarrier(j, opts, d.logger),
 		once: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
-			Remember:       d.settings.Calls.Remember,
+			Retention:      d.settings.Calls.Remember,
 		}, d.logger),
 		notices: batch.NewCancelNotices("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
