--- a/internal/coordination/oncecall/forget.go
+++ b/internal/coordination/oncecall/forget.go
@@ -14,8 +14,8 @@
 // the memory of every instance stays bounded.
 type Forgetter struct{ caller *Caller }
 
-// Forgetter returns the duty of a Caller, for the supervisor.
-func (c *Caller) Forgetter() *Forgetter { return &Forgetter{c} }
+// Pruner returns the duty of a Caller, for the supervisor.
+func (c *Caller) Pruner() *Forgetter { return &Forgetter{c} }
 
 // String names the duty.
 func (f *Forgetter) String() string { return "once-call forgetter" }
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -23,7 +23,7 @@
 
 func (b *batchWork) services() []suture.Service {
 	out := append([]suture.Service{}, b.executor.Services()...)
-	return append(out, b.keeper, b.carrier, b.once.Recorder(), b.once.Forgetter(), b.notices)
+	return append(out, b.keeper, b.carrier, b.once.Recorder(), b.once.Pruner(), b.notices)
 }
 
 func (b *batchWork) drain(ctx context.Context) error {
