--- a/internal/coordination/orders/doc.go
+++ b/internal/coordination/orders/doc.go
@@ -22,9 +22,9 @@
 
 // Policy holds the settings. A zero field takes its default.
 type Policy struct {
-	// Hold is how long a holder goes on after it sent its last confirmed
+	// HoldTime is how long a holder goes on after it sent its last confirmed
 	// renewal (the session's own setting). Default 10 s.
-	Hold time.Duration
+	HoldTime time.Duration
 	// Check is the time between two looks at what a target runs. Default 5 s:
 	// a stale order stands for at most that long.
 	Check time.Duration
@@ -43,7 +43,7 @@
 }
 
 func (p Policy) withDefaults() Policy {
-	defaults.SetPositive(&p.Hold, 10*time.Second)
+	defaults.SetPositive(&p.HoldTime, 10*time.Second)
 	defaults.SetPositive(&p.Check, 5*time.Second)
 	defaults.SetPositive(&p.Retry, 2*time.Second)
 	defaults.SetPositive(&p.ClaimStep, 2*time.Second)
--- a/internal/coordination/orders/duty.go
+++ b/internal/coordination/orders/duty.go
@@ -150,7 +150,7 @@
 	if d.service.ChecksFencing || d.replaced == protocol.NoOffset {
 		return 0
 	}
-	return d.policy.Hold + d.longest()
+	return d.policy.HoldTime + d.longest()
 }
 
 func (d *Duty) longest() time.Duration {
--- a/internal/coordination/orders/world_test.go
+++ b/internal/coordination/orders/world_test.go
@@ -97,7 +97,7 @@
 		wanted:  external.Order{Model: "roster", Version: "v1"},
 		v:       v,
 	}
-	policy := Policy{Hold: testHold, ChangeShare: 0.34}
+	policy := Policy{HoldTime: testHold, ChangeShare: 0.34}
 	if v.lookOnce {
 		policy.Check = 1000 * time.Hour
 	}
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -53,7 +53,7 @@
 		Peers:    d.agreement.heartbeats,
 		Orders:   d.outside.control,
 		Logger:   d.logger,
-		Policy:   orders.Policy{Hold: s.Timings.Hold},
+		Policy:   orders.Policy{HoldTime: s.Timings.Hold},
 	})
 	polls := pollOptions(s)
 	polls.Router = f.router
