--- a/internal/coordination/orders/reconciler.go
+++ b/internal/coordination/orders/reconciler.go
@@ -98,8 +98,8 @@
 	return out
 }
 
-// Listing takes in the platform's list.
-func (r *Reconciler) Listing(listing external.Listing) {
+// SetListing takes in the platform's list.
+func (r *Reconciler) SetListing(listing external.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listing = listing
--- a/internal/coordination/orders/reconciler_test.go
+++ b/internal/coordination/orders/reconciler_test.go
@@ -110,7 +110,7 @@
 		var both []*Reconciler
 		for i, name := range []protocol.InstanceID{"p1", "p2"} {
 			r := New(Options{Instance: name, Domain: testDomain, Journal: &fakeJournal{log: log, session: protocol.SessionID(i + 1)}, Orders: targets})
-			r.Listing(listing)
+			r.SetListing(listing)
 			both = append(both, r)
 			for _, service := range r.Services() {
 				supervisor.Add(service)
