--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -1,15 +1,16 @@
-// Package oncecall dispatches calls that may not be repeated, at most once over
-// the whole fleet.
+// Package oncecall dispatches calls that are not idempotent at most once in the
+// whole fleet.
 //
-// A call with an idempotency key is reserved by a control record, and the
-// instance that reads its record back as the first one sends it. Everyone else
-// that gets the same call answers from the reservation. A reservation without
-// an outcome is never sent again, whatever became of its holder: that a call
-// did run can't be excluded, and nothing in the log could say so.
+// A call with an idempotency key is reserved by a control record in the log. The
+// instance whose record is read back as the first one sends the call. Every
+// other instance that receives the same call responds from the reservation. A
+// call whose reservation has no outcome is never sent again, even if the
+// instance that reserved it has terminated: the call may have run, and the log
+// cannot show that it did not.
 //
-// What remains is stated, not hidden: an instance that is stopped between its
-// last check and the send may send late, after its caller was told that the
-// outcome is unknown. It is still the only send.
+// Known limitation: an instance that is paused between its last check and the
+// send may send the call late, after its caller was told that the outcome is
+// unknown. The call is still sent only once.
 package oncecall
 
 import (
@@ -32,151 +33,160 @@
 	"merlintiller/internal/state/replica"
 )
 
+// counters counts calls that were not sent after a pause and outcomes that were
+// lost before they were recorded.
 var counters = expvar.NewMap("oncecall")
 
-// Options are the settings. The zero value of a field takes its default.
+// Options holds the settings of a Caller. A zero field takes its default.
 type Options struct {
-	// ReserveTimeout bounds the wait for a reservation to be read back. Default
-	// 3 s: the caller is better told to come back than kept.
+	// ReserveTimeout bounds the wait for a reservation to be read back from the
+	// log. Default 3 s: after that it is better to ask the caller to retry than
+	// to keep it waiting.
 	ReserveTimeout time.Duration
 	// DispatchTimeout bounds a dispatch whose caller set no deadline. Default
 	// 5 min.
 	DispatchTimeout time.Duration
-	// RecordTimeout bounds the wait for the outcome to stand in the log before
-	// the caller gets the answer. Default 1 s. Later it is recorded in the
-	// background.
+	// RecordTimeout bounds the wait for the outcome to be written to the log
+	// before the caller gets the response. Default 1 s. After that the outcome
+	// is recorded in the background.
 	RecordTimeout time.Duration
-	// JoinTimeout bounds how long a resend waits for the first dispatch to end.
+	// ResendWait bounds how long a resend waits for the first dispatch to end.
 	// Default 2 s.
-	JoinTimeout time.Duration
-	// RetryAfter is what callers are told when the log is down. Default 5 s.
+	ResendWait time.Duration
+	// RetryAfter is the retry delay stated in refusals, for example when the
+	// log is down. Default 5 s.
 	RetryAfter time.Duration
-	// Retention is how long a key is remembered. Default 24 h, less than the
-	// platform's retention, since stored answers are not carried forward.
+	// Retention is how long an idempotency key is remembered. Default 24 h,
+	// less than the retention of the platform's log, because stored responses
+	// are not copied to newer entries before the log is trimmed.
 	Retention time.Duration
-	// MaxCalls bounds the keys that are remembered. Default 200,000, which take
-	// 25 MB. Beyond it calls are refused as not run: forgetting one early could
-	// run it twice.
+	// MaxCalls bounds the idempotency keys that are remembered. Default
+	// 200,000, which take 25 MB. Beyond it, calls are refused as not run:
+	// dropping a key early could let its call run twice.
 	MaxCalls int
-	// Unrecorded bounds the outcomes that wait for the log. Default 1024.
-	Unrecorded int
+	// MaxUnrecorded bounds the queue of outcomes that could not be recorded yet.
+	// Default 1024.
+	MaxUnrecorded int
 }
 
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.ReserveTimeout, 3*time.Second)
 	defaults.Set(&o.DispatchTimeout, 5*time.Minute)
 	defaults.Set(&o.RecordTimeout, time.Second)
-	defaults.Set(&o.JoinTimeout, 2*time.Second)
+	defaults.Set(&o.ResendWait, 2*time.Second)
 	defaults.Set(&o.RetryAfter, 5*time.Second)
 	defaults.Set(&o.Retention, 24*time.Hour)
 	defaults.Set(&o.MaxCalls, 200_000)
-	defaults.Set(&o.Unrecorded, 1024)
+	defaults.Set(&o.MaxUnrecorded, 1024)
 	return o
 }
 
-// joinRetry is when a caller is told to ask again for a call that runs.
-const joinRetry = time.Second
+// runningRetryAfter is the retry delay stated for a call that is still running.
+const runningRetryAfter = time.Second
 
-// maxKey bounds an idempotency key, which every instance remembers, in bytes.
-const maxKey = 256
+// maxKeyBytes bounds an idempotency key, in bytes. Every instance keeps all keys
+// in memory.
+const maxKeyBytes = 256
 
-// Caller implements online.OnceCaller.
+// Caller implements online.AtMostOnceCaller.
 type Caller struct {
 	journal coordination.Journal
 	opts    Options
 	logger  log.Logger
-	// unrecorded joins the callers and the duty that records what could not be
-	// recorded at once.
-	unrecorded *ring.Ring[note]
+	// unrecorded is the queue of outcomes that could not be recorded at once.
+	// The Recorder writes them.
+	unrecorded *ring.Ring[outcomeNote]
 }
 
 var _ online.AtMostOnceCaller = (*Caller)(nil)
 
-// New returns a Caller. name distinguishes its ring in expvar; empty publishes
-// nothing.
+// New returns a Caller. name identifies its queue of unrecorded outcomes in
+// expvar. If name is empty, the queue is not published.
 func New(name string, journal coordination.Journal, opts Options, logger log.Logger) *Caller {
 	opts = opts.withDefaults()
 	return &Caller{
 		journal:    journal,
 		opts:       opts,
 		logger:     logger,
-		unrecorded: ring.New[note](name, opts.Unrecorded),
+		unrecorded: ring.New[outcomeNote](name, opts.MaxUnrecorded),
 	}
 }
 
-// newCallID draws the id of a dispatch: 128 random bits.
+// newCallID returns a random ID of 128 bits for a dispatch.
 func newCallID() protocol.CallID {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
 	return protocol.CallID("call_" + hex.EncodeToString(random[:]))
 }
 
-// CallAtMostOnce implements online.OnceCaller. Once the call is under way it goes on
-// when the caller leaves, so that a resend finds the answer.
+// CallAtMostOnce implements online.AtMostOnceCaller. After the call has been sent,
+// it continues when the caller disconnects, so that a resend finds the response.
 func (c *Caller) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
-	if len(call.Key.Key) > maxKey {
-		return online.Response{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKey)
+	if len(call.Key.Key) > maxKeyBytes {
+		return online.Response{}, protocol.Refuse(protocol.CodeBadRequest, 0, "the idempotency key must have at most %d bytes", maxKeyBytes)
 	}
-	for range maxTurns {
-		if known, found := c.lookup(call.Key); found {
-			answer, refusal, released := c.join(ctx, call, known)
+	for range maxReserveAttempts {
+		if earlier, found := c.lookup(call.Key); found {
+			response, refusal, released := c.awaitOutcome(ctx, call, earlier)
 			if !released {
-				return answer, refusal
+				return response, refusal
 			}
 		}
-		answer, refusal, lost := c.attempt(ctx, call, dispatch)
-		if !lost {
-			return answer, refusal
+		response, refusal, reservedByOther := c.reserveAndSend(ctx, call, dispatch)
+		if !reservedByOther {
+			return response, refusal
 		}
 	}
-	return online.Response{}, running("the call is tried through other instances; ask again")
+	return online.Response{}, stillRunning("other instances are trying the call; retry later")
 }
 
-// maxTurns bounds how often a call is reserved after another instance released
-// it or won the reservation.
-const maxTurns = 3
+// maxReserveAttempts bounds how often the reservation of a call is attempted,
+// for example after another instance won the reservation or released it.
+const maxReserveAttempts = 3
 
-// attempt reserves the call and sends it. lost says that another instance has
-// the reservation.
-func (c *Caller) attempt(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (answer online.Response, refusal *protocol.Refusal, lost bool) {
-	if c.remembered() >= c.opts.MaxCalls {
-		return answer, protocol.Refuse(protocol.CodeOverloaded, fullRetry, "too many calls with an idempotency key are remembered"), false
+// reserveAndSend reserves the call and sends it. reservedByOther reports that
+// the call is already reserved, usually by another instance; it was not sent.
+func (c *Caller) reserveAndSend(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (response online.Response, refusal *protocol.Refusal, reservedByOther bool) {
+	if c.rememberedCalls() >= c.opts.MaxCalls {
+		return response, protocol.Refuse(protocol.CodeOverloaded, overloadRetryAfter, "the limit of remembered calls with an idempotency key is reached"), false
 	}
 	id := newCallID()
 	outcome := c.reserve(ctx, call, id)
 	if outcome.Run == protocol.NotRun {
-		return answer, c.refuseLog(), false
+		return response, c.logDownRefusal(), false
 	}
 	if outcome.Run != protocol.Completed {
-		// The reservation may stand. The call was not sent and never will be
-		// under this id, so it must be withdrawn, or every resend would be told
-		// that the outcome is unknown.
-		c.later(note{release: true, key: call.Key, id: id})
-		return answer, c.refuseLog(), false
+		// The reservation may have been written to the log. The call was not
+		// sent and never will be under this ID, so the reservation must be
+		// released. Otherwise every resend would be told that the outcome is
+		// unknown.
+		c.enqueue(outcomeNote{release: true, key: call.Key, id: id})
+		return response, c.logDownRefusal(), false
 	}
 	switch outcome.Verdict {
 	case protocol.Accepted:
-		answer, refusal = c.send(ctx, call.Key, id, dispatch)
-		return answer, refusal, false
+		response, refusal = c.send(ctx, call.Key, id, dispatch)
+		return response, refusal, false
 	case protocol.AlreadyHeld:
-		return answer, nil, true
+		return response, nil, true
 	case protocol.NoSession:
-		return answer, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance has no session now"), false
+		return response, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance has no open session"), false
 	}
-	return answer, protocol.Refuse(protocol.CodeInternal, 0, "the call could not be reserved: %s", outcome.Verdict), false
+	return response, protocol.Refuse(protocol.CodeInternal, 0, "the call could not be reserved: %s", outcome.Verdict), false
 }
 
-// fullRetry is when a caller is told to come back while too many calls are
-// remembered: some are forgotten every minute.
-const fullRetry = time.Minute
+// overloadRetryAfter is the retry delay stated while MaxCalls is reached: old
+// reservations are dropped every minute.
+const overloadRetryAfter = time.Minute
 
-func (c *Caller) remembered() (count int) {
+// rememberedCalls returns the number of calls that the replicated state holds.
+func (c *Caller) rememberedCalls() (count int) {
 	c.journal.View(func(state *replica.State) { count = state.Once.Len() })
 	return count
 }
 
-func (c *Caller) refuseLog() *protocol.Refusal {
-	return protocol.Refuse(protocol.CodePlatformDown, c.opts.RetryAfter, "the platform's log does not confirm that this call is the only one; it was not sent")
+func (c *Caller) logDownRefusal() *protocol.Refusal {
+	return protocol.Refuse(protocol.CodePlatformDown, c.opts.RetryAfter, "the platform's log did not confirm the reservation of the call; it was not sent")
 }
 
 func (c *Caller) reserve(ctx context.Context, call online.AtMostOnceCall, id protocol.CallID) coordination.Outcome {
@@ -195,28 +205,29 @@
 	return call, found
 }
 
-// send makes the only dispatch of a reserved call.
+// send performs the only dispatch of a reserved call and records its outcome.
 func (c *Caller) send(ctx context.Context, key protocol.CallKey, id protocol.CallID, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
-	if ctx.Err() != nil || !c.stillHolds(key, id) {
-		// An instance that was paused here would send a call whose caller has
-		// long been told something else.
+	if ctx.Err() != nil || !c.ownsReservation(key, id) {
+		// Without this check, an instance that was paused after the reservation
+		// would send a call long after the caller was told another outcome.
 		counters.Add("not_sent_after_pause", 1)
-		c.record(ctx, note{release: true, key: key, id: id})
-		return online.Response{}, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance lost its session before it sent the call")
+		c.record(ctx, outcomeNote{release: true, key: key, id: id})
+		return online.Response{}, protocol.Refuse(protocol.CodeInstanceStarting, c.opts.RetryAfter, "this instance lost its session before it could send the call")
 	}
-	sendCtx, cancel := c.detach(ctx)
+	sendCtx, cancel := c.detachFromCaller(ctx)
 	defer cancel()
-	answer, err := dispatch(sendCtx, id)
+	response, err := dispatch(sendCtx, id)
 	if err != nil {
-		return online.Response{}, c.failed(sendCtx, key, id, err)
+		return online.Response{}, c.dispatchFailed(sendCtx, key, id, err)
 	}
-	c.record(sendCtx, note{key: key, id: id, answer: &answer})
-	return answer, nil
+	c.record(sendCtx, outcomeNote{key: key, id: id, response: &response})
+	return response, nil
 }
 
-// stillHolds is the last check before the send: the session under which the
-// call was reserved is open and may be used.
-func (c *Caller) stillHolds(key protocol.CallKey, id protocol.CallID) bool {
+// ownsReservation is the last check before the send. It reports whether the
+// session under which the call was reserved is still this instance's session
+// and may hold exclusive work.
+func (c *Caller) ownsReservation(key protocol.CallKey, id protocol.CallID) bool {
 	if !c.journal.MayHold() {
 		return false
 	}
@@ -224,25 +235,28 @@
 	return found && call.Is(id) && call.Session == c.journal.Session()
 }
 
-// detach keeps the deadline of a caller and not its leaving.
-func (c *Caller) detach(ctx context.Context) (context.Context, context.CancelFunc) {
-	free := context.WithoutCancel(ctx)
+// detachFromCaller returns a context that keeps the caller's deadline but is not
+// cancelled when the caller disconnects.
+func (c *Caller) detachFromCaller(ctx context.Context) (context.Context, context.CancelFunc) {
+	detached := context.WithoutCancel(ctx)
 	if deadline, ok := ctx.Deadline(); ok {
-		return context.WithDeadline(free, deadline)
+		return context.WithDeadline(detached, deadline)
 	}
-	return context.WithTimeout(free, c.opts.DispatchTimeout)
+	return context.WithTimeout(detached, c.opts.DispatchTimeout)
 }
 
-func (c *Caller) failed(ctx context.Context, key protocol.CallKey, id protocol.CallID, err error) *protocol.Refusal {
+// dispatchFailed records the outcome of a failed dispatch and returns the
+// refusal. The reservation is released only if the call certainly did not run.
+func (c *Caller) dispatchFailed(ctx context.Context, key protocol.CallKey, id protocol.CallID, err error) *protocol.Refusal {
 	var callError *external.CallError
 	if errors.As(err, &callError) && callError.Run == protocol.NotRun {
-		c.record(ctx, note{release: true, key: key, id: id})
-		return protocol.Refuse(protocol.CodeNoTarget, c.opts.RetryAfter, "no target took the call")
+		c.record(ctx, outcomeNote{release: true, key: key, id: id})
+		return protocol.Refuse(protocol.CodeNoTarget, c.opts.RetryAfter, "no target accepted the call")
 	}
-	c.record(ctx, note{key: key, id: id})
+	c.record(ctx, outcomeNote{key: key, id: id})
 	return unknownOutcome()
 }
 
 func unknownOutcome() *protocol.Refusal {
-	return protocol.Uncertain(protocol.CodeOutcomeUnknown, "the call was sent and no whole answer came back; it will not be sent again")
+	return protocol.Uncertain(protocol.CodeOutcomeUnknown, "the call was sent and no complete response was received; it will not be sent again")
 }
--- a/internal/coordination/oncecall/record.go
+++ b/internal/coordination/oncecall/record.go
@@ -12,58 +12,59 @@
 	"merlintiller/internal/protocol"
 )
 
-// note is what must be recorded of a reserved call: its release, its answer,
-// or, with neither, that its outcome is unknown.
-type note struct {
-	release bool
-	key     protocol.CallKey
-	id      protocol.CallID
-	answer  *online.Response
+// outcomeNote is what must be recorded of a reserved call: its release, its
+// response, or, if neither is set, that its outcome is unknown.
+type outcomeNote struct {
+	release  bool
+	key      protocol.CallKey
+	id       protocol.CallID
+	response *online.Response
 }
 
-// record writes a note within RecordTimeout, or leaves it to the Recorder. The
-// outcome is written before the caller gets the answer, so that an answer lost
-// on its way can be had again.
-func (c *Caller) record(ctx context.Context, n note) {
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.opts.RecordTimeout)
+// record writes a note within RecordTimeout or else queues it for the Recorder.
+// The outcome is written before the caller gets the response, so that a resend
+// can fetch a response that was lost in transit.
+func (c *Caller) record(ctx context.Context, n outcomeNote) {
+	recordCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.opts.RecordTimeout)
 	defer cancel()
-	if err := c.write(bounded, n); err != nil {
-		c.later(n)
+	if err := c.write(recordCtx, n); err != nil {
+		c.enqueue(n)
 	}
 }
 
-// later leaves a note to the Recorder. If too many wait, the note is lost and
-// a resend is told that the outcome is unknown, which is true.
-func (c *Caller) later(n note) {
+// enqueue queues a note for the Recorder. If the queue is full, the note is lost
+// and a resend is told that the outcome is unknown, which is true.
+func (c *Caller) enqueue(n outcomeNote) {
 	if !c.unrecorded.Offer(n) {
 		counters.Add("outcomes_lost", 1)
 		_ = c.logger.Log("event", "outcome_not_recorded", "call", n.id)
 	}
 }
 
-func (c *Caller) write(ctx context.Context, n note) error {
+// write submits the record for a note. It stores the response first.
+func (c *Caller) write(ctx context.Context, n outcomeNote) error {
 	if n.release {
 		body := &protocol.CallRelease{Call: n.key, ID: n.id}
 		return c.submit(ctx, protocol.Record{CallRelease: body})
 	}
 	body := &protocol.CallOutcome{Call: n.key, ID: n.id, Data: protocol.NoOffset}
-	if n.answer != nil {
-		at, err := c.store(ctx, n.answer)
+	if n.response != nil {
+		offset, err := c.storeResponse(ctx, n.response)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		body.Status = n.answer.Status
-		body.Data = at
+		body.Status = n.response.Status
+		body.Data = offset
 	}
 	return c.submit(ctx, protocol.Record{CallOutcome: body})
 }
 
-// store keeps an answer for resends. One that does not fit in a log entry is
-// not kept; a resend learns that the call ran.
-func (c *Caller) store(ctx context.Context, answer *online.Response) (protocol.Offset, error) {
+// storeResponse stores a response for resends. A response that does not fit in a
+// log entry is not stored; a resend is then told only that the call ran.
+func (c *Caller) storeResponse(ctx context.Context, response *online.Response) (protocol.Offset, error) {
 	payload, err := bulk.Encode(bulk.Entry{
 		At:     time.Now().Unix(),
-		Answer: &bulk.Answer{Status: answer.Status, Header: answer.Header, Body: answer.Body},
+		Answer: &bulk.Answer{Status: response.Status, Header: response.Header, Body: response.Body},
 	})
 	if errors.Is(err, protocol.ErrFrameTooLarge) {
 		return protocol.NoOffset, nil
@@ -71,33 +72,34 @@
 	if err != nil {
 		return protocol.NoOffset, trace.Wrap(err)
 	}
-	at, err := c.journal.AppendData(ctx, payload)
-	return at, trace.Wrap(err)
+	offset, err := c.journal.AppendData(ctx, payload)
+	return offset, trace.Wrap(err)
 }
 
-var errUndecided = errors.New("the fate of the record is not known")
+var errNotRecorded = errors.New("the log did not confirm the record")
 
-// submit writes a record and is content with any verdict of replay but the one
-// that a session was missing.
+// submit writes a record. Any verdict of the replay except NoSession counts as
+// success.
 func (c *Caller) submit(ctx context.Context, record protocol.Record) error {
 	outcome := c.journal.Submit(ctx, record)
 	if outcome.Run != protocol.Completed || outcome.Verdict == protocol.NoSession {
-		return trace.Wrap(errUndecided)
+		return trace.Wrap(errNotRecorded)
 	}
 	return nil
 }
 
-// Recorder is the duty that writes notes which could not be written at once.
+// Recorder is the background service that writes notes which could not be
+// written at once.
 type Recorder struct{ caller *Caller }
 
-// Recorder returns the duty of a Caller, for the supervisor.
+// Recorder returns the Recorder of a Caller, to be run by a supervisor.
 func (c *Caller) Recorder() *Recorder { return &Recorder{c} }
 
-// String names the duty.
+// String returns the name of the background service.
 func (r *Recorder) String() string { return "once-call recorder" }
 
-// recordRetry is the wait between two attempts at a note.
-const recordRetry = time.Second
+// recordRetryInterval is the delay between two attempts to write a note.
+const recordRetryInterval = time.Second
 
 // Serve writes notes in order until ctx ends.
 func (r *Recorder) Serve(ctx context.Context) error {
@@ -106,19 +108,19 @@
 		if err != nil {
 			return err
 		}
-		for r.attempt(ctx, n) != nil {
+		for r.tryWrite(ctx, n) != nil {
 			select {
-			case <-time.After(recordRetry):
+			case <-time.After(recordRetryInterval):
 			case <-ctx.Done():
-				r.caller.later(n)
+				r.caller.enqueue(n)
 				return ctx.Err()
 			}
 		}
 	}
 }
 
-func (r *Recorder) attempt(ctx context.Context, n note) error {
-	bounded, cancel := context.WithTimeout(ctx, r.caller.opts.ReserveTimeout)
+func (r *Recorder) tryWrite(ctx context.Context, n outcomeNote) error {
+	writeCtx, cancel := context.WithTimeout(ctx, r.caller.opts.ReserveTimeout)
 	defer cancel()
-	return r.caller.write(bounded, n)
+	return r.caller.write(writeCtx, n)
 }
