--- a/internal/coordination/orders/matrix_test.go
+++ b/internal/coordination/orders/matrix_test.go
@@ -9,277 +9,280 @@
 	"merlintiller/internal/protocol"
 )
 
-// cell is one fault at the step "order". It gives what the checkers found.
-type cell struct {
+// faultCase is one fault at the step "order". run returns the violations that the
+// checks found.
+type faultCase struct {
 	fault string
-	// story tells how the failure comes about and what a user notices.
-	story string
-	run   func(w *world) error
+	// description says how the failure arises and what its effect would be.
+	description string
+	run         func(w *simulation) error
 }
 
 const (
-	// takeover is long enough for a session to expire, a new holder to wait
-	// and all targets to change one after the other.
-	takeover = 90
-	// roll is long enough for a change at all targets without a takeover.
-	roll = 40
+	// takeoverSeconds is long enough for a session to expire, a new holder to
+	// wait and all targets to change one after the other.
+	takeoverSeconds = 90
+	// rolloutSeconds is long enough for a change at all targets without a
+	// takeover.
+	rolloutSeconds = 40
 )
 
-func cells() []cell {
-	return []cell{
-		{"kill-before", "The holder dies just before its first order of a new version. Without a takeover the targets would run the old one for ever.", killBefore},
-		{"kill-after", "The holder dies after one target took the new version. The fleet would run two versions for ever.", killAfter},
-		{"pause-past-lease", "The holder is paused with an order in its hands. It sends it long after another holder has ordered a newer version; the target would go back to the old one.", pausePastLease},
-		{"log-down", "The log is down while the holder works. Nobody can tell whether it still is the holder, so it must stop and go on later.", logDown},
-		{"answer-lost", "Targets take orders whose answers are lost. The holder must neither give up nor order for ever.", answersLost},
+func faultCases() []faultCase {
+	return []faultCase{
+		{"kill-before", "The holder terminates just before its first order of a new version. Without a takeover the targets would keep the old version.", killBefore},
+		{"kill-after", "The holder terminates after one target accepted the new version. Without a takeover the fleet would keep running two versions.", killAfter},
+		{"pause-past-lease", "The holder is paused while sending an order. The order arrives long after another holder has ordered a newer version, and would set the target back to the old one.", pausePastLease},
+		{"log-down", "The log is down while the holder sends orders. The holder cannot know whether it still holds the lease, so it must stop and continue later.", logDown},
+		{"answer-lost", "Targets accept orders but the responses are lost. The holder must neither give up nor repeat its orders without end.", responsesLost},
 		{"duplicate", "The network delivers each order twice.", duplicates},
-		{"late", "An order is held up in the network and arrives after the configuration has moved on.", lateOrder},
-		{"crossed", "The answers of the targets are mixed up, so that one seems to run what another runs.", crossedLooks},
-		{"cut-from-log", "The holder is cut off from the log, but not from its targets. Another one takes over; two holders would order against each other.", cutFromLog},
-		{"cut-from-domain", "the duty is the domain's own and calls no other domain, so that a cut strikes nothing", nil},
-		{"target-dead", "A target does not answer. The others must get the new version all the same.", targetDead},
-		{"operators-racing", "Operators publish one version after the other while targets load. All must end with the last one.", operatorsRacing},
+		{"late", "An order is delayed in the network and arrives after the configuration has changed again.", lateOrder},
+		{"crossed", "The responses of the targets are swapped, so that one seems to run what another runs.", swappedReads},
+		{"cut-from-log", "The holder is isolated from the log, but not from its targets. Another instance takes over, and two holders would send conflicting orders.", isolatedFromLog},
+		{"cut-from-domain", "the lease belongs to one domain and its holder calls no other domain, so that a network partition between domains has no effect", nil},
+		{"target-dead", "A target does not respond. The other targets must still get the new version.", targetDead},
+		{"operators-racing", "Operators publish several versions in quick succession while targets load. All targets must end with the last one.", operatorsRacing},
 	}
 }
 
-func (w *world) publish(version string) { w.wanted.Version = version }
+func (sim *simulation) publish(version string) { sim.desired.Version = version }
 
-func killBefore(w *world) error {
-	w.run(roll)
-	w.publish("v2")
-	w.nodes[0].up = false
-	w.run(takeover)
-	return w.settled()
+func killBefore(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.publish("v2")
+	sim.instances[0].running = false
+	sim.run(takeoverSeconds)
+	return sim.checkConverged()
 }
 
-func killAfter(w *world) error {
-	w.run(roll)
-	w.publish("v2")
-	w.run(1)
-	w.nodes[0].up = false
-	w.run(takeover)
-	return w.settled()
+func killAfter(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.publish("v2")
+	sim.run(1)
+	sim.instances[0].running = false
+	sim.run(takeoverSeconds)
+	return sim.checkConverged()
 }
 
-func pausePastLease(w *world) error {
-	w.run(roll)
-	first := w.nodes[0]
-	w.orderFate = func(n *node, _ protocol.TargetID) fate {
-		if n == first {
-			return heldBack
+func pausePastLease(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	paused := sim.instances[0]
+	sim.orderDelivery = func(n *instance, _ protocol.TargetID) delivery {
+		if n == paused {
+			return delayed
 		}
-		return arrives
+		return delivered
 	}
-	w.publish("v2")
-	w.run(2)
-	first.up = false
-	w.publish("v3")
-	w.run(takeover)
-	if err := w.settled(); err != nil {
+	sim.publish("v2")
+	sim.run(2)
+	paused.running = false
+	sim.publish("v3")
+	sim.run(takeoverSeconds)
+	if err := sim.checkConverged(); err != nil {
 		return err
 	}
-	first.up = true
-	if len(w.held) == 0 {
-		return fmt.Errorf("the case needs an order that was held back")
+	paused.running = true
+	if len(sim.delayedOrders) == 0 {
+		return fmt.Errorf("no order was delayed, so the case tests nothing")
 	}
-	w.release()
-	w.run(roll)
-	return w.settled()
+	sim.deliverDelayed()
+	sim.run(rolloutSeconds)
+	return sim.checkConverged()
 }
 
-func logDown(w *world) error {
-	w.run(roll)
-	w.logDown = true
-	w.run(12)
-	before := w.given
-	w.publish("v2")
-	w.run(30)
-	if w.given != before {
-		return fmt.Errorf("%d orders were given under a lapsed session", w.given-before)
+func logDown(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.logDown = true
+	sim.run(12)
+	before := sim.ordersSent
+	sim.publish("v2")
+	sim.run(30)
+	if sim.ordersSent != before {
+		return fmt.Errorf("%d orders were sent under a lapsed session", sim.ordersSent-before)
 	}
-	w.logDown = false
-	w.run(takeover)
-	return w.settled()
+	sim.logDown = false
+	sim.run(takeoverSeconds)
+	return sim.checkConverged()
 }
 
-func answersLost(w *world) error {
-	w.orderFate = func(*node, protocol.TargetID) fate { return answerLost }
-	w.publish("v2")
-	w.run(takeover)
-	before := w.given
-	w.run(roll)
-	if w.given != before {
-		return fmt.Errorf("targets that run what is wanted got %d more orders", w.given-before)
+func responsesLost(sim *simulation) error {
+	sim.orderDelivery = func(*instance, protocol.TargetID) delivery { return responseLost }
+	sim.publish("v2")
+	sim.run(takeoverSeconds)
+	before := sim.ordersSent
+	sim.run(rolloutSeconds)
+	if sim.ordersSent != before {
+		return fmt.Errorf("targets that run the desired order got %d more orders", sim.ordersSent-before)
 	}
-	return w.settled()
+	return sim.checkConverged()
 }
 
-func duplicates(w *world) error {
-	w.run(roll)
-	w.orderFate = func(*node, protocol.TargetID) fate { return twice }
-	w.publish("v2")
-	w.run(takeover)
-	return w.settled()
+func duplicates(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.orderDelivery = func(*instance, protocol.TargetID) delivery { return duplicated }
+	sim.publish("v2")
+	sim.run(takeoverSeconds)
+	return sim.checkConverged()
 }
 
-func lateOrder(w *world) error {
-	w.run(roll)
-	w.orderFate = func(*node, protocol.TargetID) fate { return heldBack }
-	w.publish("v2")
-	w.run(1)
-	w.orderFate = nil
-	w.publish("v3")
-	w.run(roll)
-	w.release()
-	w.run(roll)
-	return w.settled()
+func lateOrder(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.orderDelivery = func(*instance, protocol.TargetID) delivery { return delayed }
+	sim.publish("v2")
+	sim.run(1)
+	sim.orderDelivery = nil
+	sim.publish("v3")
+	sim.run(rolloutSeconds)
+	sim.deliverDelayed()
+	sim.run(rolloutSeconds)
+	return sim.checkConverged()
 }
 
-func crossedLooks(w *world) error {
-	w.run(roll)
-	w.crossLooks = true
-	w.publish("v2")
-	w.run(roll)
-	w.crossLooks = false
-	w.run(roll)
-	return w.settled()
+func swappedReads(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.swapReads = true
+	sim.publish("v2")
+	sim.run(rolloutSeconds)
+	sim.swapReads = false
+	sim.run(rolloutSeconds)
+	return sim.checkConverged()
 }
 
-func cutFromLog(w *world) error {
-	w.run(roll)
-	first := w.nodes[0]
-	first.logUp = false
-	late := 0
-	w.orderFate = func(n *node, _ protocol.TargetID) fate {
-		if n == first && w.now.Sub(first.renewed) > testHold {
-			late++
+func isolatedFromLog(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	isolated := sim.instances[0]
+	isolated.logReachable = false
+	lateOrders := 0
+	sim.orderDelivery = func(n *instance, _ protocol.TargetID) delivery {
+		if n == isolated && sim.now.Sub(isolated.renewedAt) > testHoldTime {
+			lateOrders++
 		}
-		return arrives
+		return delivered
 	}
-	w.run(12)
-	w.publish("v2")
-	w.run(takeover)
-	if late > 0 {
-		return fmt.Errorf("the former holder gave %d orders after its session lapsed", late)
+	sim.run(12)
+	sim.publish("v2")
+	sim.run(takeoverSeconds)
+	if lateOrders > 0 {
+		return fmt.Errorf("the former holder sent %d orders after its session lapsed", lateOrders)
 	}
-	return w.settled()
+	return sim.checkConverged()
 }
 
-func rollOut(w *world) error {
-	w.run(roll)
-	w.publish("v2")
-	w.run(roll)
-	return w.settled()
+func rollOutVersion(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.publish("v2")
+	sim.run(rolloutSeconds)
+	return sim.checkConverged()
 }
 
-// A new version reaches all targets of the domain. No fault strikes.
+// Without faults, a new version reaches all targets of the domain.
 func TestVersionIsRolledOut(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		require.NoError(t, rollOut(newWorld(checks, variant{})), "targets check: %t", checks)
+		require.NoError(t, rollOutVersion(newSimulation(checks, variant{})), "targets check: %t", checks)
 	}
 }
 
-func targetDead(w *world) error {
-	w.run(roll)
-	w.targets[0].dead = true
-	w.publish("v2")
-	w.run(takeover)
-	if err := w.settled(); err != nil {
+func targetDead(sim *simulation) error {
+	sim.run(rolloutSeconds)
+	sim.targets[0].down = true
+	sim.publish("v2")
+	sim.run(takeoverSeconds)
+	if err := sim.checkConverged(); err != nil {
 		return err
 	}
-	w.targets[0].dead = false
-	w.run(roll)
-	return w.settled()
+	sim.targets[0].down = false
+	sim.run(rolloutSeconds)
+	return sim.checkConverged()
 }
 
-func operatorsRacing(w *world) error {
-	w.run(roll)
+func operatorsRacing(sim *simulation) error {
+	sim.run(rolloutSeconds)
 	for i := range 10 {
-		w.publish(fmt.Sprint("v", i+2))
-		w.run(1)
+		sim.publish(fmt.Sprint("v", i+2))
+		sim.run(1)
 	}
-	w.run(takeover)
-	return w.settled()
+	sim.run(takeoverSeconds)
+	return sim.checkConverged()
 }
 
 func TestMatrixOrders(t *testing.T) {
-	for _, c := range cells() {
+	for _, c := range faultCases() {
 		t.Run("order/"+c.fault, func(t *testing.T) {
 			if c.run == nil {
-				t.Logf("matrix step=order fault=%s result=not-applicable reason=%q", c.fault, c.story)
+				t.Logf("matrix step=order fault=%s result=not-applicable reason=%q", c.fault, c.description)
 				return
 			}
 			for _, checks := range []bool{true, false} {
-				require.NoError(t, c.run(newWorld(checks, variant{})), "%s (targets check: %t)", c.story, checks)
+				require.NoError(t, c.run(newSimulation(checks, variant{})), "%s (targets check: %t)", c.description, checks)
 			}
 			t.Logf("matrix step=order fault=%s result=held", c.fault)
 		})
 	}
 }
 
-// The matrix can turn red: each part of the decision that is taken out lets a
-// cell fail, which otherwise holds.
-func TestBrokenOrdersTurnCellsRed(t *testing.T) {
+// The matrix detects faults in the code: each disabled part of the decision makes
+// a case fail that otherwise passes.
+func TestBrokenVariantsAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
 		v      variant
 		checks bool
-		run    func(*world) error
+		run    func(*simulation) error
 	}{
 		{"no fencing number", variant{noFence: true}, true, pausePastLease},
-		{"no look afterwards", variant{lookOnce: true}, false, pausePastLease},
+		{"no reads afterwards", variant{readOnce: true}, false, pausePastLease},
 		{"orders after the session lapsed", variant{ignoreLapse: true}, false, logDown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := c.run(newWorld(c.checks, c.v))
+			err := c.run(newSimulation(c.checks, c.v))
 			require.Error(t, err)
 			t.Log("found:", err)
 		})
 	}
 }
 
-// A new version loads at a part of the targets at a time. If all loaded at
-// once, the service would be down meanwhile.
+// Only some of the targets load a new version at the same time. If all did, the
+// service would be unavailable during the roll-out.
 func TestRollOutChangesFewTargetsAtATime(t *testing.T) {
-	w := newWorld(false, variant{})
-	w.run(roll)
-	w.publish("v2")
-	for range roll {
-		w.run(1)
+	sim := newSimulation(false, variant{})
+	sim.run(rolloutSeconds)
+	sim.publish("v2")
+	for range rolloutSeconds {
+		sim.run(1)
 		busy := 0
-		for _, target := range w.targets {
-			busy += len(target.working)
+		for _, target := range sim.targets {
+			busy += len(target.inProgress)
 		}
 		require.LessOrEqual(t, busy, 1)
 	}
-	require.NoError(t, w.settled())
+	require.NoError(t, sim.checkConverged())
 }
 
-// The holder of a duty dies while a target that checks nothing works on its
-// order. The next holder gives no order before the last one must be over.
-func TestNewHolderWaitsAtTargetsThatDoNotCheck(t *testing.T) {
-	w := newWorld(false, variant{})
-	w.run(roll)
-	w.nodes[0].up = false
-	died := w.now
-	w.publish("v2")
-	earliest := died.Add(testExpire + testHold + w.service.LongestOrder)
-	w.orderFate = func(*node, protocol.TargetID) fate {
-		require.False(t, w.now.Before(earliest), "an order %s after the death", w.now.Sub(died))
-		return arrives
+// The holder of the lease terminates while a target that does not check fencing
+// numbers carries out its order. The next holder sends no order before that order
+// must be finished.
+func TestNewHolderWaitsForTargetsWithoutFencing(t *testing.T) {
+	sim := newSimulation(false, variant{})
+	sim.run(rolloutSeconds)
+	sim.instances[0].running = false
+	died := sim.now
+	sim.publish("v2")
+	earliest := died.Add(testSessionExpiry + testHoldTime + sim.service.LongestOrder)
+	sim.orderDelivery = func(*instance, protocol.TargetID) delivery {
+		require.False(t, sim.now.Before(earliest), "an order %s after the holder terminated", sim.now.Sub(died))
+		return delivered
 	}
-	w.run(takeover)
-	require.NoError(t, w.settled())
+	sim.run(takeoverSeconds)
+	require.NoError(t, sim.checkConverged())
 }
 
-func TestDutyIsSettledOnlyWhenNothingIsOnItsWay(t *testing.T) {
-	w := newWorld(true, variant{})
-	duty := w.nodes[0].duty
-	require.False(t, duty.Settled(w.now))
-	w.run(roll)
-	require.True(t, duty.Settled(w.now))
-	w.publish("v2")
-	w.run(1)
-	require.False(t, duty.Settled(w.now), "a target works on an order")
+func TestControllerIsIdleOnlyWithoutOrdersInFlight(t *testing.T) {
+	sim := newSimulation(true, variant{})
+	duty := sim.instances[0].controller
+	require.False(t, duty.Idle(sim.now))
+	sim.run(rolloutSeconds)
+	require.True(t, duty.Idle(sim.now))
+	sim.publish("v2")
+	sim.run(1)
+	require.False(t, duty.Idle(sim.now), "a target is carrying out an order")
 }
--- a/internal/coordination/orders/reconciler.go
+++ b/internal/coordination/orders/reconciler.go
@@ -24,44 +24,45 @@
 	"merlintiller/internal/wait"
 )
 
-// published counts orders given, refused as stale and failed.
-var published = expvar.NewMap("orders")
+// counters counts the orders that were accepted, rejected as stale and failed.
+var counters = expvar.NewMap("orders")
 
-// Options set up a Reconciler.
+// Options configures a Reconciler.
 type Options struct {
 	Instance protocol.InstanceID
 	Domain   protocol.Domain
 	Journal  coordination.Journal
-	// Peers ranks the candidates for a duty. May be nil.
+	// Peers lists the candidates for a lease. It may be nil.
 	Peers  coordination.Peers
 	Orders external.Orders
 	Logger log.Logger
-	// Tick is the time between two steps. Default 1 s.
+	// Tick is the time between two calls of each Controller's Step. Default 1 s.
 	Tick   time.Duration
 	Policy Policy
 }
 
-// Reconciler runs the duties of one instance.
+// Reconciler runs the Controllers of one instance, one for each service.
 type Reconciler struct {
 	opts    Options
 	tasks   *ring.Ring[task]
 	results *ring.Ring[result]
 
 	mu sync.Mutex
-	// leaving stops all duties for good.
-	leaving bool
-	listing external.Listing
-	duties  map[protocol.ServiceName]*Duty
+	// released reports whether Release was called; no further actions are then
+	// taken.
+	released    bool
+	listing     external.Listing
+	controllers map[protocol.ServiceName]*Controller
 }
 
-// task is an action on its way to a worker.
+// task is an action that is queued for a worker.
 type task struct {
 	service protocol.ServiceName
 	action  Action
 	fence   protocol.Offset
 }
 
-// result is what became of a task.
+// result is the result of a task.
 type result struct {
 	task
 	state external.OrderState
@@ -69,27 +70,30 @@
 }
 
 const (
-	// taskDepth bounds the exchanges that wait for a worker.
-	taskDepth = 1024
-	// workers carry out exchanges, so that one frozen target holds up few.
+	// queueSize bounds the tasks that wait for a worker, and the results that
+	// wait for the Reconciler.
+	queueSize = 1024
+	// workers is the number of goroutines that perform tasks. With several, one
+	// target that does not answer delays only some of the others.
 	workers = 4
 )
 
-// New returns a reconciler that knows no target.
+// New returns a Reconciler without targets.
 func New(opts Options) *Reconciler {
 	defaults.SetPositive(&opts.Tick, time.Second)
 	if opts.Logger == nil {
 		opts.Logger = log.NewNopLogger()
 	}
 	return &Reconciler{
-		opts:    opts,
-		tasks:   ring.New[task]("orders", taskDepth),
-		results: ring.New[result]("orders_results", taskDepth),
-		duties:  map[protocol.ServiceName]*Duty{},
+		opts:        opts,
+		tasks:       ring.New[task]("orders", queueSize),
+		results:     ring.New[result]("orders_results", queueSize),
+		controllers: map[protocol.ServiceName]*Controller{},
 	}
 }
 
-// Services returns the duties: the one that decides and those that send.
+// Services returns the background services: the Reconciler and the workers that
+// perform its tasks.
 func (r *Reconciler) Services() []suture.Service {
 	out := []suture.Service{r}
 	for i := range workers {
@@ -98,136 +102,137 @@
 	return out
 }
 
-// SetListing takes in the platform's list.
+// SetListing sets the platform's list of targets.
 func (r *Reconciler) SetListing(listing external.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listing = listing
 }
 
-// Targets lists the targets that this instance has the duty to order.
+// Targets lists the targets to which this instance sends orders.
 func (r *Reconciler) Targets() []TargetState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []TargetState
-	for _, duty := range r.duties {
-		out = append(out, duty.Targets()...)
+	for _, controller := range r.controllers {
+		out = append(out, controller.Targets()...)
 	}
 	slices.SortFunc(out, func(a, b TargetState) int { return cmp.Compare(a.Target, b.Target) })
 	return out
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (r *Reconciler) String() string { return "orders" }
 
 // Serve implements suture.Service.
 func (r *Reconciler) Serve(ctx context.Context) error {
 	return wait.AtOnceAndEvery(ctx, r.opts.Tick, func() {
-		r.settle(time.Now())
+		r.applyResults(time.Now())
 		r.step(time.Now())
 	})
 }
 
-// settle tells the duties what became of their actions.
-func (r *Reconciler) settle(now time.Time) {
+// applyResults passes the results of tasks to the Controllers.
+func (r *Reconciler) applyResults(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for {
-		done, ok := r.results.TryTake()
+		res, ok := r.results.TryTake()
 		if !ok {
 			return
 		}
-		duty, ok := r.duties[done.service]
+		controller, ok := r.controllers[res.service]
 		if !ok {
 			continue
 		}
 		switch {
-		case done.action.Claim != nil:
-			duty.Claimed()
-		case done.action.Look:
-			duty.Looked(now, done.action.Target.ID, done.fence, done.state, done.err)
+		case res.action.Claim != nil:
+			controller.ClaimFinished()
+		case res.action.ReadState:
+			controller.HandleState(now, res.action.Target.ID, res.fence, res.state, res.err)
 		default:
-			duty.Given(now, done.action.Target.ID, done.fence, errors.Is(done.err, external.ErrStaleFence), done.err)
+			controller.HandleOrderResult(now, res.action.Target.ID, res.fence, errors.Is(res.err, external.ErrStaleFence), res.err)
 		}
 	}
 }
 
-// step asks each duty for its actions and hands them to the workers.
+// step queues the actions of each Controller for the workers.
 func (r *Reconciler) step(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leaving {
+	if r.released {
 		return
 	}
 	fleet := r.opts.Journal.Fleet()
 	for name, service := range fleet.Services {
-		wanted, ok := Wanted(fleet, name)
+		desired, ok := DesiredOrder(fleet, name)
 		if service.Kind != protocol.KindModel || !ok {
 			continue
 		}
-		duty := r.duty(name)
-		view := r.view(service, wanted)
-		for _, action := range duty.Step(now, view) {
-			r.hand(now, duty, task{service: name, action: action, fence: duty.fence})
+		controller := r.controller(name)
+		in := r.inputs(service, desired)
+		for _, action := range controller.Step(now, in) {
+			r.enqueue(now, controller, task{service: name, action: action, fence: controller.fence})
 		}
 	}
 }
 
-// hand gives a task to the workers. One that finds no room counts as failed, so
-// that its duty tries again.
-func (r *Reconciler) hand(now time.Time, duty *Duty, t task) {
+// enqueue queues a task for the workers. If the queue is full, the task counts as
+// failed, so that its Controller retries it.
+func (r *Reconciler) enqueue(now time.Time, controller *Controller, t task) {
 	if r.tasks.Offer(t) {
 		return
 	}
 	switch {
 	case t.action.Claim != nil:
-		duty.Claimed()
-	case t.action.Look:
-		duty.Looked(now, t.action.Target.ID, t.fence, external.OrderState{}, errNoRoom)
+		controller.ClaimFinished()
+	case t.action.ReadState:
+		controller.HandleState(now, t.action.Target.ID, t.fence, external.OrderState{}, errQueueFull)
 	default:
-		duty.Given(now, t.action.Target.ID, t.fence, false, errNoRoom)
+		controller.HandleOrderResult(now, t.action.Target.ID, t.fence, false, errQueueFull)
 	}
 }
 
-var errNoRoom = errors.New("too many exchanges wait")
+var errQueueFull = errors.New("task queue is full")
 
-func (r *Reconciler) duty(name protocol.ServiceName) *Duty {
-	duty, ok := r.duties[name]
+func (r *Reconciler) controller(name protocol.ServiceName) *Controller {
+	controller, ok := r.controllers[name]
 	if !ok {
-		duty = NewDuty(r.opts.Policy, Resource(name, r.opts.Domain))
-		r.duties[name] = duty
+		controller = NewController(r.opts.Policy, LeaseResource(name, r.opts.Domain))
+		r.controllers[name] = controller
 	}
-	return duty
+	return controller
 }
 
-func (r *Reconciler) view(service protocol.Service, wanted external.Order) View {
-	view := View{
-		Session: r.opts.Journal.Session(),
-		MayHold: r.opts.Journal.MayHold(),
-		LogUp:   r.opts.Journal.LogUp(),
-		Rank:    r.rank(service.Name),
-		Service: service,
-		Wanted:  wanted,
-		Lease:   lease.Lease{Fence: protocol.NoOffset, EndedAt: protocol.NoOffset},
+func (r *Reconciler) inputs(service protocol.Service, desired external.Order) Inputs {
+	in := Inputs{
+		Session:    r.opts.Journal.Session(),
+		MayHold:    r.opts.Journal.MayHold(),
+		LogCurrent: r.opts.Journal.LogUp(),
+		Rank:       r.rank(service.Name),
+		Service:    service,
+		Desired:    desired,
+		Lease:      lease.Lease{Fence: protocol.NoOffset, EndedAt: protocol.NoOffset},
 	}
 	r.opts.Journal.View(func(s *replica.State) {
-		if last, ok := s.Leases.Last(Resource(service.Name, r.opts.Domain)); ok {
-			view.Lease = last
+		if last, ok := s.Leases.Last(LeaseResource(service.Name, r.opts.Domain)); ok {
+			in.Lease = last
 		}
 	})
 	for _, listed := range r.listing.Targets {
 		if listed.Service == service.Name && listed.Domain == r.opts.Domain {
-			view.Targets = append(view.Targets, listed)
+			in.Targets = append(in.Targets, listed)
 		}
 	}
-	return view
+	return in
 }
 
-// maxRank bounds the wait of the last candidate.
-const maxRank = 8
+// maxClaimRank bounds the delay of the last candidate.
+const maxClaimRank = 8
 
-// rank is the place of this instance among those of its domain, by rendezvous
-// hashing, so that the duties of many services spread.
+// rank returns the rank of this instance among the instances of its domain, by
+// rendezvous hashing, so that the leases of many services are spread over the
+// instances.
 func (r *Reconciler) rank(service protocol.ServiceName) int {
 	if r.opts.Peers == nil {
 		return 0
@@ -239,20 +244,20 @@
 			rank++
 		}
 	}
-	return min(rank, maxRank)
+	return min(rank, maxClaimRank)
 }
 
 func score(instance protocol.InstanceID, service protocol.ServiceName) uint64 {
 	return xxhash.Sum64String(string(instance) + "\x00" + string(service))
 }
 
-// worker carries out actions.
+// worker performs tasks.
 type worker struct {
 	*Reconciler
 	name string
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (w *worker) String() string { return w.name }
 
 // Serve implements suture.Service.
@@ -262,7 +267,7 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		if err := w.results.Put(ctx, w.do(ctx, t)); err != nil {
+		if err := w.results.Put(ctx, w.perform(ctx, t)); err != nil {
 			return ctx.Err()
 		}
 	}
@@ -271,64 +276,67 @@
 // claimTimeout bounds the wait for a claim to be read back.
 const claimTimeout = 10 * time.Second
 
-func (w *worker) do(ctx context.Context, t task) result {
-	done := result{task: t}
+func (w *worker) perform(ctx context.Context, t task) result {
+	res := result{task: t}
 	switch {
 	case t.action.Claim != nil:
 		ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 		defer cancel()
 		outcome := w.opts.Journal.Submit(ctx, protocol.Record{LeaseClaim: t.action.Claim})
 		_ = w.opts.Logger.Log("event", "order_duty_claimed", "service", t.service, "verdict", outcome.Verdict, "fence", outcome.Offset)
-	case t.action.Look:
-		done.state, done.err = w.opts.Orders.Current(ctx, t.action.Target.Address)
+	case t.action.ReadState:
+		res.state, res.err = w.opts.Orders.Current(ctx, t.action.Target.Address)
 	default:
-		done.err = w.give(ctx, t)
+		res.err = w.sendOrder(ctx, t)
 	}
-	return done
+	return res
 }
 
-// give sends an order unless the session lapsed since it was decided. A pause
-// between this check and the send remains; the fencing number, or the next
-// look of the new holder, covers it.
-func (w *worker) give(ctx context.Context, t task) error {
+// sendOrder sends an order unless the session has lapsed since the decision. The
+// process can still be paused between this check and the send. The target then
+// rejects the order by its fencing number, or the new holder corrects it after
+// its next read.
+func (w *worker) sendOrder(ctx context.Context, t task) error {
 	if !w.opts.Journal.MayHold() {
-		return errLapsed
+		return errSessionLapsed
 	}
-	err := w.opts.Orders.Give(ctx, t.action.Target.Address, *t.action.Give)
-	counted := "given"
+	err := w.opts.Orders.Give(ctx, t.action.Target.Address, *t.action.Order)
+	outcome := "given"
 	if err != nil {
-		counted = "failed"
+		outcome = "failed"
 	}
 	if errors.Is(err, external.ErrStaleFence) {
-		counted = "stale"
+		outcome = "stale"
 	}
-	published.Add(counted, 1)
-	_ = w.opts.Logger.Log("event", "order", "outcome", counted, "target", t.action.Target.ID, "model", t.action.Give.Model,
-		"version", t.action.Give.Version, "fence", t.fence, "err", err)
+	counters.Add(outcome, 1)
+	_ = w.opts.Logger.Log("event", "order", "outcome", outcome, "target", t.action.Target.ID, "model", t.action.Order.Model,
+		"version", t.action.Order.Version, "fence", t.fence, "err", err)
 	return err
 }
 
-var errLapsed = errors.New("the session lapsed before the order was sent")
+var errSessionLapsed = errors.New("the session lapsed before the order was sent")
 
-// Release ends all duties of this instance for good. Those without an order on
-// its way are given back, so that the next holder need not wait. The others end
-// with the session, and their next holder waits for what may still arrive.
+// Release stops all Controllers of this instance for good. It releases the leases
+// without an order in flight, so that their next holder need not wait. The other
+// leases end with the session, and their next holder waits until orders that are
+// still in flight must be finished.
 func (r *Reconciler) Release(ctx context.Context) {
-	for _, resource := range r.leave(time.Now()) {
+	for _, resource := range r.stopAll(time.Now()) {
 		outcome := r.opts.Journal.Submit(ctx, protocol.Record{LeaseRelease: &protocol.LeaseRelease{Resource: resource}})
 		_ = r.opts.Logger.Log("event", "order_duty_released", "resource", resource, "verdict", outcome.Verdict)
 	}
 }
 
-func (r *Reconciler) leave(now time.Time) []protocol.Resource {
-	r.settle(now)
+// stopAll stops all Controllers and returns the leases that can be released.
+func (r *Reconciler) stopAll(now time.Time) []protocol.Resource {
+	r.applyResults(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = true
+	r.released = true
 	var out []protocol.Resource
-	for _, duty := range r.duties {
-		if duty.Settled(now) {
-			out = append(out, duty.resource)
+	for _, controller := range r.controllers {
+		if controller.Idle(now) {
+			out = append(out, controller.resource)
 		}
 	}
 	slices.Sort(out)
--- a/internal/coordination/orders/reconciler_test.go
+++ b/internal/coordination/orders/reconciler_test.go
@@ -16,7 +16,7 @@
 	"merlintiller/internal/state/replica"
 )
 
-// fakeLog is one replayed state that several journals share.
+// fakeLog is a replicated state that several journals share.
 type fakeLog struct {
 	mu     sync.Mutex
 	offset protocol.Offset
@@ -24,7 +24,7 @@
 	fleet  *protocol.Fleet
 }
 
-// fakeJournal is a coordination.Journal that always reads its records back.
+// fakeJournal is a coordination.Journal whose records are always read back.
 type fakeJournal struct {
 	coordination.Journal
 	log     *fakeLog
@@ -56,35 +56,35 @@
 func (j *fakeJournal) MayHold() bool               { return true }
 func (j *fakeJournal) LogUp() bool                 { return true }
 
-// fakeOrders are targets that load at once.
+// fakeOrders is a set of targets that carry out orders immediately.
 type fakeOrders struct {
-	mu    sync.Mutex
-	runs  map[string]external.Order
-	given []external.Order
+	mu      sync.Mutex
+	running map[string]external.Order
+	sent    []external.Order
 }
 
 func (o *fakeOrders) Give(_ context.Context, address string, order external.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if order.Fence < o.runs[address].Fence {
+	if order.Fence < o.running[address].Fence {
 		return external.ErrStaleFence
 	}
-	o.runs[address] = order
-	o.given = append(o.given, order)
+	o.running[address] = order
+	o.sent = append(o.sent, order)
 	return nil
 }
 
 func (o *fakeOrders) Current(_ context.Context, address string) (external.OrderState, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	order := o.runs[address]
+	order := o.running[address]
 	return external.OrderState{Fence: order.Fence, Order: order}, nil
 }
 
 func (o *fakeOrders) count() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.given)
+	return len(o.sent)
 }
 
 func ordersFleet() *protocol.Fleet {
@@ -94,12 +94,13 @@
 	}
 }
 
-// Two instances want the duty. One gets it and orders both targets; when it
-// leaves in order, the other one takes over at once, with a newer number.
-func TestReconcilersHandTheDutyOver(t *testing.T) {
+// Two instances claim the lease. One gets it and sends orders to both targets.
+// After a graceful shutdown of that instance, the other one takes over without
+// waiting, with a newer fencing number.
+func TestReconcilersHandOverTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &fakeLog{state: replica.New(), fleet: ordersFleet()}
-		targets := &fakeOrders{runs: map[string]external.Order{}}
+		targets := &fakeOrders{running: map[string]external.Order{}}
 		listing := external.Listing{Targets: []external.ListedTarget{
 			{ID: "r1", Service: testService, Domain: testDomain, Address: "a:1"},
 			{ID: "r2", Service: testService, Domain: testDomain, Address: "a:2"},
@@ -119,7 +120,7 @@
 		ended := supervisor.ServeBackground(ctx)
 		<-time.After(20 * time.Second)
 		require.Equal(t, 2, targets.count())
-		require.Equal(t, external.Order{Fence: targets.runs["a:1"].Fence, Model: "roster", Version: "v1", Role: "mixed"}, targets.runs["a:1"])
+		require.Equal(t, external.Order{Fence: targets.running["a:1"].Fence, Model: "roster", Version: "v1", Role: "mixed"}, targets.running["a:1"])
 		holder, other := both[0], both[1]
 		if len(holder.Targets()) == 0 {
 			holder, other = other, holder
@@ -133,9 +134,9 @@
 		log.mu.Unlock()
 		<-time.After(20 * time.Second)
 		require.Len(t, other.Targets(), 2)
-		require.Equal(t, "v2", targets.runs["a:1"].Version)
-		require.Equal(t, "v2", targets.runs["a:2"].Version)
-		require.NotContains(t, targets.runs, "a:3", "another domain's target")
+		require.Equal(t, "v2", targets.running["a:1"].Version)
+		require.Equal(t, "v2", targets.running["a:2"].Version)
+		require.NotContains(t, targets.running, "a:3", "target of another domain")
 		cancel()
 		<-ended
 	})
