--- /dev/null
+++ b/internal/coordination/routed/fleetview/watcher.go
@@ -0,0 +1,165 @@
+package fleetview
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/go-kit/log/level"
+	"github.com/thejerf/suture/v4"
+
+	"merlintiller/internal/external"
+	"merlintiller/internal/wait"
+)
+
+const (
+	// configReadWait is how long one read waits for a new configuration. A new
+	// configuration has to be in force within two seconds, and a read whose
+	// connection is stuck is only detected when its wait ends.
+	configReadWait = time.Second
+	// targetsReadWait is how long one read waits for a change of the list of
+	// targets.
+	targetsReadWait = time.Second
+	// targetsReadPause is the pause after a read that returned records. Each target
+	// renews its entry about once a second, so without the pause each read would
+	// return a single entry. The pause is bounded because a leaving target must get
+	// no new requests after two seconds.
+	targetsReadPause = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the exponential backoff after a failed
+	// read.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = time.Second
+	// reloadInterval is how often all keys are read in full.
+	reloadInterval = 10 * time.Second
+	// suspendedPollInterval is how often a suspended watcher checks whether it has
+	// to read again.
+	suspendedPollInterval = 500 * time.Millisecond
+)
+
+// watchFailures counts failed reads of a watched partition.
+var watchFailures = metrics.NewCounter(`store_watch_failures_total`)
+
+// BackgroundServices returns the watchers of the store, to be run by a supervisor.
+func (v *View) BackgroundServices() []suture.Service {
+	return []suture.Service{
+		&watcher{
+			view: v, name: "config", partition: v.opts.Sources.Operators, readWait: configReadWait,
+			load: v.loadOperatorRecords, apply: v.applyOperatorRecords,
+		},
+		&watcher{
+			view: v, name: "targets", partition: v.opts.Sources.Targets, readWait: targetsReadWait, readPause: targetsReadPause,
+			load: v.loadTargets, apply: v.applyTargets, suspended: v.targetsFromPeers,
+		},
+	}
+}
+
+// loadOperatorRecords adopts the drains and the configuration among the newest records.
+// The drains come first: an instance that has a configuration serves requests, and must
+// not send them to targets of a drained domain.
+func (v *View) loadOperatorRecords(page external.KeyedPage) {
+	v.loadDrains(page)
+	v.adoptConfigRecords(page)
+}
+
+// applyOperatorRecords applies records of operators that were added since the last read,
+// drains first for the same reason.
+func (v *View) applyOperatorRecords(page external.KeyedPage) {
+	v.applyDrains(page)
+	v.adoptConfigRecords(page)
+}
+
+// adoptConfigRecords adopts each configuration among the records that is newer than the
+// one in force.
+func (v *View) adoptConfigRecords(page external.KeyedPage) {
+	for _, record := range page.Records {
+		if record.Key == v.opts.Sources.ConfigKey && len(record.Value) > 0 {
+			v.AdoptConfig(record.Value, "store")
+		}
+	}
+}
+
+// watcher reads one partition of the store continuously.
+type watcher struct {
+	view      *View
+	name      string
+	partition external.Partition
+	// readWait is how long one read waits for a record, readPause the pause after a
+	// read that returned records.
+	readWait  time.Duration
+	readPause time.Duration
+	// load adopts the newest records of all keys, apply applies later records.
+	load, apply func(external.KeyedPage)
+	// suspended reports whether other instances send the content of the partition,
+	// so that it need not be read. Nil: never.
+	suspended func() bool
+	// wasSuspended is the result of the last check.
+	wasSuspended bool
+}
+
+// String names the service for the supervisor.
+func (w *watcher) String() string { return "watch-" + w.name }
+
+// Serve reads the partition until ctx ends.
+func (w *watcher) Serve(ctx context.Context) error {
+	retry := minRetryDelay
+	for ctx.Err() == nil {
+		if w.isSuspended() {
+			w.logSuspended(true)
+			wait.For(ctx, suspendedPollInterval)
+			continue
+		}
+		w.logSuspended(false)
+		err := w.follow(ctx)
+		if err == nil || errors.Is(err, external.ErrTrimmed) {
+			retry = minRetryDelay
+			continue
+		}
+		if ctx.Err() != nil {
+			break
+		}
+		watchFailures.Inc()
+		_ = level.Warn(w.view.logger).Log("event", "store_watch_failed", "watch", w.name, "retry_ms", retry.Milliseconds(), "err", err)
+		wait.For(ctx, retry)
+		retry = min(2*retry, maxRetryDelay)
+	}
+	return ctx.Err()
+}
+
+// logSuspended logs when reading is suspended or resumed.
+func (w *watcher) logSuspended(suspended bool) {
+	if suspended != w.wasSuspended {
+		w.wasSuspended = suspended
+		_ = level.Info(w.view.logger).Log("event", "store_watch_left", "watch", w.name, "left", suspended)
+	}
+}
+
+// isSuspended reports whether reading is suspended now.
+func (w *watcher) isSuspended() bool { return w.suspended != nil && w.suspended() }
+
+// follow reads the newest records of all keys and then the changes, for at most
+// reloadInterval.
+func (w *watcher) follow(ctx context.Context) error {
+	page, err := w.view.opts.Log.Newest(ctx, w.partition)
+	if err != nil {
+		return err
+	}
+	w.view.StoreAnswered()
+	w.load(page)
+	from := page.End
+	until := time.Now().Add(reloadInterval)
+	for time.Now().Before(until) && !w.isSuspended() {
+		page, err = w.view.opts.Log.Read(ctx, w.partition, from, w.readWait)
+		if err != nil {
+			return err
+		}
+		w.view.StoreAnswered()
+		w.apply(page)
+		if page.Next == from {
+			continue
+		}
+		from = page.Next
+		wait.For(ctx, w.readPause)
+	}
+	return nil
+}
