--- a/internal/coordination/online/dispatch.go
+++ b/internal/coordination/online/dispatch.go
@@ -16,9 +16,8 @@
 )
 
 // serveAtMostOnce serves a call that is not idempotent. The call continues when
-// the caller disconnects: a half-finished call is worse than a
-// response that is not read, and with an idempotency key the caller can fetch
-// the response later.
+// the caller disconnects: a half-finished call is worse than a response that is
+// not read, and with an idempotency key the caller can fetch the response later.
 func (c *call) serveAtMostOnce(ctx context.Context) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), c.req.Deadline)
 	defer cancel()
