--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -37,7 +37,7 @@
 	// executor replaces the journal of the executor alone.
 	executor func(coordination.Journal) coordination.Journal
 	// caller replaces the way in which calls that may not be repeated are made.
-	caller func(online.OnceCaller) online.OnceCaller
+	caller func(online.AtMostOnceCaller) online.AtMostOnceCaller
 	// lines replaces what is delivered to the caller of a job.
 	lines func(*world, protocol.JobID) []line
 }
@@ -177,7 +177,7 @@
 	seen     coordination.Journal
 	service  *batch.Service
 	executor *batch.Executor
-	caller   online.OnceCaller
+	caller   online.AtMostOnceCaller
 	carrier  *batch.Carrier
 	slots    *slots
 	// delivering marks reads of results for a caller.
@@ -216,7 +216,7 @@
 	n.carrier = batch.NewCarrier(n.seen, w.opts, logger)
 	w.nodes = append(w.nodes, n)
 	duties := append(n.Services(), n.executor.Services()...)
-	duties = append(duties, batch.NewKeeper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Forgetter())
+	duties = append(duties, batch.NewKeeper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Pruner())
 	for _, duty := range duties {
 		n.done.Go(func() { _ = duty.Serve(n.ctx) })
 	}
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -64,9 +64,9 @@
 		Timeout:          c.Deadline,
 		FirstByteTimeout: c.FirstByteTimeout,
 		StallTimeout:     c.StallTimeout,
-		Attempts:         c.Attempts,
+		MaxAttempts:      c.Attempts,
 		RetryRatio:       c.RetryShare,
-		MaxAnswer:        c.AnswerBytes,
+		MaxResponseBytes: c.AnswerBytes,
 		AllowHeaders:     c.AllowHeaders,
 	}
 }
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -63,7 +63,7 @@
 	plain    *target.Target
 	router   *routing.Router
 	client   *targethttp.Client
-	path     *online.Path
+	path     *online.Handler
 	edge     *Edge
 	listing  external.Listing
 	url      string
@@ -74,7 +74,7 @@
 type systemOptions struct {
 	policy online.Policy
 	limits Limits
-	once   online.OnceCaller
+	once   online.AtMostOnceCaller
 	// target replaces the way to the targets.
 	target external.Target
 	tokens int
@@ -96,7 +96,7 @@
 	}
 	s.path = online.New(online.Options{
 		Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load), Router: s.router,
-		Target: calls, OnceTarget: onceCalls, Once: opts.once, Policy: opts.policy, Current: s.current,
+		Target: calls, AtMostOnceTarget: onceCalls, AtMostOnce: opts.once, Policy: opts.policy, ConfigCurrent: s.current,
 	})
 	s.edge = New(Options{
 		Listen: s.listen, Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load),
