--- a/internal/coordination/journal/heartbeats_test.go
+++ b/internal/coordination/journal/heartbeats_test.go
@@ -58,8 +58,8 @@
 		return err
 	}
 	switch args := args.(type) {
-	case *member.Beat:
-		return peer.Heartbeat(args, reply.(*member.Beat))
+	case *member.Heartbeat:
+		return peer.Heartbeat(args, reply.(*member.Heartbeat))
 	case *member.SnapshotArgs:
 		return peer.Snapshot(args, reply.(*member.SnapshotReply))
 	}
@@ -225,8 +225,8 @@
 		network.setDisconnected("c:7000", true)
 		sleep(5 * time.Second)
 		require.False(t, a.heartbeats.List()[0].Reachable)
-		require.Error(t, a.heartbeats.Call(t.Context(), "c", member.MethodHeartbeat, &member.Beat{}, &member.Beat{}))
-		require.NoError(t, a.heartbeats.Call(t.Context(), "b", member.MethodHeartbeat, &member.Beat{}, &member.Beat{}))
+		require.Error(t, a.heartbeats.Call(t.Context(), "c", member.MethodHeartbeat, &member.Heartbeat{}, &member.Heartbeat{}))
+		require.NoError(t, a.heartbeats.Call(t.Context(), "b", member.MethodHeartbeat, &member.Heartbeat{}, &member.Heartbeat{}))
 	})
 }
 
--- a/internal/coordination/member/beat.go
+++ b/internal/coordination/member/beat.go
@@ -2,9 +2,9 @@
 
 import "merlintiller/internal/protocol"
 
-// Beat is one direction of a heartbeat: what an instance tells another about
+// Heartbeat is one direction of a heartbeat: what an instance tells another about
 // itself.
-type Beat struct {
+type Heartbeat struct {
 	Instance protocol.InstanceID
 	Session  protocol.SessionID
 	Domain   protocol.Domain
--- a/internal/coordination/member/bench_test.go
+++ b/internal/coordination/member/bench_test.go
@@ -68,7 +68,7 @@
 func beatBytes(tb testing.TB) int {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
-	beat := Beat{
+	beat := Heartbeat{
 		Instance:     "pnw-sea-entry-117",
 		Session:      1 << 60,
 		Domain:       "pnw-sea",
--- a/internal/coordination/member/heartbeats.go
+++ b/internal/coordination/member/heartbeats.go
@@ -129,7 +129,7 @@
 
 func (h *Heartbeats) exchangeOne(ctx context.Context, address string) {
 	args := h.beat()
-	var reply Beat
+	var reply Heartbeat
 	counters.Add("sent", 1)
 	if err := h.opts.Caller.Call(ctx, address, MethodHeartbeat, &args, &reply); err != nil {
 		counters.Add("failed", 1)
@@ -139,8 +139,8 @@
 }
 
 // beat tells about this instance.
-func (h *Heartbeats) beat() Beat {
-	beat := Beat{
+func (h *Heartbeats) beat() Heartbeat {
+	beat := Heartbeat{
 		Instance:     h.opts.Instance,
 		Domain:       h.opts.Domain,
 		Address:      h.opts.Address,
@@ -170,7 +170,7 @@
 }
 
 // heard takes over what another instance told.
-func (h *Heartbeats) heard(beat Beat) {
+func (h *Heartbeats) heard(beat Heartbeat) {
 	h.mu.Lock()
 	h.view.Heard(time.Now(), beat)
 	local := h.local
@@ -186,7 +186,7 @@
 // there on the two may both complete an item, or hold a resource. Nothing here
 // can tell which is right, so an operator is told: the instances of one of the
 // two releases have to be replaced.
-func (h *Heartbeats) compare(local Local, beat Beat) {
+func (h *Heartbeats) compare(local Local, beat Heartbeat) {
 	own, known := local.DigestAt(beat.Applied)
 	if !beat.Loaded || !known || own == beat.Digest {
 		return
--- a/internal/coordination/member/member_test.go
+++ b/internal/coordination/member/member_test.go
@@ -203,7 +203,7 @@
 	v := NewView("a", "d", DefaultViewLimits())
 	v.Listed(start, []Known{{Instance: "b", Domain: "d", Address: "b:1"}})
 	require.False(t, v.Peers(start)[0].Reachable, "listed, but never heard")
-	v.Heard(after(time.Second), Beat{Instance: "b", Domain: "d", Address: "b:1", Loaded: true, FleetVersion: 5})
+	v.Heard(after(time.Second), Heartbeat{Instance: "b", Domain: "d", Address: "b:1", Loaded: true, FleetVersion: 5})
 	require.True(t, v.Peers(after(2 * time.Second))[0].Reachable)
 	address, ok := v.Newest(after(2*time.Second), 4)
 	require.True(t, ok)
--- a/internal/coordination/member/peer.go
+++ b/internal/coordination/member/peer.go
@@ -17,7 +17,7 @@
 func (h *Heartbeats) Receiver() *Peer { return &Peer{heartbeats: h} }
 
 // Heartbeat takes over what the caller tells and tells about this instance.
-func (p *Peer) Heartbeat(args *Beat, reply *Beat) error {
+func (p *Peer) Heartbeat(args *Heartbeat, reply *Heartbeat) error {
 	p.heartbeats.heard(*args)
 	*reply = p.heartbeats.beat()
 	return nil
--- a/internal/coordination/member/view.go
+++ b/internal/coordination/member/view.go
@@ -51,7 +51,7 @@
 	beaten bool
 	// listed says that it has an open session.
 	listed bool
-	beat   Beat
+	beat   Heartbeat
 }
 
 // View is what an instance knows of the others. It is pure and not safe for
@@ -91,7 +91,7 @@
 }
 
 // Heard takes over a heartbeat.
-func (v *View) Heard(now time.Time, beat Beat) {
+func (v *View) Heard(now time.Time, beat Heartbeat) {
 	if beat.Instance == "" || beat.Instance == v.own {
 		return
 	}
