--- a/internal/coordination/journal/status.go
+++ b/internal/coordination/journal/status.go
@@ -88,5 +88,5 @@
 func (p *progress) evidence() (member.Evidence, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return member.Evidence{Asked: p.requestedAt, CaughtUpSince: p.caughtUpSince}, !p.caughtUpSince.IsZero()
+	return member.Evidence{ReadStartedAt: p.requestedAt, CaughtUpSince: p.caughtUpSince}, !p.caughtUpSince.IsZero()
 }
--- a/internal/coordination/member/observer.go
+++ b/internal/coordination/member/observer.go
@@ -9,9 +9,9 @@
 
 // Evidence is what an observer knows of its own view of the stream.
 type Evidence struct {
-	// Asked is when the latest read that reached the end of the stream began.
+	// ReadStartedAt is when the latest read that reached the end of the stream began.
 	// The answer says nothing about later moments.
-	Asked time.Time
+	ReadStartedAt time.Time
 	// CaughtUpSince is since when the stream has been read to its end without
 	// a break.
 	CaughtUpSince time.Time
@@ -76,7 +76,7 @@
 	if m.since.Before(evidence.CaughtUpSince) {
 		m.since = evidence.CaughtUpSince
 	}
-	silent := evidence.Asked.Sub(m.since)
+	silent := evidence.ReadStartedAt.Sub(m.since)
 	if silent <= o.timings.Expire {
 		return false
 	}
