--- a/internal/coordination/member/observer.go
+++ b/internal/coordination/member/observer.go
@@ -15,9 +15,9 @@
 	// CaughtUpSince is since when the stream has been read to its end without
 	// a break.
 	CaughtUpSince time.Time
-	// Confirmed says that the observer's own renewals are being accepted, so
+	// RenewalsAccepted says that the observer's own renewals are being accepted, so
 	// the log takes appends.
-	Confirmed bool
+	RenewalsAccepted bool
 	// Own is the observer's own session.
 	Own protocol.SessionID
 }
@@ -48,7 +48,7 @@
 // start over. So silence counts only while the observer reads the stream to
 // its end without a break and its own renewals are accepted.
 func (o *Observer) Observe(now time.Time, evidence Evidence, open []session.Info) []protocol.SessionExpire {
-	if !evidence.Confirmed {
+	if !evidence.RenewalsAccepted {
 		clear(o.marks)
 		return nil
 	}
