--- a/internal/coordination/journal/sessions.go
+++ b/internal/coordination/journal/sessions.go
@@ -99,7 +99,7 @@
 
 func (o *observer) checkSessions(ctx context.Context) {
 	evidence, atEnd := o.progress.evidence()
-	evidence.Own = o.Session()
+	evidence.OwnSession = o.Session()
 	evidence.RenewalsAccepted = atEnd && o.LogUp() && o.MayHold()
 	var open []session.Info
 	o.View(func(s *replica.State) { open = s.Sessions.All() })
--- a/internal/coordination/member/observer.go
+++ b/internal/coordination/member/observer.go
@@ -18,8 +18,8 @@
 	// RenewalsAccepted says that the observer's own renewals are being accepted, so
 	// the log takes appends.
 	RenewalsAccepted bool
-	// Own is the observer's own session.
-	Own protocol.SessionID
+	// OwnSession is the observer's own session.
+	OwnSession protocol.SessionID
 }
 
 type mark struct {
@@ -56,7 +56,7 @@
 	var proposals []protocol.SessionExpire
 	for i := range open {
 		info := &open[i]
-		if info.Session == evidence.Own {
+		if info.Session == evidence.OwnSession {
 			continue
 		}
 		if o.due(now, evidence, info, open) {
@@ -80,7 +80,7 @@
 	if silent <= o.timings.Expire {
 		return false
 	}
-	rank := rankOf(evidence.Own, info.Session, open)
+	rank := rankOf(evidence.OwnSession, info.Session, open)
 	if silent <= o.timings.Expire+time.Duration(rank)*o.timings.Stagger {
 		return false
 	}
