--- a/internal/coordination/journal/status.go
+++ b/internal/coordination/journal/status.go
@@ -85,8 +85,8 @@
 
 // evidence returns the read times that the observer may rely on. It reports
 // false while the reader is behind.
-func (p *progress) evidence() (member.Evidence, bool) {
+func (p *progress) evidence() (member.StreamStatus, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return member.Evidence{ReadStartedAt: p.requestedAt, CaughtUpSince: p.caughtUpSince}, !p.caughtUpSince.IsZero()
+	return member.StreamStatus{ReadStartedAt: p.requestedAt, CaughtUpSince: p.caughtUpSince}, !p.caughtUpSince.IsZero()
 }
--- a/internal/coordination/member/bench_test.go
+++ b/internal/coordination/member/bench_test.go
@@ -31,7 +31,7 @@
 			now := start
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				o.Observe(now, Evidence{ReadStartedAt: start, CaughtUpSince: start, RenewalsAccepted: true, OwnSession: 1}, table.All())
+				o.Observe(now, StreamStatus{ReadStartedAt: start, CaughtUpSince: start, RenewalsAccepted: true, OwnSession: 1}, table.All())
 			}
 		})
 	}
--- a/internal/coordination/member/member_test.go
+++ b/internal/coordination/member/member_test.go
@@ -101,7 +101,7 @@
 func look(o *Observer, from, until time.Duration, since time.Time, confirmed bool, open []session.Info) []protocol.SessionExpire {
 	var proposals []protocol.SessionExpire
 	for at := from; at <= until; at += time.Second {
-		evidence := Evidence{ReadStartedAt: after(at), CaughtUpSince: since, RenewalsAccepted: confirmed, OwnSession: 1}
+		evidence := StreamStatus{ReadStartedAt: after(at), CaughtUpSince: since, RenewalsAccepted: confirmed, OwnSession: 1}
 		proposals = append(proposals, o.Observe(after(at), evidence, open)...)
 	}
 	return proposals
@@ -141,7 +141,7 @@
 func TestPausedObserverProposesNothingFromAnOldRead(t *testing.T) {
 	o := NewObserver(DefaultTimings())
 	look(o, 0, time.Second, start, true, alone(5))
-	old := Evidence{ReadStartedAt: after(time.Second), CaughtUpSince: start, RenewalsAccepted: true, OwnSession: 1}
+	old := StreamStatus{ReadStartedAt: after(time.Second), CaughtUpSince: start, RenewalsAccepted: true, OwnSession: 1}
 	require.Empty(t, o.Observe(after(20*time.Second), old, alone(5)))
 }
 
@@ -157,7 +157,7 @@
 		o := NewObserver(DefaultTimings())
 		for at := time.Duration(0); at < 30*time.Second; at += time.Second {
 			found := false
-			for _, p := range o.Observe(after(at), Evidence{ReadStartedAt: after(at), CaughtUpSince: start, RenewalsAccepted: true, OwnSession: own}, open) {
+			for _, p := range o.Observe(after(at), StreamStatus{ReadStartedAt: after(at), CaughtUpSince: start, RenewalsAccepted: true, OwnSession: own}, open) {
 				found = found || p.Session == 1
 			}
 			if found {
--- a/internal/coordination/member/observer.go
+++ b/internal/coordination/member/observer.go
@@ -7,8 +7,8 @@
 	"merlintiller/internal/state/session"
 )
 
-// Evidence is what an observer knows of its own view of the stream.
-type Evidence struct {
+// StreamStatus is what an observer knows of its own view of the stream.
+type StreamStatus struct {
 	// ReadStartedAt is when the latest read that reached the end of the stream began.
 	// The answer says nothing about later moments.
 	ReadStartedAt time.Time
@@ -47,7 +47,7 @@
 // time would expire every session on its return, and all batch work would
 // start over. So silence counts only while the observer reads the stream to
 // its end without a break and its own renewals are accepted.
-func (o *Observer) Observe(now time.Time, evidence Evidence, open []session.Info) []protocol.SessionExpire {
+func (o *Observer) Observe(now time.Time, evidence StreamStatus, open []session.Info) []protocol.SessionExpire {
 	if !evidence.RenewalsAccepted {
 		clear(o.marks)
 		return nil
@@ -67,7 +67,7 @@
 }
 
 // due notes a session's latest renewal and reports whether to propose its end.
-func (o *Observer) due(now time.Time, evidence Evidence, info *session.Info, open []session.Info) bool {
+func (o *Observer) due(now time.Time, evidence StreamStatus, info *session.Info, open []session.Info) bool {
 	m, known := o.marks[info.Session]
 	if !known || m.lastRenewal != info.LastRenewal {
 		o.marks[info.Session] = &mark{lastRenewal: info.LastRenewal, since: now}
