--- a/internal/coordination/journal/sessions.go
+++ b/internal/coordination/journal/sessions.go
@@ -72,7 +72,7 @@
 // then does not keep the holder at an old sending time.
 func (r *renewer) renew(ctx context.Context, session protocol.SessionID) {
 	r.holderMu.Lock()
-	r.holder.Tried(time.Now())
+	r.holder.RenewalAttempted(time.Now())
 	r.holderMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, r.timings.Session.Renew)
 	defer cancel()
--- a/internal/coordination/member/holder.go
+++ b/internal/coordination/member/holder.go
@@ -56,8 +56,8 @@
 	return Renew, 0
 }
 
-// Tried notes that a renewal is handed to the writer.
-func (h *Holder) Tried(now time.Time) { h.triedAt = now }
+// RenewalAttempted notes that a renewal is handed to the writer.
+func (h *Holder) RenewalAttempted(now time.Time) { h.triedAt = now }
 
 // Opened notes that replay accepted the open record sent at a time.
 func (h *Holder) Opened(session protocol.SessionID, sentAt time.Time) {
