--- a/internal/coordination/member/heartbeats.go
+++ b/internal/coordination/member/heartbeats.go
@@ -56,7 +56,7 @@
 
 // Serve exchanges heartbeats at each interval until ctx ends.
 func (h *Heartbeats) Serve(ctx context.Context) error {
-	return wait.Every(ctx, h.opts.Every, func() { h.round(ctx) })
+	return wait.Every(ctx, h.opts.Interval, func() { h.round(ctx) })
 }
 
 func (h *Heartbeats) round(ctx context.Context) {
--- a/internal/coordination/member/options.go
+++ b/internal/coordination/member/options.go
@@ -35,9 +35,9 @@
 	Seeds  []string
 	Caller protocol.Caller
 	Logger log.Logger
-	// Every is the time between two rounds of heartbeats, 1 s by default. At
+	// Interval is the time between two rounds of heartbeats, 1 s by default. At
 	// 340 instances it is raised to stay inside the budget for control.
-	Every time.Duration
+	Interval time.Duration
 	// Timeout bounds one heartbeat, FetchTimeout the transfer of a snapshot.
 	Timeout      time.Duration
 	FetchTimeout time.Duration
@@ -45,8 +45,8 @@
 }
 
 func (o *Options) setDefaults() {
-	if o.Every == 0 {
-		o.Every = time.Second
+	if o.Interval == 0 {
+		o.Interval = time.Second
 	}
 	if o.Timeout == 0 {
 		o.Timeout = time.Second
