--- a/internal/coordination/journal/publish.go
+++ b/internal/coordination/journal/publish.go
@@ -28,7 +28,7 @@
 	next := j.replayedFleet
 	for _, tombstone := range j.localTombstones.All() {
 		if j.replayedFleet.Keys[tombstone.Key].Withdrawn {
-			j.localTombstones.Forget(tombstone.Key)
+			j.localTombstones.Remove(tombstone.Key)
 			continue
 		}
 		next = fleet.Withdraw(next, tombstone.Key)
--- a/internal/coordination/member/tombstones.go
+++ b/internal/coordination/member/tombstones.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Forget drops a withdrawal that the replayed state has taken over.
-func (t *Tombstones) Forget(key protocol.KeyID) {
+// Remove drops a withdrawal that the replayed state has taken over.
+func (t *Tombstones) Remove(key protocol.KeyID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.set, key)
