--- a/internal/coordination/fanout/fanout.go
+++ b/internal/coordination/fanout/fanout.go
@@ -11,8 +11,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// Question is what is asked.
-type Question struct {
+// Request is what is asked.
+type Request struct {
 	// Method is the net/rpc method, "Service.Method".
 	Method string
 	Args   any
@@ -27,7 +27,7 @@
 // a missed heartbeat is no proof. take gets each answer, one at a time; an
 // error of it counts the instance as unreached. Ask returns the instances that
 // were not reached, sorted.
-func Ask[R any](ctx context.Context, peers coordination.Peers, q Question, take func(protocol.InstanceID, R) error) []protocol.InstanceID {
+func Ask[R any](ctx context.Context, peers coordination.Peers, q Request, take func(protocol.InstanceID, R) error) []protocol.InstanceID {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	unreached := []protocol.InstanceID{}
@@ -52,7 +52,7 @@
 	return unreached
 }
 
-func one[R any](ctx context.Context, peers coordination.Peers, to protocol.InstanceID, q Question) (R, error) {
+func one[R any](ctx context.Context, peers coordination.Peers, to protocol.InstanceID, q Request) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	// The reply is dropped after an error: a late answer may still be
--- a/internal/coordination/withdrawal/withdrawal.go
+++ b/internal/coordination/withdrawal/withdrawal.go
@@ -64,7 +64,7 @@
 }
 
 func (s *Service) spread(ctx context.Context, key protocol.KeyID, operator string) (told, unreached []protocol.InstanceID) {
-	question := fanout.Question{
+	question := fanout.Request{
 		Method:  MethodWithdraw,
 		Args:    Request{Key: key, Operator: operator},
 		Timeout: s.PeerTimeout,
