--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -93,7 +93,7 @@
 			return ctx.Err()
 		}
 		question := fanout.Request{Method: methodCancelled, Args: Cancelled{Job: job}, Timeout: n.timeout, Width: noticeWidth}
-		unreached := fanout.Ask(ctx, n.peers, question, func(protocol.InstanceID, Heard) error { return nil })
+		unreached := fanout.Call(ctx, n.peers, question, func(protocol.InstanceID, Heard) error { return nil })
 		counters.Add("cancel_notices_lost", int64(len(unreached)))
 	}
 }
--- a/internal/coordination/fanout/fanout.go
+++ b/internal/coordination/fanout/fanout.go
@@ -23,11 +23,11 @@
 	Width int
 }
 
-// Ask asks every instance that peers lists, also those that seem unreachable:
+// Call asks every instance that peers lists, also those that seem unreachable:
 // a missed heartbeat is no proof. take gets each answer, one at a time; an
-// error of it counts the instance as unreached. Ask returns the instances that
+// error of it counts the instance as unreached. Call returns the instances that
 // were not reached, sorted.
-func Ask[R any](ctx context.Context, peers coordination.Peers, q Request, take func(protocol.InstanceID, R) error) []protocol.InstanceID {
+func Call[R any](ctx context.Context, peers coordination.Peers, q Request, take func(protocol.InstanceID, R) error) []protocol.InstanceID {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	unreached := []protocol.InstanceID{}
--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -131,7 +131,7 @@
 	now := c.Source.Now()
 	status := Status{At: now, Asked: c.Source.Instance, Instances: []Instance{c.Source.Own()}, Late: []LateJob{}}
 	question := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Width: askWidth}
-	unreached := fanout.Ask(ctx, c.Peers, question, func(_ protocol.InstanceID, answer Instance) error {
+	unreached := fanout.Call(ctx, c.Peers, question, func(_ protocol.InstanceID, answer Instance) error {
 		status.Instances = append(status.Instances, answer)
 		return nil
 	})
--- a/internal/coordination/withdrawal/withdrawal.go
+++ b/internal/coordination/withdrawal/withdrawal.go
@@ -70,7 +70,7 @@
 		Timeout: s.PeerTimeout,
 		Width:   spreadWidth,
 	}
-	unreached = fanout.Ask(ctx, s.Peers, question, func(to protocol.InstanceID, _ Done) error {
+	unreached = fanout.Call(ctx, s.Peers, question, func(to protocol.InstanceID, _ Done) error {
 		told = append(told, to)
 		return nil
 	})
