--- a/internal/burn/collector.go
+++ b/internal/burn/collector.go
@@ -43,7 +43,7 @@
 }
 
 func (c *Collector) gather(ctx context.Context, request Request, merged *merger, report *Report) {
-	question := fanout.Request{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Width: collectWidth}
+	question := fanout.Request{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Concurrency: collectWidth}
 	report.Unreached = fanout.Call(ctx, c.Peers, question, func(from protocol.InstanceID, snapshot Snapshot) error {
 		if err := merged.add(snapshot); err != nil {
 			return err
--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		question := fanout.Request{Method: methodCancelled, Args: Cancelled{Job: job}, Timeout: n.timeout, Width: noticeWidth}
+		question := fanout.Request{Method: methodCancelled, Args: Cancelled{Job: job}, Timeout: n.timeout, Concurrency: noticeWidth}
 		unreached := fanout.Call(ctx, n.peers, question, func(protocol.InstanceID, Heard) error { return nil })
 		counters.Add("cancel_notices_lost", int64(len(unreached)))
 	}
--- a/internal/coordination/fanout/fanout.go
+++ b/internal/coordination/fanout/fanout.go
@@ -18,9 +18,9 @@
 	Args   any
 	// Timeout bounds the call to one instance.
 	Timeout time.Duration
-	// Width is the number of instances asked at the same time. It bounds the
+	// Concurrency is the number of instances asked at the same time. It bounds the
 	// answers that are in memory at once.
-	Width int
+	Concurrency int
 }
 
 // Call asks every instance that peers lists, also those that seem unreachable:
@@ -31,7 +31,7 @@
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	unreached := []protocol.InstanceID{}
-	places := make(chan struct{}, q.Width)
+	places := make(chan struct{}, q.Concurrency)
 	for _, peer := range peers.List() {
 		places <- struct{}{}
 		wait.Go(func() {
--- a/internal/coordination/fanout/fanout_test.go
+++ b/internal/coordination/fanout/fanout_test.go
@@ -45,7 +45,7 @@
 		p := &peers{count: 12, hang: map[protocol.InstanceID]bool{"i01": true, "i05": true, "i09": true}}
 		begun := time.Now()
 		var answers []string
-		unreached := Call(t.Context(), p, Request{Method: "X.Y", Timeout: time.Second, Width: 12}, func(from protocol.InstanceID, answer string) error {
+		unreached := Call(t.Context(), p, Request{Method: "X.Y", Timeout: time.Second, Concurrency: 12}, func(from protocol.InstanceID, answer string) error {
 			if from == "i02" {
 				return errors.New("malformed")
 			}
@@ -68,7 +68,7 @@
 			p.hang[peer.Instance] = true
 		}
 		begun := time.Now()
-		unreached := Call(t.Context(), p, Request{Timeout: time.Second, Width: 2}, func(protocol.InstanceID, string) error { return nil })
+		unreached := Call(t.Context(), p, Request{Timeout: time.Second, Concurrency: 2}, func(protocol.InstanceID, string) error { return nil })
 		require.Len(t, unreached, 6)
 		require.Equal(t, 3*time.Second, time.Since(begun))
 	})
--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -130,7 +130,7 @@
 func (c *Collector) Status(ctx context.Context) Status {
 	now := c.Source.Now()
 	status := Status{At: now, Asked: c.Source.Instance, Instances: []Instance{c.Source.Own()}, Late: []LateJob{}}
-	question := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Width: askWidth}
+	question := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Concurrency: askWidth}
 	unreached := fanout.Call(ctx, c.Peers, question, func(_ protocol.InstanceID, answer Instance) error {
 		status.Instances = append(status.Instances, answer)
 		return nil
--- a/internal/coordination/withdrawal/withdrawal.go
+++ b/internal/coordination/withdrawal/withdrawal.go
@@ -68,7 +68,7 @@
 		Method:  MethodWithdraw,
 		Args:    Request{Key: key, Operator: operator},
 		Timeout: s.PeerTimeout,
-		Width:   spreadWidth,
+		Concurrency:   spreadWidth,
 	}
 	unreached = fanout.Call(ctx, s.Peers, question, func(to protocol.InstanceID, _ Done) error {
 		told = append(told, to)
