--- a/internal/closing/closing.go
+++ b/internal/closing/closing.go
@@ -3,7 +3,7 @@
 
 import "context"
 
-// When runs end once ctx is done. The returned wait must be called before the
+// OnDone runs end once ctx is done. The returned wait must be called before the
 // duty reports that it stopped: it gives back only when end has run to its end,
 // or will never run.
 //
@@ -11,7 +11,7 @@
 // before the open connections are closed. A duty that returns at that moment
 // counts as stopped, while a connection that is still open answers one more
 // call: a caller is served by an instance that was said to be gone.
-func When(ctx context.Context, end func()) (wait func()) {
+func OnDone(ctx context.Context, end func()) (wait func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(ended)
--- a/internal/closing/closing_test.go
+++ b/internal/closing/closing_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		closed := false
-		wait := When(ctx, func() {
+		wait := OnDone(ctx, func() {
 			<-time.After(time.Second)
 			closed = true
 		})
@@ -27,7 +27,7 @@
 
 func TestWaitDoesNotHangWhenNothingWasAsked(t *testing.T) {
 	called := false
-	wait := When(t.Context(), func() { called = true })
+	wait := OnDone(t.Context(), func() { called = true })
 	wait()
 	require.False(t, called)
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -126,7 +126,7 @@
 		return trace.Wrap(err)
 	}
 	server := &http.Server{Handler: o.handler, ReadHeaderTimeout: o.timeout}
-	wait := closing.When(ctx, func() { _ = server.Close() })
+	wait := closing.OnDone(ctx, func() { _ = server.Close() })
 	defer wait()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
--- a/internal/daemon/routed/servers.go
+++ b/internal/daemon/routed/servers.go
@@ -63,7 +63,7 @@
 		return trace.Wrap(err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: smallServerTimeout}
-	wait := closing.When(ctx, func() { _ = server.Close() })
+	wait := closing.OnDone(ctx, func() { _ = server.Close() })
 	defer wait()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -82,7 +82,7 @@
 		return trace.Wrap(err)
 	}
 	server := &http.Server{Handler: New(cfg), ReadHeaderTimeout: 10 * time.Second}
-	wait := closing.When(ctx, func() { _ = server.Close() })
+	wait := closing.OnDone(ctx, func() { _ = server.Close() })
 	defer wait()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
--- a/internal/transport/edge/server.go
+++ b/internal/transport/edge/server.go
@@ -78,7 +78,7 @@
 		ErrorLog:          errorLog(e.opts.Logger),
 	}
 	e.setServer(server)
-	wait := closing.When(ctx, func() { _ = server.Close() })
+	wait := closing.OnDone(ctx, func() { _ = server.Close() })
 	defer wait()
 	err = server.Serve(limitConnections(listener, e.limits.MaxConnections))
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -113,7 +113,7 @@
 		ErrorLog:          discardedErrors(f.opts.Logger),
 	}
 	f.server.Store(server)
-	wait := closing.When(ctx, func() { _ = server.Close() })
+	wait := closing.OnDone(ctx, func() { _ = server.Close() })
 	defer wait()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -64,7 +64,7 @@
 
 // Serve accepts connections until ctx ends.
 func (s *Server) Serve(ctx context.Context) error {
-	wait := closing.When(ctx, s.close)
+	wait := closing.OnDone(ctx, s.close)
 	defer wait()
 	for {
 		conn, err := s.listener.Accept()
