--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -61,7 +61,7 @@
 	case outcome.Run == protocol.NotRun:
 		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not take jobs now")
 	case outcome.Run != protocol.Completed:
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace,
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect,
 			"the platform did not confirm the job in time; send it again with the same idempotency key to find it or to submit it")
 	case outcome.Verdict == protocol.Accepted || outcome.Verdict == protocol.Duplicate:
 		return s.acknowledge(org, manifest)
@@ -160,7 +160,7 @@
 func (s *Service) acknowledge(org protocol.OrganisationID, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
 	first, found := s.submitted(org, manifest.IdempotencyKey)
 	if !found {
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the job was accepted and is no longer known")
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect, "the job was accepted and is no longer known")
 	}
 	return s.sameJob(first, manifest)
 }
@@ -285,7 +285,7 @@
 	case outcome.Run == protocol.NotRun:
 		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not take the cancel now")
 	case outcome.Run != protocol.Completed:
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the platform did not confirm the cancel in time; send it again")
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect, "the platform did not confirm the cancel in time; send it again")
 	case outcome.Verdict == protocol.NoSession:
 		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session now")
 	}
--- a/internal/protocol/runstate.go
+++ b/internal/protocol/runstate.go
@@ -42,7 +42,7 @@
 	CodePlatformDown      Code = "platform_unavailable"
 	CodeDraining          Code = "draining"
 	CodeInstanceStarting  Code = "instance_starting"
-	CodeMayHaveTakenPlace Code = "may_have_taken_effect"
+	CodeMayHaveTakenEffect Code = "may_have_taken_effect"
 	CodeGone              Code = "gone"
 	CodeInternal          Code = "internal"
 )
@@ -95,7 +95,7 @@
 	CodePlatformDown:      http.StatusServiceUnavailable,
 	CodeDraining:          http.StatusServiceUnavailable,
 	CodeInstanceStarting:  http.StatusServiceUnavailable,
-	CodeMayHaveTakenPlace: http.StatusGatewayTimeout,
+	CodeMayHaveTakenEffect: http.StatusGatewayTimeout,
 	CodeGone:              http.StatusGone,
 	CodeInternal:          http.StatusInternalServerError,
 }
--- a/internal/transport/operatorapi/change.go
+++ b/internal/transport/operatorapi/change.go
@@ -95,7 +95,7 @@
 		return protocol.Refuse(protocol.CodePlatformDown, retryLogDown, "the platform's log can't be reached; nothing was changed"),
 			"run the same command again when the platform is back; withdrawing a key works meanwhile"
 	case protocol.MayHaveRun:
-		return protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the log did not confirm the change; it may have taken effect"),
+		return protocol.Uncertain(protocol.CodeMayHaveTakenEffect, "the log did not confirm the change; it may have taken effect"),
 			"run the same command again: it does nothing if the change is in force already"
 	}
 	switch outcome.Verdict {
--- a/internal/transport/operatorapi/handler_test.go
+++ b/internal/transport/operatorapi/handler_test.go
@@ -186,7 +186,7 @@
 		"no session":  {completed(protocol.NoSession), http.StatusServiceUnavailable, protocol.CodeInstanceStarting, protocol.NotRun},
 		"rejected":    {completed(protocol.UnknownSubject), http.StatusBadRequest, protocol.CodeBadRequest, protocol.NotRun},
 		"log down":    {coordination.Outcome{Run: protocol.NotRun}, http.StatusServiceUnavailable, protocol.CodePlatformDown, protocol.NotRun},
-		"answer lost": {coordination.Outcome{Run: protocol.MayHaveRun}, http.StatusGatewayTimeout, protocol.CodeMayHaveTakenPlace, protocol.MayHaveRun},
+		"answer lost": {coordination.Outcome{Run: protocol.MayHaveRun}, http.StatusGatewayTimeout, protocol.CodeMayHaveTakenEffect, protocol.MayHaveRun},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
