--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -49,7 +49,7 @@
 	Job          protocol.JobID          `json:"job"`
 	Organisation protocol.OrganisationID `json:"organisation"`
 	Deadline     time.Time               `json:"deadline"`
-	Left         int                     `json:"items_left"`
+	ItemsLeft         int                     `json:"items_left"`
 	Total        int                     `json:"items"`
 }
 
@@ -179,7 +179,7 @@
 			}
 			status.Late = append(status.Late, LateJob{
 				Job: job.ID, Organisation: job.Organisation, Deadline: job.Deadline,
-				Left: job.Total - job.Completed - job.Failed, Total: job.Total,
+				ItemsLeft: job.Total - job.Completed - job.Failed, Total: job.Total,
 			})
 		}
 	})
--- a/internal/transport/operatorapi/views_test.go
+++ b/internal/transport/operatorapi/views_test.go
@@ -64,7 +64,7 @@
 	require.Equal(t, 2, status.JobsRunning)
 	require.Len(t, status.Late, 1)
 	require.Equal(t, protocol.JobID("job0"), status.Late[0].Job)
-	require.Equal(t, 3, status.Late[0].Left)
+	require.Equal(t, 3, status.Late[0].ItemsLeft)
 	instances := get[InstancesAnswer](t, f, PathInstances)
 	require.Len(t, instances.Instances, 4)
 }
