--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -50,7 +50,7 @@
 	Organisation protocol.OrganisationID `json:"organisation"`
 	Deadline     time.Time               `json:"deadline"`
 	ItemsLeft         int                     `json:"items_left"`
-	Total        int                     `json:"items"`
+	Items        int                     `json:"items"`
 }
 
 // Status is the fleet as one instance could find out.
@@ -179,7 +179,7 @@
 			}
 			status.Late = append(status.Late, LateJob{
 				Job: job.ID, Organisation: job.Organisation, Deadline: job.Deadline,
-				ItemsLeft: job.Total - job.Completed - job.Failed, Total: job.Total,
+				ItemsLeft: job.Total - job.Completed - job.Failed, Items: job.Total,
 			})
 		}
 	})
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -53,7 +53,7 @@
 	}
 	for _, job := range status.Late {
 		t.add("job "+string(job.Job), "", "", "", "", "", fmt.Sprintf("%d of %d items left, due %s, organisation %s",
-			job.ItemsLeft, job.Total, job.Deadline.UTC().Format(time.RFC3339), job.Organisation))
+			job.ItemsLeft, job.Items, job.Deadline.UTC().Format(time.RFC3339), job.Organisation))
 	}
 	return t
 }
