--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -56,8 +56,8 @@
 // Status is the fleet as one instance could find out.
 type Status struct {
 	At time.Time `json:"at"`
-	// Asked is the instance that asked the others.
-	Asked     protocol.InstanceID `json:"asked"`
+	// CollectedBy is the instance that asked the others.
+	CollectedBy     protocol.InstanceID `json:"asked"`
 	Instances []Instance          `json:"instances"`
 	// Unreached are known instances that did not answer.
 	Unreached   []Unreached `json:"unreached"`
@@ -129,7 +129,7 @@
 // Status asks every known instance.
 func (c *Collector) Status(ctx context.Context) Status {
 	now := c.Source.Now()
-	status := Status{At: now, Asked: c.Source.Instance, Instances: []Instance{c.Source.Own()}, Late: []LateJob{}}
+	status := Status{At: now, CollectedBy: c.Source.Instance, Instances: []Instance{c.Source.Own()}, Late: []LateJob{}}
 	question := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Concurrency: askWidth}
 	unreached := fanout.Call(ctx, c.Peers, question, func(_ protocol.InstanceID, answer Instance) error {
 		status.Instances = append(status.Instances, answer)
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, missing := range status.Unreached {
-		text := fmt.Sprintf("%s can't be reached from %s", missing.Instance, status.Asked)
+		text := fmt.Sprintf("%s can't be reached from %s", missing.Instance, status.CollectedBy)
 		if !missing.SessionOpen {
 			text += ", and its session has ended: it left, or is cut off from the log too"
 		}
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -37,7 +37,7 @@
 // A domain is cut off and another instance lags. A script that watches the
 // fleet by exit code must notice.
 func TestStatusExits1WhenSomethingNeedsAnOperator(t *testing.T) {
-	status := fleetstatus.Status{Asked: "a", Instances: []fleetstatus.Instance{
+	status := fleetstatus.Status{CollectedBy: "a", Instances: []fleetstatus.Instance{
 		{Instance: "a", Version: 9, LogUp: true, MayHold: true},
 		{Instance: "b", Version: 8, LogUp: true},
 		{Instance: "c", Version: 9},
