--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -73,8 +73,8 @@
 	SessionOpen bool `json:"session_open"`
 }
 
-// Newest is the highest version in force anywhere.
-func (s Status) Newest() protocol.Offset {
+// NewestVersion is the highest version in force anywhere.
+func (s Status) NewestVersion() protocol.Offset {
 	newest := protocol.NoOffset
 	for _, instance := range s.Instances {
 		newest = max(newest, instance.Version)
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -26,7 +26,7 @@
 	}
 	troubles := troublesOf(status)
 	err := env.show(result{data: status, table: statusTable(status),
-		did: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.Newest(), len(status.Instances), status.JobsRunning)})
+		did: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.NewestVersion(), len(status.Instances), status.JobsRunning)})
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 
 func statusTable(status fleetstatus.Status) table {
 	t := table{heading: []string{"INSTANCE", "DOMAIN", "VERSION", "LOG", "WORK", "UP", "NOTE"}}
-	newest := status.Newest()
+	newest := status.NewestVersion()
 	for _, i := range status.Instances {
 		version := fmt.Sprint(i.Version)
 		if i.Version < newest {
@@ -75,7 +75,7 @@
 // troublesOf lists what needs an operator.
 func troublesOf(status fleetstatus.Status) []string {
 	var out []string
-	newest := status.Newest()
+	newest := status.NewestVersion()
 	for _, i := range status.Instances {
 		switch {
 		case i.Trouble != "":
--- a/internal/transport/operatorapi/views_test.go
+++ b/internal/transport/operatorapi/views_test.go
@@ -39,7 +39,7 @@
 	status := get[fleetstatus.Status](t, f, PathStatus)
 	require.Equal(t, []fleetstatus.Unreached{{Instance: "c"}}, status.Unreached)
 	require.Len(t, status.Instances, 2)
-	require.Equal(t, protocol.Offset(9), status.Newest())
+	require.Equal(t, protocol.Offset(9), status.NewestVersion())
 	require.Equal(t, protocol.Offset(8), status.Instances[1].Version)
 	require.EqualValues(t, 60, status.Instances[0].UpSeconds)
 }
