--- a/internal/coordination/withdrawal/withdrawal.go
+++ b/internal/coordination/withdrawal/withdrawal.go
@@ -33,8 +33,8 @@
 type Result struct {
 	// Log is the fate of the record in the control stream.
 	Log coordination.Outcome
-	// Told are the other instances that have confirmed it.
-	Told []protocol.InstanceID
+	// Confirmed are the other instances that have confirmed it.
+	Confirmed []protocol.InstanceID
 	// Unreached are the known instances that did not confirm it in time.
 	Unreached []protocol.InstanceID
 }
@@ -58,7 +58,7 @@
 		record := protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: key, Operator: operator}}
 		result.Log = s.Journal.Submit(ctx, record)
 	})
-	wait.Go(func() { result.Told, result.Unreached = s.spread(ctx, key, operator) })
+	wait.Go(func() { result.Confirmed, result.Unreached = s.spread(ctx, key, operator) })
 	wait.Wait()
 	return result
 }
--- a/internal/transport/operatorapi/change.go
+++ b/internal/transport/operatorapi/change.go
@@ -129,7 +129,7 @@
 	defer cancel()
 	result := h.config.Withdraw.Withdraw(ctx, key, operatorOf(r))
 	_ = level.Info(h.config.Logger).Log("event", "key_withdrawn", "operator", operatorOf(r), "key", string(key),
-		"in_log", inLog(result), "told", len(result.Told), "unreached", len(result.Unreached), "err", result.Log.Err)
+		"in_log", inLog(result), "told", len(result.Confirmed), "unreached", len(result.Unreached), "err", result.Log.Err)
 	status := http.StatusOK
 	if !inLog(result) {
 		// Accepted, not done: it has not reached every instance for sure.
@@ -144,15 +144,15 @@
 }
 
 func (h *Handler) withdrawAnswer(key protocol.KeyID, result withdrawal.Result) WithdrawAnswer {
-	out := WithdrawAnswer{Key: key, InLog: inLog(result), Told: result.Told, Unreached: result.Unreached}
+	out := WithdrawAnswer{Key: key, InLog: inLog(result), Told: result.Confirmed, Unreached: result.Unreached}
 	if out.InLog {
 		out.Message = fmt.Sprintf("key %s is withdrawn: %s and %d other instances refuse it, and the log brings it to all that read it",
-			key, h.config.Instance, len(result.Told))
+			key, h.config.Instance, len(result.Confirmed))
 		out.Next = "nothing; an instance cut off from the log and from its peers learns of it when it is reachable again"
 		return out
 	}
 	out.Message = fmt.Sprintf("key %s is refused at %s and %d other instances; the log has not confirmed it",
-		key, h.config.Instance, len(result.Told))
+		key, h.config.Instance, len(result.Confirmed))
 	out.Next = "run the same command again when the log is back; meanwhile run it at one instance of each domain that is cut off"
 	return out
 }
