--- a/internal/coordination/access/access.go
+++ b/internal/coordination/access/access.go
@@ -74,8 +74,8 @@
 
 const bearer = "Bearer "
 
-// Secret is the secret in an Authorization header, empty if there is none.
-func Secret(authorization string) string {
+// BearerToken is the secret in an Authorization header, empty if there is none.
+func BearerToken(authorization string) string {
 	if len(authorization) < len(bearer) || !strings.EqualFold(authorization[:len(bearer)], bearer) {
 		return ""
 	}
--- a/internal/coordination/access/access_test.go
+++ b/internal/coordination/access/access_test.go
@@ -36,7 +36,7 @@
 		"Bearer":        "",
 		"":              "",
 	} {
-		require.Equal(t, want, Secret(header), header)
+		require.Equal(t, want, BearerToken(header), header)
 	}
 }
 
--- a/internal/transport/edge/routes.go
+++ b/internal/transport/edge/routes.go
@@ -119,7 +119,7 @@
 			x.refuse(refusal)
 			return
 		}
-		x.secret = access.Secret(r.Header.Get("Authorization"))
+		x.secret = access.BearerToken(r.Header.Get("Authorization"))
 		caller, refusal := e.opts.Keys.Authenticate(x.secret)
 		if refusal != nil {
 			x.refuse(refusal)
