--- a/internal/coordination/batch/giveback.go
+++ b/internal/coordination/batch/giveback.go
@@ -18,7 +18,7 @@
 func (e *Executor) places() (count int) {
 	for name, service := range e.journal.Fleet().Services {
 		if service.Repeatable {
-			count += e.slots.Places(name)
+			count += e.slots.Capacity(name)
 		}
 	}
 	return count
@@ -33,7 +33,7 @@
 	var stranded []ledger.ChunkID
 	// Not update: noting the time must not wake the duties, or they would spin.
 	c.inspect(func(w *workset) {
-		stranded = w.stranded(time.Now(), c.opts.GiveBackAfter, c.service, c.slots.Places)
+		stranded = w.stranded(time.Now(), c.opts.GiveBackAfter, c.service, c.slots.Capacity)
 	})
 	if len(stranded) == 0 {
 		return
--- a/internal/coordination/faulttest/targets_test.go
+++ b/internal/coordination/faulttest/targets_test.go
@@ -116,8 +116,8 @@
 	taken  map[*slot]bool
 }
 
-// Places implements coordination.BatchSlots.
-func (s *slots) Places(protocol.ServiceName) int { return cap(s.places) }
+// Capacity implements coordination.BatchSlots.
+func (s *slots) Capacity(protocol.ServiceName) int { return cap(s.places) }
 
 func newSlots(count int) *slots {
 	return &slots{places: make(chan struct{}, count), taken: map[*slot]bool{}}
--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -135,9 +135,9 @@
 	return s, nil
 }
 
-// Places is how many batch items of a service fit at this instance now, placed
+// Capacity is how many batch items of a service fit at this instance now, placed
 // ones included.
-func (h *Headroom) Places(service protocol.ServiceName) int {
+func (h *Headroom) Capacity(service protocol.ServiceName) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Places(service)
--- a/internal/coordination/ports.go
+++ b/internal/coordination/ports.go
@@ -81,7 +81,7 @@
 type BatchSlots interface {
 	// Acquire waits for a place at a target of the service until ctx ends.
 	Acquire(ctx context.Context, service protocol.ServiceName) (BatchSlot, error)
-	// Places is how many items of the service fit at this instance now, those
+	// Capacity is how many items of the service fit at this instance now, those
 	// already placed included. It is 0 at an instance that feeds no target.
-	Places(service protocol.ServiceName) int
+	Capacity(service protocol.ServiceName) int
 }
--- a/internal/transport/batchapi/client_test.go
+++ b/internal/transport/batchapi/client_test.go
@@ -34,7 +34,7 @@
 func (place) Acquire(context.Context, protocol.ServiceName) (coordination.BatchSlot, error) {
 	return place{}, nil
 }
-func (place) Places(protocol.ServiceName) int { return 1 }
+func (place) Capacity(protocol.ServiceName) int { return 1 }
 func (place) Pick() coordination.Pick         { return coordination.Pick{} }
 func (place) Revoked() <-chan struct{}        { return nil }
 func (place) Release(coordination.CallResult) {}
