--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -21,8 +21,8 @@
 	Host   string
 	// Path and Query are as they came, still escaped.
 	Path, Query string
-	// Patience is how long the caller waits from now on. 0: it did not say.
-	Patience time.Duration
+	// Timeout is how long the caller waits from now on. 0: it did not say.
+	Timeout time.Duration
 	// After is the last event that the caller has of a stream, FromStart if
 	// none.
 	After int
--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -45,8 +45,8 @@
 		Items: items,
 	}
 	limit := submitTime
-	if v.request.Patience > 0 {
-		limit = min(limit, v.request.Patience)
+	if v.request.Timeout > 0 {
+		limit = min(limit, v.request.Timeout)
 	}
 	ctx, cancel := context.WithTimeout(v.r.Context(), limit)
 	defer cancel()
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -44,7 +44,7 @@
 // patience is how long the request may take: as long as the caller waits, and
 // not longer than the route allows.
 func (v *visit) patience() time.Duration {
-	patience := v.request.Patience
+	patience := v.request.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
