--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -230,7 +230,7 @@
 	}
 	return &exchange.Dispatch{
 		ID: t.id.item, Method: http.MethodPost, Host: t.job.Host, Path: t.item.Path,
-		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, limit),
+		Target: choice.ID, Organisation: t.job.Organisation, TimeLeft: max(time.Second, limit),
 		After: t.position, Header: header, Body: t.item.Body,
 	}
 }
--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -60,8 +60,8 @@
 	Target string
 	// Organisation is who the request runs for.
 	Organisation string
-	// Left is how long the target may work on it. 0: no bound.
-	Left time.Duration
+	// TimeLeft is how long the target may work on it. 0: no bound.
+	TimeLeft time.Duration
 	// After is the last event that is there already, FromStart if none.
 	After  int
 	Header http.Header
--- a/internal/transport/targetconn/inspect_test.go
+++ b/internal/transport/targetconn/inspect_test.go
@@ -69,7 +69,7 @@
 func (i *inspecting) begin(t *testing.T, id string) {
 	t.Helper()
 	_, err := i.Send(t.Context(), targetAddress, &exchange.Dispatch{
-		ID: id, Method: http.MethodPost, Host: "h", Path: "/a/100", Target: "t", Left: time.Minute, After: exchange.FromStart,
+		ID: id, Method: http.MethodPost, Host: "h", Path: "/a/100", Target: "t", TimeLeft: time.Minute, After: exchange.FromStart,
 	})
 	require.NoError(t, err)
 }
