--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -37,8 +37,8 @@
 type Prompt struct {
 	// Parts are the shared parts of the prompt in order, the own part last.
 	Parts []Part
-	// Tokens are read, MaxOutputTokens at most are produced.
-	Tokens, MaxOutputTokens int
+	// InputTokens are read, MaxOutputTokens at most are produced.
+	InputTokens, MaxOutputTokens int
 }
 
 // Part is a piece of a prompt that other requests may share.
