--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -203,7 +203,7 @@
 	head := answer.Head()
 	opts.Placer.ReportLoad(choice, head.Load)
 	switch {
-	case head.Elsewhere:
+	case head.WrongTarget:
 		opts.Targets.Forget(choice.Address)
 		return rejected, placement.Replaced, nil
 	case head.NotRun:
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -249,7 +249,7 @@
 func (c *call) handleNotRun(choice placement.Choice, answer external.OpenAnswer) nextStep {
 	answer.Close()
 	result := placement.Full
-	if answer.Head().Elsewhere {
+	if answer.Head().WrongTarget {
 		result = placement.Replaced
 		c.opts.Targets.Forget(choice.Address)
 	}
--- a/internal/coordination/routed/relay/relay_test.go
+++ b/internal/coordination/routed/relay/relay_test.go
@@ -122,7 +122,7 @@
 	unreachable    = scriptedAnswer{err: fmt.Errorf("%w: refused", external.ErrNotSent)}
 	connectionLost = scriptedAnswer{err: fmt.Errorf("%w: reset", external.ErrMayHaveRun)}
 	notRun         = scriptedAnswer{reply: exchange.Reply{Status: http.StatusServiceUnavailable, NotRun: true}}
-	replaced       = scriptedAnswer{reply: exchange.Reply{Status: http.StatusMisdirectedRequest, NotRun: true, Elsewhere: true}}
+	replaced       = scriptedAnswer{reply: exchange.Reply{Status: http.StatusMisdirectedRequest, NotRun: true, WrongTarget: true}}
 )
 
 // streamOf is a complete stream of the events from up to, but not including, to.
--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -96,8 +96,8 @@
 	ID string
 	// NotRun says that the target did not and will not run the request.
 	NotRun bool
-	// Elsewhere says that another target has this address.
-	Elsewhere bool
+	// WrongTarget says that another target has this address.
+	WrongTarget bool
 	// Load is nil if the target did not tell it.
 	Load *Load
 	// IdleLimit is how long the target keeps the connection open unused. 0: it
