--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -100,9 +100,9 @@
 	WrongTarget bool
 	// Load is nil if the target did not tell it.
 	Load *Load
-	// IdleLimit is how long the target keeps the connection open unused. 0: it
+	// IdleTimeout is how long the target keeps the connection open unused. 0: it
 	// did not say.
-	IdleLimit time.Duration
+	IdleTimeout time.Duration
 	// Header holds what is passed on to the caller unchanged.
 	Header http.Header
 }
--- a/internal/transport/targetconn/client.go
+++ b/internal/transport/targetconn/client.go
@@ -147,7 +147,7 @@
 }
 
 func (c *Client) answer(link *conn, reply exchange.Reply, response *http.Response, written <-chan struct{}) *answer {
-	link.idleLimit = reply.IdleLimit
+	link.idleLimit = reply.IdleTimeout
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	return &answer{
 		reply: reply, body: response.Body, conn: link, pool: c.pool,
