--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -36,13 +36,13 @@
 // Prompt is the size of a request to a model.
 type Prompt struct {
 	// Parts are the shared parts of the prompt in order, the own part last.
-	Parts []Part
+	Parts []PromptPart
 	// InputTokens are read, MaxOutputTokens at most are produced.
 	InputTokens, MaxOutputTokens int
 }
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a piece of a prompt that other requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
