--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -265,7 +265,7 @@
 
 // addEvent adds one event to the output.
 func (t *task) addEvent(event *sse.Event) error {
-	if event.Numbered {
+	if event.HasPosition {
 		switch {
 		case t.position != exchange.FromStart && event.Position <= t.position:
 			return nil
--- a/internal/coordination/routed/relay/forward.go
+++ b/internal/coordination/routed/relay/forward.go
@@ -80,7 +80,7 @@
 		if err := c.sink.SendBody(event.Raw); err != nil {
 			return errors.Join(errCallerDisconnected, err)
 		}
-		if event.Numbered {
+		if event.HasPosition {
 			c.lastEvent = event.Position
 		}
 		c.outcome.Events++
--- a/internal/protocol/sse/sse.go
+++ b/internal/protocol/sse/sse.go
@@ -27,8 +27,8 @@
 	// Position is the number in the event's id field: how many events a
 	// reader has once it got this one. 0 if there is none.
 	Position int
-	// Numbered says that there is an id field with a number, which may be 0.
-	Numbered bool
+	// HasPosition says that there is an id field with a number, which may be 0.
+	HasPosition bool
 	// Done says that this is the end mark.
 	Done bool
 }
@@ -164,7 +164,7 @@
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte{'\n'})
 		if value, ok := bytes.CutPrefix(line, idField); ok {
-			event.Position, event.Numbered = position(value)
+			event.Position, event.HasPosition = position(value)
 		} else if value, ok := bytes.CutPrefix(line, dataField); ok {
 			event.Done = bytes.Equal(bytes.TrimSpace(value), doneMark)
 		}
