--- a/internal/external/keyedlog.go
+++ b/internal/external/keyedlog.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// ErrNotDone: the service answered that it did nothing, because it is busy,
+// ErrNotPerformed: the service answered that it did nothing, because it is busy,
 // turned this instance away or limits its rate. Unlike after ErrUnavailable the
 // same operation can be given up safely.
-var ErrNotDone = errors.New("platform did nothing")
+var ErrNotPerformed = errors.New("platform did nothing")
 
 // ErrFull: the log holds as much as it may. Nothing was appended.
 var ErrFull = errors.New("platform's log is full")
