--- a/internal/coordination/online/handler_test.go
+++ b/internal/coordination/online/handler_test.go
@@ -305,7 +305,7 @@
 // The first attempt may have run and the second certainly did not. The call as a
 // whole may have run, so it must not be reported as not run.
 func TestOneAttemptThatMayHaveRunDecidesTheRunState(t *testing.T) {
-	f := newFixture(Policy{MaxAttempts: 2}, failWith(protocol.MayHaveRun, errConnectionCut), failWith(protocol.NotRun, external.ErrNotBegun))
+	f := newFixture(Policy{MaxAttempts: 2}, failWith(protocol.MayHaveRun, errConnectionCut), failWith(protocol.NotRun, external.ErrNotStarted))
 	result := f.serve(idempotentService, false)
 	require.Equal(t, protocol.MayHaveRun, result.Refusal.Run)
 }
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -129,8 +129,8 @@
 // Causes inside a CallError that decide what happens to the target and the
 // connection.
 var (
-	// ErrNotBegun: the target said itself that it did not begin the call.
-	ErrNotBegun = errors.New("target did not begin the call")
+	// ErrNotStarted: the target said itself that it did not begin the call.
+	ErrNotStarted = errors.New("target did not begin the call")
 	// ErrLeaving: the target did not begin the call because it is leaving.
 	ErrLeaving = errors.New("target is leaving")
 	// ErrCrossed: the answer echoed the id of another call. It was dropped
--- a/internal/transport/targethttp/client.go
+++ b/internal/transport/targethttp/client.go
@@ -142,7 +142,7 @@
 	if resp.Header.Get(headerLeaving) == "true" {
 		return external.ErrLeaving
 	}
-	return external.ErrNotBegun
+	return external.ErrNotStarted
 }
 
 // maxDrain is how much of an unwanted body is read so that its connection can
--- a/internal/transport/targethttp/client_test.go
+++ b/internal/transport/targethttp/client_test.go
@@ -216,7 +216,7 @@
 		leaving string
 		want    error
 	}{
-		{"refused", "", external.ErrNotBegun},
+		{"refused", "", external.ErrNotStarted},
 		{"leaving", "true", external.ErrLeaving},
 	}
 	for _, c := range cases {
