--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -89,7 +89,7 @@
 	case ctx.Err() != nil:
 		c.endExpired(ctx, run)
 		return outcomeFinal, callResult
-	case errors.Is(err, external.ErrCrossed):
+	case errors.Is(err, external.ErrCallIDMismatch):
 		counters.Add("crossed", 1)
 	}
 	c.recordFailure(run, "the target did not respond")
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -133,9 +133,9 @@
 	ErrNotStarted = errors.New("target did not begin the call")
 	// ErrLeaving: the target did not begin the call because it is leaving.
 	ErrLeaving = errors.New("target is leaving")
-	// ErrCrossed: the answer echoed the id of another call. It was dropped
+	// ErrCallIDMismatch: the answer echoed the id of another call. It was dropped
 	// and its connection closed.
-	ErrCrossed = errors.New("answer belongs to another call")
+	ErrCallIDMismatch = errors.New("answer belongs to another call")
 	// ErrPathClosed: the path is one where targets take orders or answer
 	// about themselves. No call may go there.
 	ErrPathClosed = errors.New("the path is not open to calls")
--- a/internal/transport/targethttp/client.go
+++ b/internal/transport/targethttp/client.go
@@ -123,7 +123,7 @@
 		cancel()
 		_ = resp.Body.Close()
 		c.counts.Add("crossed", 1)
-		return nil, c.failed(protocol.MayHaveRun, fmt.Errorf("%w: it echoes %q", external.ErrCrossed, echoed))
+		return nil, c.failed(protocol.MayHaveRun, fmt.Errorf("%w: it echoes %q", external.ErrCallIDMismatch, echoed))
 	}
 	if err := notBegun(resp); err != nil {
 		drain(resp.Body)
--- a/internal/transport/targethttp/client_test.go
+++ b/internal/transport/targethttp/client_test.go
@@ -249,7 +249,7 @@
 	})
 	client := newTestClient(t, Options{})
 	_, err := client.Do(context.Background(), raw.address(), testCall("c1"))
-	require.ErrorIs(t, err, external.ErrCrossed)
+	require.ErrorIs(t, err, external.ErrCallIDMismatch)
 	require.Equal(t, protocol.MayHaveRun, runState(t, err))
 	require.EqualValues(t, 1, client.Count("crossed"))
 	answer, err := client.Do(context.Background(), raw.address(), testCall("c2"))
