--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -83,7 +83,7 @@
 		callResult = coordination.CallResult{Abandoned: true}
 	}
 	switch {
-	case errors.Is(err, external.ErrPathClosed):
+	case errors.Is(err, external.ErrPathNotAllowed):
 		c.result.Refusal = closedPathRefusal()
 		return outcomeFinal, callResult
 	case ctx.Err() != nil:
@@ -106,7 +106,7 @@
 // FirstByteTimeout counts as failed even then.
 func (c *call) classifyFailure(ctx context.Context, started time.Time, err error) coordination.CallResult {
 	switch {
-	case errors.Is(err, external.ErrPathClosed):
+	case errors.Is(err, external.ErrPathNotAllowed):
 		return coordination.CallResult{Abandoned: true}
 	case errors.Is(err, external.ErrLeaving):
 		return coordination.CallResult{Leaving: true}
--- a/internal/coordination/online/dispatch.go
+++ b/internal/coordination/online/dispatch.go
@@ -51,7 +51,7 @@
 func (c *call) dispatchRefusal(ctx context.Context, err error) *protocol.Refusal {
 	run := runStateOf(err)
 	switch {
-	case errors.Is(err, external.ErrPathClosed):
+	case errors.Is(err, external.ErrPathNotAllowed):
 		return closedPathRefusal()
 	case run == protocol.NotRun && errors.Is(err, errNoTarget):
 		return protocol.Refuse(protocol.CodeNoTarget, c.handler.policy.RetryAfter, "no target of service %q is available", c.req.Service)
@@ -95,7 +95,7 @@
 		if err == nil || runStateOf(err) != protocol.NotRun {
 			return response, err
 		}
-		if errors.Is(err, external.ErrPathClosed) {
+		if errors.Is(err, external.ErrPathNotAllowed) {
 			return Response{}, err
 		}
 		lastErr = err
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -136,9 +136,9 @@
 	// ErrCallIDMismatch: the answer echoed the id of another call. It was dropped
 	// and its connection closed.
 	ErrCallIDMismatch = errors.New("answer belongs to another call")
-	// ErrPathClosed: the path is one where targets take orders or answer
+	// ErrPathNotAllowed: the path is one where targets take orders or answer
 	// about themselves. No call may go there.
-	ErrPathClosed = errors.New("the path is not open to calls")
+	ErrPathNotAllowed = errors.New("the path is not open to calls")
 )
 
 // Target sends calls to one target. Its errors are *CallError.
--- a/internal/transport/targethttp/client.go
+++ b/internal/transport/targethttp/client.go
@@ -66,7 +66,7 @@
 // Do implements external.Target.
 func (c *Client) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
 	if isControl(call.Path) {
-		return nil, c.failed(protocol.NotRun, external.ErrPathClosed)
+		return nil, c.failed(protocol.NotRun, external.ErrPathNotAllowed)
 	}
 	var sent sending
 	ctx, cancel := context.WithCancel(httptrace.WithClientTrace(ctx, sent.trace()))
