--- a/internal/coordination/routed/batchjobs/submit.go
+++ b/internal/coordination/routed/batchjobs/submit.go
@@ -144,7 +144,7 @@
 		if errors.Is(err, external.ErrUnavailable) {
 			verdict = Unsure
 		}
-		if errors.Is(err, external.ErrFull) || attempt == maxAppendRetries {
+		if errors.Is(err, external.ErrLogFull) || attempt == maxAppendRetries {
 			return verdict
 		}
 		wait.For(ctx, appendBackoff<<attempt)
--- a/internal/external/keyedlog.go
+++ b/internal/external/keyedlog.go
@@ -12,8 +12,8 @@
 // same operation can be given up safely.
 var ErrNotPerformed = errors.New("platform did nothing")
 
-// ErrFull: the log holds as much as it may. Nothing was appended.
-var ErrFull = errors.New("platform's log is full")
+// ErrLogFull: the log holds as much as it may. Nothing was appended.
+var ErrLogFull = errors.New("platform's log is full")
 
 // ErrNotHolder: the group's partition is not, or no longer, held by this member.
 var ErrNotHolder = errors.New("partition is held by another member")
