--- a/internal/external/keyedlog.go
+++ b/internal/external/keyedlog.go
@@ -15,8 +15,8 @@
 // ErrLogFull: the log holds as much as it may. Nothing was appended.
 var ErrLogFull = errors.New("platform's log is full")
 
-// ErrNotHolder: the group's partition is not, or no longer, held by this member.
-var ErrNotHolder = errors.New("partition is held by another member")
+// ErrNotPartitionOwner: the group's partition is not, or no longer, held by this member.
+var ErrNotPartitionOwner = errors.New("partition is held by another member")
 
 // MovedError: the partition did not end where the writer expected, so nothing
 // was appended. Some other writer came first, or an earlier append of the same
