--- a/internal/coordination/routed/batchjobs/itemresults.go
+++ b/internal/coordination/routed/batchjobs/itemresults.go
@@ -86,7 +86,7 @@
 		return false, nil
 	}
 	end, err := p.opts.Log.Append(ctx, p.partition, b.records, b.next)
-	var moved *external.MovedError
+	var moved *external.EndMismatchError
 	switch {
 	case errors.As(err, &moved):
 		publishConflicts.Inc()
--- a/internal/coordination/routed/batchjobs/retention.go
+++ b/internal/coordination/routed/batchjobs/retention.go
@@ -37,7 +37,7 @@
 		return nil
 	}
 	_, err := p.opts.Log.Append(ctx, p.partition, records, next)
-	var moved *external.MovedError
+	var moved *external.EndMismatchError
 	if errors.As(err, &moved) {
 		// The partition has new records. The next call finds the jobs again.
 		return nil
--- a/internal/external/keyedlog.go
+++ b/internal/external/keyedlog.go
@@ -18,16 +18,16 @@
 // ErrNotPartitionOwner: the group's partition is not, or no longer, held by this member.
 var ErrNotPartitionOwner = errors.New("partition is held by another member")
 
-// MovedError: the partition did not end where the writer expected, so nothing
+// EndMismatchError: the partition did not end where the writer expected, so nothing
 // was appended. Some other writer came first, or an earlier append of the same
 // writer did, whose answer was lost.
-type MovedError struct {
+type EndMismatchError struct {
 	// End is where the partition ends.
 	End int64
 }
 
 // Error says where the partition ends.
-func (e *MovedError) Error() string { return fmt.Sprintf("partition moved on to %d", e.End) }
+func (e *EndMismatchError) Error() string { return fmt.Sprintf("partition moved on to %d", e.End) }
 
 // Partition is one partition of a topic.
 type Partition struct {
--- a/internal/standin/sharedstore/direct.go
+++ b/internal/standin/sharedstore/direct.go
@@ -28,7 +28,7 @@
 	defer d.Store.mu.Unlock()
 	p := d.Store.partition(at.Topic, at.Number)
 	if end != external.AnyEnd && end != p.end() {
-		return 0, &external.MovedError{End: p.end()}
+		return 0, &external.EndMismatchError{End: p.end()}
 	}
 	var raw [][]byte
 	for _, record := range records {
