--- a/internal/coordination/routed/batchjobs/owner.go
+++ b/internal/coordination/routed/batchjobs/owner.go
@@ -74,7 +74,7 @@
 	defer o.mu.Unlock()
 	return external.Member{
 		Group: o.opts.Group, Name: o.opts.Member, Topics: []string{o.opts.Topic},
-		Patience: groupSilenceTimeout, Generation: o.generation,
+		SessionTimeout: groupSilenceTimeout, Generation: o.generation,
 	}
 }
 
--- a/internal/external/keyedlog.go
+++ b/internal/external/keyedlog.go
@@ -82,8 +82,8 @@
 	Group  string
 	Name   string
 	Topics []string
-	// Patience is the silence after which the member's partitions go to others.
-	Patience time.Duration
+	// SessionTimeout is the silence after which the member's partitions go to others.
+	SessionTimeout time.Duration
 	// Generation is the last one that this member was told, 0 at first.
 	Generation int64
 }
