--- a/internal/coordination/orders/reconciler.go
+++ b/internal/coordination/orders/reconciler.go
@@ -300,7 +300,7 @@
 	if !w.opts.Journal.MayHold() {
 		return errSessionLapsed
 	}
-	err := w.opts.Orders.Give(ctx, t.action.Target.Address, *t.action.Order)
+	err := w.opts.Orders.Send(ctx, t.action.Target.Address, *t.action.Order)
 	outcome := "given"
 	if err != nil {
 		outcome = "failed"
--- a/internal/coordination/orders/reconciler_test.go
+++ b/internal/coordination/orders/reconciler_test.go
@@ -63,7 +63,7 @@
 	sent    []external.Order
 }
 
-func (o *fakeOrders) Give(_ context.Context, address string, order external.Order) error {
+func (o *fakeOrders) Send(_ context.Context, address string, order external.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if order.Fence < o.running[address].Fence {
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -174,7 +174,7 @@
 
 // Orders gives orders to targets.
 type Orders interface {
-	Give(ctx context.Context, address string, order Order) error
+	Send(ctx context.Context, address string, order Order) error
 	Current(ctx context.Context, address string) (OrderState, error)
 }
 
--- a/internal/transport/targethttp/control.go
+++ b/internal/transport/targethttp/control.go
@@ -60,8 +60,8 @@
 	return trace.Wrap(errStatus, "cancel: %d", status)
 }
 
-// Give implements external.Orders.
-func (c *Client) Give(ctx context.Context, address string, order external.Order) error {
+// Send implements external.Orders.
+func (c *Client) Send(ctx context.Context, address string, order external.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return trace.Wrap(err)
