--- a/internal/coordination/orders/reconciler.go
+++ b/internal/coordination/orders/reconciler.go
@@ -34,7 +34,7 @@
 	Journal  coordination.Journal
 	// Peers lists the candidates for a lease. It may be nil.
 	Peers  coordination.Peers
-	Orders external.Orders
+	Orders external.OrderClient
 	Logger log.Logger
 	// Tick is the time between two calls of each Controller's Step. Default 1 s.
 	Tick   time.Duration
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -172,8 +172,8 @@
 	Busy bool `json:"busy"`
 }
 
-// Orders gives orders to targets.
-type Orders interface {
+// OrderClient gives orders to targets.
+type OrderClient interface {
 	Send(ctx context.Context, address string, order Order) error
 	Current(ctx context.Context, address string) (OrderState, error)
 }
