--- a/internal/coordination/member/bench_test.go
+++ b/internal/coordination/member/bench_test.go
@@ -15,8 +15,8 @@
 
 var fleetSizes = []int{12, 85, 340}
 
-// BenchmarkObserve gives the cost of one look at the open sessions, of which
-// there are two a second.
+// BenchmarkObserve measures one check of all open sessions. An instance runs
+// two checks a second.
 func BenchmarkObserve(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -37,15 +37,16 @@
 	}
 }
 
-// BenchmarkRound gives the cost of choosing the partners of a round of
-// heartbeats, and how many there are, with eight failure domains at 340.
-func BenchmarkRound(b *testing.B) {
+// BenchmarkPartners measures how long it takes to choose the partners of a
+// heartbeat round, and reports their number. A fleet of 340 instances has
+// eight failure domains.
+func BenchmarkPartners(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			domains := max(3, size/42)
-			var known []Known
+			var known []KnownInstance
 			for i := range size {
-				known = append(known, Known{
+				known = append(known, KnownInstance{
 					Instance: protocol.InstanceID(fmt.Sprint("i", i)),
 					Domain:   protocol.Domain(fmt.Sprint("d", i%domains)),
 					Address:  fmt.Sprintf("10.0.0.%d:7000", i),
@@ -54,21 +55,21 @@
 			v := NewView("i0", "d0", DefaultViewLimits())
 			partners := 0
 			for b.Loop() {
-				v.Listed(start, known)
+				v.UpdateSessions(start, known)
 				partners = len(v.Partners())
 			}
 			b.ReportMetric(float64(partners), "partners")
-			b.ReportMetric(float64(partners*2*beatBytes(b)), "bytes/round")
+			b.ReportMetric(float64(partners*2*heartbeatBytes(b)), "bytes/round")
 		})
 	}
 }
 
-// beatBytes is the encoded size of one direction of a heartbeat on a connection
-// that has carried one before.
-func beatBytes(tb testing.TB) int {
+// heartbeatBytes returns the encoded size of one Heartbeat on a connection that
+// has already carried one, and with it gob's description of the type.
+func heartbeatBytes(tb testing.TB) int {
 	var buffer bytes.Buffer
 	encoder := gob.NewEncoder(&buffer)
-	beat := Heartbeat{
+	heartbeat := Heartbeat{
 		Instance:     "pnw-sea-entry-117",
 		Session:      1 << 60,
 		Domain:       "pnw-sea",
@@ -78,8 +79,8 @@
 		Digest:       1 << 60,
 		FleetVersion: 1 << 40,
 	}
-	require.NoError(tb, encoder.Encode(beat))
+	require.NoError(tb, encoder.Encode(heartbeat))
 	first := buffer.Len()
-	require.NoError(tb, encoder.Encode(beat))
+	require.NoError(tb, encoder.Encode(heartbeat))
 	return buffer.Len() - first
 }
--- a/internal/coordination/member/doc.go
+++ b/internal/coordination/member/doc.go
@@ -1,13 +1,13 @@
-// Package member decides who is a member of the fleet.
+// Package member implements fleet membership.
 //
-//   - Holder: when the instance renews its own session, and until when it may
-//     do exclusive work under it.
-//   - Observer: when another session has been silent for so long that its
-//     expiry may be proposed.
-//   - Heartbeats: which other instances answer directly, as a hint for routing
-//     and as a way for configuration and withdrawn keys into a failure domain
-//     that is cut off from the platform.
+//   - Holder decides when the instance renews its own session and until when
+//     the instance may do exclusive work under that session.
+//   - Observer decides when another session has missed renewals for so long
+//     that this instance may propose its expiry.
+//   - Heartbeats tracks which peers answer directly. Routing uses the result as
+//     a hint. Heartbeats also carry configuration and key withdrawals into a
+//     failure domain that has no connection to the platform.
 //
-// Holder and Observer are pure: time comes in as an argument. Their shells run
-// in package journal, next to the stream that carries the records.
+// Holder and Observer do no I/O and take the time as an argument. Package
+// journal, which reads and writes the control stream, drives both of them.
 package member
--- a/internal/coordination/member/heartbeats.go
+++ b/internal/coordination/member/heartbeats.go
@@ -17,22 +17,22 @@
 	"merlintiller/internal/wait"
 )
 
-// counters are published as "heartbeats" in expvar.
+// counters is published as "heartbeats" in expvar.
 var counters = expvar.NewMap("heartbeats")
 
-// Heartbeats is the duty that keeps in touch with other instances. It
-// implements coordination.Peers and journal.SnapshotSource.
+// Heartbeats is the background service that exchanges heartbeats with other
+// instances. It implements coordination.Peers and journal.SnapshotSource.
 type Heartbeats struct {
 	opts   Options
 	logger log.Logger
 
 	mu    sync.Mutex
 	view  *View
-	local Local
+	local LocalState
 	seeds []string
 }
 
-// NewHeartbeats returns heartbeats that are idle until Attach.
+// NewHeartbeats returns a service that sends nothing until Attach is called.
 func NewHeartbeats(opts Options) *Heartbeats {
 	opts.setDefaults()
 	return &Heartbeats{
@@ -43,44 +43,45 @@
 	}
 }
 
-// Attach gives the heartbeats the state to speak of. The journal needs the
-// heartbeats to start from a peer, so it is made after them.
-func (h *Heartbeats) Attach(local Local) {
+// Attach sets the local state that heartbeats report. It is separate from
+// NewHeartbeats because the journal, which provides the state, is created later:
+// it needs Heartbeats to load a snapshot from a peer at startup.
+func (h *Heartbeats) Attach(local LocalState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.local = local
 }
 
-// String names the service.
+// String returns the name of the service for the supervisor.
 func (h *Heartbeats) String() string { return "heartbeats" }
 
-// Serve exchanges heartbeats at each interval until ctx ends.
+// Serve exchanges heartbeats at each interval until ctx is done.
 func (h *Heartbeats) Serve(ctx context.Context) error {
-	return wait.Every(ctx, h.opts.Interval, func() { h.round(ctx) })
+	return wait.Every(ctx, h.opts.Interval, func() { h.runRound(ctx) })
 }
 
-func (h *Heartbeats) round(ctx context.Context) {
-	local := h.attached()
+func (h *Heartbeats) runRound(ctx context.Context) {
+	local := h.localState()
 	if local == nil {
 		return
 	}
-	h.relist(local)
+	h.refreshSessions(local)
 	h.exchange(ctx, h.partners())
-	h.catchUp(ctx, local)
+	h.fetchNewerConfig(ctx, local)
 }
 
-func (h *Heartbeats) attached() Local {
+func (h *Heartbeats) localState() LocalState {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.local
 }
 
-// relist takes over the open sessions.
-func (h *Heartbeats) relist(local Local) {
-	var known []Known
+// refreshSessions updates the view with the open sessions of the replayed state.
+func (h *Heartbeats) refreshSessions(local LocalState) {
+	var known []KnownInstance
 	local.View(func(s *replica.State) {
 		for _, info := range s.Sessions.All() {
-			known = append(known, Known{
+			known = append(known, KnownInstance{
 				Instance: info.Instance,
 				Session:  info.Session,
 				Domain:   info.Domain,
@@ -90,10 +91,11 @@
 	})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.view.Listed(time.Now(), known)
+	h.view.UpdateSessions(time.Now(), known)
 }
 
-// partners are the chosen peers and, while none of them answers, the seeds.
+// partners returns the addresses to send heartbeats to. It adds the seeds while
+// no peer is reachable.
 func (h *Heartbeats) partners() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,14 +111,16 @@
 	return addresses
 }
 
-// SetSeeds replaces the seeds, such as by the platform's list of instances.
+// SetSeeds replaces the seed addresses, for example with those in the platform's
+// list of instances.
 func (h *Heartbeats) SetSeeds(addresses []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.seeds = slices.Clone(addresses)
 }
 
-// exchange sends one heartbeat to each address and waits for all answers.
+// exchange sends one heartbeat to each address and waits until every call has
+// returned or timed out.
 func (h *Heartbeats) exchange(ctx context.Context, addresses []string) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.Timeout)
 	defer cancel()
@@ -128,39 +132,39 @@
 }
 
 func (h *Heartbeats) exchangeOne(ctx context.Context, address string) {
-	args := h.beat()
+	args := h.localHeartbeat()
 	var reply Heartbeat
 	counters.Add("sent", 1)
 	if err := h.opts.Caller.Call(ctx, address, MethodHeartbeat, &args, &reply); err != nil {
 		counters.Add("failed", 1)
 		return
 	}
-	h.heard(reply)
+	h.applyHeartbeat(reply)
 }
 
-// beat tells about this instance.
-func (h *Heartbeats) beat() Heartbeat {
-	beat := Heartbeat{
+// localHeartbeat returns the heartbeat of this instance.
+func (h *Heartbeats) localHeartbeat() Heartbeat {
+	heartbeat := Heartbeat{
 		Instance:     h.opts.Instance,
 		Domain:       h.opts.Domain,
 		Address:      h.opts.Address,
 		Applied:      protocol.NoOffset,
 		FleetVersion: protocol.NoOffset,
 	}
-	local := h.attached()
+	local := h.localState()
 	if local == nil || !isLoaded(local) {
-		return beat
+		return heartbeat
 	}
 	tombstones := local.Tombstones()
-	beat.Session = local.Session()
-	beat.Loaded = true
-	beat.Applied, beat.Digest = local.Digest()
-	beat.FleetVersion = local.Fleet().Version
-	beat.Tombstones = tombstones[:min(len(tombstones), MaxBeatTombstones)]
-	return beat
+	heartbeat.Session = local.Session()
+	heartbeat.Loaded = true
+	heartbeat.Applied, heartbeat.Digest = local.Digest()
+	heartbeat.FleetVersion = local.Fleet().Version
+	heartbeat.Tombstones = tombstones[:min(len(tombstones), MaxHeartbeatTombstones)]
+	return heartbeat
 }
 
-func isLoaded(local Local) bool {
+func isLoaded(local LocalState) bool {
 	select {
 	case <-local.Loaded():
 		return true
@@ -169,52 +173,54 @@
 	}
 }
 
-// heard takes over what another instance told.
-func (h *Heartbeats) heard(beat Heartbeat) {
+// applyHeartbeat records a heartbeat from a peer and merges its tombstones.
+func (h *Heartbeats) applyHeartbeat(heartbeat Heartbeat) {
 	h.mu.Lock()
-	h.view.Heard(time.Now(), beat)
+	h.view.RecordHeartbeat(time.Now(), heartbeat)
 	local := h.local
 	h.mu.Unlock()
 	if local == nil {
 		return
 	}
-	local.MergeTombstones(beat.Tombstones)
-	h.compare(local, beat)
+	local.MergeTombstones(heartbeat.Tombstones)
+	h.checkDivergence(local, heartbeat)
 }
 
-// compare notices that another instance decided some record differently. From
-// there on the two may both complete an item, or hold a resource. Nothing here
-// can tell which is right, so an operator is told: the instances of one of the
-// two releases have to be replaced.
-func (h *Heartbeats) compare(local Local, beat Heartbeat) {
-	own, known := local.DigestAt(beat.Applied)
-	if !beat.Loaded || !known || own == beat.Digest {
+// checkDivergence logs an event if a peer reached different verdicts on the same
+// part of the control stream. After such a divergence both instances may complete
+// the same item or hold the same resource. An instance can't determine which
+// verdict is right, so an operator has to replace the instances of one of the two
+// releases.
+func (h *Heartbeats) checkDivergence(local LocalState, heartbeat Heartbeat) {
+	own, known := local.DigestAt(heartbeat.Applied)
+	if !heartbeat.Loaded || !known || own == heartbeat.Digest {
 		return
 	}
 	counters.Add("diverged", 1)
-	_ = h.logger.Log("event", "replica_diverged", "peer", beat.Instance, "applied", beat.Applied)
+	_ = h.logger.Log("event", "replica_diverged", "peer", heartbeat.Instance, "applied", heartbeat.Applied)
 }
 
-// catchUp fetches a newer configuration from a peer while the log can't be
-// read. With the log up the stream brings it without help.
-func (h *Heartbeats) catchUp(ctx context.Context, local Local) {
+// fetchNewerConfig installs a snapshot from a peer that has a newer configuration
+// while the log can't be read. While the log is up, replay of the control stream
+// provides new configurations.
+func (h *Heartbeats) fetchNewerConfig(ctx context.Context, local LocalState) {
 	if !isLoaded(local) || local.LogUp() {
 		return
 	}
 	h.mu.Lock()
-	address, ok := h.view.Newest(time.Now(), local.Fleet().Version)
+	address, ok := h.view.NewestConfigPeer(time.Now(), local.Fleet().Version)
 	h.mu.Unlock()
 	if !ok {
 		return
 	}
-	data, err := h.fetch(ctx, address)
+	data, err := h.fetchSnapshotFrom(ctx, address)
 	if err == nil {
 		err = local.InstallSnapshot(data)
 	}
 	_ = h.logger.Log("event", "configuration_fetched", "peer", address, "fleet", local.Fleet().Version, "err", err)
 }
 
-func (h *Heartbeats) fetch(ctx context.Context, address string) ([]byte, error) {
+func (h *Heartbeats) fetchSnapshotFrom(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.opts.FetchTimeout)
 	defer cancel()
 	var reply SnapshotReply
@@ -222,19 +228,20 @@
 	return reply.Data, trace.Wrap(err)
 }
 
-// errNoPeer: no peer with a replayed state answers.
-var errNoPeer = errors.New("no peer with a replayed state answers")
+// errNoPeer reports that no reachable peer has a replayed state.
+var errNoPeer = errors.New("no reachable peer has a replayed state")
 
-// FetchSnapshot returns the state of the peer that has the newest one.
+// FetchSnapshot returns a snapshot of the reachable peer with the newest
+// configuration.
 func (h *Heartbeats) FetchSnapshot(ctx context.Context) ([]byte, error) {
 	h.exchange(ctx, h.partners())
 	h.mu.Lock()
-	address, ok := h.view.Newest(time.Now(), protocol.NoOffset-1)
+	address, ok := h.view.NewestConfigPeer(time.Now(), protocol.NoOffset-1)
 	h.mu.Unlock()
 	if !ok {
 		return nil, trace.Wrap(errNoPeer)
 	}
-	return h.fetch(ctx, address)
+	return h.fetchSnapshotFrom(ctx, address)
 }
 
 // List implements coordination.Peers.
@@ -250,7 +257,7 @@
 	address, ok := h.view.Address(to)
 	h.mu.Unlock()
 	if !ok {
-		return trace.NotFound("instance %q has no known address", to)
+		return trace.NotFound("peer address of instance %q is not known", to)
 	}
 	return trace.Wrap(h.opts.Caller.Call(ctx, address, method, args, reply))
 }
--- a/internal/coordination/member/holder.go
+++ b/internal/coordination/member/holder.go
@@ -6,10 +6,10 @@
 	"merlintiller/internal/protocol"
 )
 
-// Action is what the holder of a session has to do next.
+// Action is the next step in the life cycle of the instance's own session.
 type Action int
 
-// The actions.
+// Actions that Holder.Next returns.
 const (
 	// Wait: nothing is due yet.
 	Wait Action = iota
@@ -17,20 +17,23 @@
 	Open
 	// Renew: a renewal is due.
 	Renew
-	// Leave: the session was closed for good.
+	// Leave: the instance is shutting down and opens no further session.
 	Leave
 )
 
-// Holder keeps the instance's own session. It is pure and not safe for
-// concurrent use. Times come from time.Now, with both of its clocks.
+// Holder tracks the instance's own session. It does no I/O and is not safe for
+// concurrent use. Its time arguments must come from time.Now, so that they
+// contain both a monotonic and a wall clock reading.
 type Holder struct {
 	timings Timings
 	session protocol.SessionID
-	// sentAt is when the latest confirmed renewal was sent. The time of its
-	// confirmation would be wrong: observers may have read it much earlier.
-	sentAt  time.Time
-	triedAt time.Time
-	leaving bool
+	// sentAt is the time when the latest confirmed renewal was sent. The time of
+	// the confirmation would be too late: observers may have read the renewal
+	// much earlier.
+	sentAt time.Time
+	// attemptedAt is the time when the latest renewal was passed to the writer.
+	attemptedAt time.Time
+	leaving     bool
 }
 
 // NewHolder returns a holder without a session.
@@ -38,10 +41,10 @@
 	return &Holder{timings: timings}
 }
 
-// Session is the open session, zero if there is none.
+// Session returns the open session, or zero if there is none.
 func (h *Holder) Session() protocol.SessionID { return h.session }
 
-// Next says what to do now and, for Wait, for how long to wait.
+// Next returns the action that is due now and, for Wait, how long to wait.
 func (h *Holder) Next(now time.Time) (Action, time.Duration) {
 	if h.leaving {
 		return Leave, 0
@@ -49,57 +52,60 @@
 	if h.session == 0 {
 		return Open, 0
 	}
-	due := h.triedAt.Add(h.timings.Renew)
+	due := h.attemptedAt.Add(h.timings.Renew)
 	if now.Before(due) {
 		return Wait, due.Sub(now)
 	}
 	return Renew, 0
 }
 
-// RenewalAttempted notes that a renewal is handed to the writer.
-func (h *Holder) RenewalAttempted(now time.Time) { h.triedAt = now }
+// RenewalAttempted records that a renewal was passed to the writer at now.
+func (h *Holder) RenewalAttempted(now time.Time) { h.attemptedAt = now }
 
-// Opened notes that replay accepted the open record sent at a time.
+// Opened records that replay accepted the SessionOpen record sent at sentAt.
 func (h *Holder) Opened(session protocol.SessionID, sentAt time.Time) {
 	h.session = session
 	h.sentAt = sentAt
-	h.triedAt = sentAt
+	h.attemptedAt = sentAt
 }
 
-// Renewed notes that replay accepted a renewal sent at a time.
+// Renewed records that replay accepted the renewal sent at sentAt.
 func (h *Holder) Renewed(session protocol.SessionID, sentAt time.Time) {
 	if session == h.session && sentAt.After(h.sentAt) {
 		h.sentAt = sentAt
 	}
 }
 
-// Ended notes that replay ended a session. The next action is to open another.
+// Ended records that replay ended a session. If it is the instance's own, the
+// next action is Open.
 func (h *Holder) Ended(session protocol.SessionID) {
 	if session == h.session {
 		h.session = 0
 	}
 }
 
-// Closing notes that the instance is shutting down and wants no session again.
+// Closing records that the instance is shutting down and must not open another
+// session.
 func (h *Holder) Closing() { h.leaving = true }
 
-// MayHold reports whether exclusive work under the session may go on.
+// MayHold reports whether exclusive work under the session may continue.
 //
 // An instance that was paused, or whose renewals no longer reach the log, does
-// not know whether its session was expired and its work given to another. Two
-// holders would show as items run twice and targets getting orders in turn. So
-// it stops by its own clock before any observer may propose the expiry. It
-// resumes under the same session if a later renewal is accepted, since that
-// proves that the session never ended.
+// not know whether its session has expired and its work has been assigned to
+// another instance. With two holders, items would run twice and targets would
+// get conflicting orders from both. The instance therefore stops by its own clock
+// before any observer may propose the expiry. It resumes under the same session if
+// a later renewal is accepted, because acceptance proves that the session never
+// ended.
 func (h *Holder) MayHold(now time.Time) bool {
 	return h.session != 0 && elapsed(h.sentAt, now) < h.timings.Hold
 }
 
-// elapsed is the longer of the time by the monotonic clock and that by the wall
-// clock. The monotonic clock of a virtual machine stands still while the whole
-// machine is suspended, and the holder would take no notice of the pause. A
-// wall clock that is set forward only makes the holder stop too early, until
-// its next renewal.
+// elapsed returns the longer of the durations measured by the monotonic clock and
+// by the wall clock. The monotonic clock of a virtual machine stops while the
+// machine is suspended, so it alone would hide the pause from the holder. A wall
+// clock that is set forward only makes the holder stop too early, until its next
+// renewal.
 func elapsed(since, now time.Time) time.Duration {
 	monotonic := now.Sub(since)
 	wall := now.Round(0).Sub(since.Round(0))
--- a/internal/coordination/member/member_test.go
+++ b/internal/coordination/member/member_test.go
@@ -16,10 +16,10 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// The answer to a renewal takes long. Observers may have read the renewal soon
-// after it was sent, so the holder's time must run from the sending; counted
-// from the answer, it would still work when another has taken over.
-func TestHoldTimeRunsFromTheSending(t *testing.T) {
+// The confirmation of a renewal arrives late. Observers may have read the renewal
+// soon after it was sent, so the hold time must start when it was sent. Counted
+// from the confirmation, the holder would still work after a takeover.
+func TestHoldTimeStartsWhenRenewalIsSent(t *testing.T) {
 	h := NewHolder(DefaultTimings())
 	h.Opened(1, start)
 	require.True(t, h.MayHold(after(5*time.Second)))
@@ -28,13 +28,13 @@
 	require.True(t, h.MayHold(after(7*time.Second)))
 	require.False(t, h.MayHold(after(8*time.Second)))
 	h.Renewed(1, after(time.Second))
-	require.True(t, h.MayHold(after(7*time.Second)), "an older confirmation took time away")
+	require.True(t, h.MayHold(after(7*time.Second)), "an older confirmation shortened the hold time")
 	h.Renewed(2, after(20*time.Second))
 	require.False(t, h.MayHold(after(20*time.Second)), "another session's renewal counted")
 }
 
-// A whole machine is suspended with its monotonic clock and set going again.
-// Only the wall clock, which the host corrects, shows how long that was.
+// A virtual machine is suspended, together with its monotonic clock, and resumed.
+// Only the wall clock, which the host corrects, shows how long the pause was.
 func TestSuspendedMachineStopsHolding(t *testing.T) {
 	h := NewHolder(DefaultTimings())
 	sent := time.Now()
@@ -63,8 +63,9 @@
 	require.Equal(t, Leave, action)
 }
 
-// A clock runs fast at the observer and slow at the holder. Whatever settings
-// pass the check, the holder must have stopped before the observer may act.
+// The observer's clock runs fast and the holder's clock runs slow. With any
+// timings that pass Check, the holder must stop before the observer may propose
+// the expiry. Otherwise two sessions could hold the same resource.
 func TestNoOverlapForAnyClockWithinDrift(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		timings := Timings{
@@ -97,57 +98,61 @@
 	}
 }
 
-// look runs an observer that reads the end of the stream at each second.
-func look(o *Observer, from, until time.Duration, since time.Time, confirmed bool, open []session.Info) []protocol.SessionExpire {
+// observeEverySecond runs an observer that reads the stream to its end once a
+// second.
+func observeEverySecond(o *Observer, from, until time.Duration, since time.Time, confirmed bool, open []session.Info) []protocol.SessionExpire {
 	var proposals []protocol.SessionExpire
 	for at := from; at <= until; at += time.Second {
-		evidence := StreamStatus{ReadStartedAt: after(at), CaughtUpSince: since, RenewalsAccepted: confirmed, OwnSession: 1}
-		proposals = append(proposals, o.Observe(after(at), evidence, open)...)
+		status := StreamStatus{ReadStartedAt: after(at), CaughtUpSince: since, RenewalsAccepted: confirmed, OwnSession: 1}
+		proposals = append(proposals, o.Observe(after(at), status, open)...)
 	}
 	return proposals
 }
 
-func alone(last protocol.Offset) []session.Info {
+// ownAndOneOther returns the observer's own session and session 2, which was last
+// renewed at offset last.
+func ownAndOneOther(last protocol.Offset) []session.Info {
 	return []session.Info{{Session: 1, LastRenewal: 1}, {Session: 2, LastRenewal: last}}
 }
 
 func TestObserverProposesAfterSilence(t *testing.T) {
 	o := NewObserver(DefaultTimings())
-	require.Empty(t, look(o, 0, 8*time.Second, start, true, alone(5)))
-	proposals := look(o, 9*time.Second, 9*time.Second, start, true, alone(5))
+	require.Empty(t, observeEverySecond(o, 0, 8*time.Second, start, true, ownAndOneOther(5)))
+	proposals := observeEverySecond(o, 9*time.Second, 9*time.Second, start, true, ownAndOneOther(5))
 	require.Equal(t, []protocol.SessionExpire{{Session: 2, LastRenewal: 5}}, proposals)
-	require.Empty(t, look(o, 10*time.Second, 16*time.Second, start, true, alone(5)), "one proposal at a time")
-	require.Len(t, look(o, 17*time.Second, 18*time.Second, start, true, alone(5)), 1, "a lost proposal is made again")
-	require.Empty(t, look(o, 19*time.Second, 27*time.Second, start, true, alone(6)), "a renewal starts the time anew")
+	require.Empty(t, observeEverySecond(o, 10*time.Second, 16*time.Second, start, true, ownAndOneOther(5)), "a second proposal before the first can have been read")
+	require.Len(t, observeEverySecond(o, 17*time.Second, 18*time.Second, start, true, ownAndOneOther(5)), 1, "a lost proposal was not repeated")
+	require.Empty(t, observeEverySecond(o, 19*time.Second, 27*time.Second, start, true, ownAndOneOther(6)), "a renewal did not restart the silence")
 }
 
-// The stream could not be read for a while, or the observer's own renewals were
-// not accepted. Silence of that time says nothing about the others.
+// The observer can't read the stream during an outage, or its own renewals are
+// not accepted. Missing renewals of other sessions in that time are no status
+// that their instances are down.
 func TestSilenceDuringAnOutageDoesNotCount(t *testing.T) {
 	o := NewObserver(DefaultTimings())
-	look(o, 0, 7*time.Second, start, true, alone(5))
-	back := after(60 * time.Second)
-	require.Empty(t, look(o, 60*time.Second, 68*time.Second, back, true, alone(5)))
-	require.Len(t, look(o, 69*time.Second, 69*time.Second, back, true, alone(5)), 1)
+	observeEverySecond(o, 0, 7*time.Second, start, true, ownAndOneOther(5))
+	recovered := after(60 * time.Second)
+	require.Empty(t, observeEverySecond(o, 60*time.Second, 68*time.Second, recovered, true, ownAndOneOther(5)))
+	require.Len(t, observeEverySecond(o, 69*time.Second, 69*time.Second, recovered, true, ownAndOneOther(5)), 1)
 
 	o = NewObserver(DefaultTimings())
-	look(o, 0, 7*time.Second, start, true, alone(5))
-	require.Empty(t, look(o, 8*time.Second, 60*time.Second, start, false, alone(5)))
-	require.Empty(t, look(o, 61*time.Second, 69*time.Second, start, true, alone(5)))
+	observeEverySecond(o, 0, 7*time.Second, start, true, ownAndOneOther(5))
+	require.Empty(t, observeEverySecond(o, 8*time.Second, 60*time.Second, start, false, ownAndOneOther(5)))
+	require.Empty(t, observeEverySecond(o, 61*time.Second, 69*time.Second, start, true, ownAndOneOther(5)))
 }
 
-// The observer itself is paused for ten seconds. When it wakes its latest read
-// is old, and the renewals of that time wait unread.
+// The observer itself is paused for more than ten seconds. When it resumes, its
+// latest read is old and it has not yet read the renewals of that time.
 func TestPausedObserverProposesNothingFromAnOldRead(t *testing.T) {
 	o := NewObserver(DefaultTimings())
-	look(o, 0, time.Second, start, true, alone(5))
+	observeEverySecond(o, 0, time.Second, start, true, ownAndOneOther(5))
 	old := StreamStatus{ReadStartedAt: after(time.Second), CaughtUpSince: start, RenewalsAccepted: true, OwnSession: 1}
-	require.Empty(t, o.Observe(after(20*time.Second), old, alone(5)))
+	require.Empty(t, o.Observe(after(20*time.Second), old, ownAndOneOther(5)))
 }
 
-// Many instances see the same silence. They propose in turn, so that a death
-// costs one append and not one of each.
-func TestObserversProposeInTurn(t *testing.T) {
+// Many instances detect the same silent session. Their proposals are staggered,
+// so that one terminated instance costs one append instead of one per observer.
+func TestObserversStaggerTheirProposals(t *testing.T) {
 	var open []session.Info
 	for id := range 12 {
 		open = append(open, session.Info{Session: protocol.SessionID(id + 1), LastRenewal: 1})
@@ -166,19 +171,19 @@
 			}
 		}
 	}
-	require.Len(t, first, 11, "two observers chose the same moment: %v", first)
+	require.Len(t, first, 11, "two observers proposed at the same time: %v", first)
 }
 
-// A full mesh of heartbeats would cost more than the budget for control. Each
-// instance keeps to its domain and a few of each other one, and no instance is
-// left out by all.
-func TestPartnersArePartialAndCoverEveryone(t *testing.T) {
+// A full mesh of heartbeats would exceed the traffic budget for coordination. Each
+// instance exchanges heartbeats with all of its failure domain and a few instances
+// of each other domain, and every instance is the partner of at least one other.
+func TestPartnersAreLimitedAndCoverEveryInstance(t *testing.T) {
 	const domains, each = 4, 20
-	var known []Known
+	var known []KnownInstance
 	for d := range domains {
 		for i := range each {
 			name := fmt.Sprintf("d%d-i%d", d, i)
-			known = append(known, Known{
+			known = append(known, KnownInstance{
 				Instance: protocol.InstanceID(name),
 				Domain:   protocol.Domain(fmt.Sprint("d", d)),
 				Address:  name + ":1",
@@ -188,7 +193,7 @@
 	chosen := map[string]int{}
 	for _, own := range known {
 		v := NewView(own.Instance, own.Domain, DefaultViewLimits())
-		v.Listed(start, known)
+		v.UpdateSessions(start, known)
 		partners := v.Partners()
 		require.Len(t, partners, each-1+(domains-1)*DefaultViewLimits().OtherDomain)
 		require.NotContains(t, partners, own.Address)
@@ -199,25 +204,25 @@
 	require.Len(t, chosen, len(known))
 }
 
-func TestViewForgetsTheDead(t *testing.T) {
+func TestViewDropsPeersWithoutSessionOrHeartbeat(t *testing.T) {
 	v := NewView("a", "d", DefaultViewLimits())
-	v.Listed(start, []Known{{Instance: "b", Domain: "d", Address: "b:1"}})
-	require.False(t, v.Peers(start)[0].Reachable, "listed, but never heard")
-	v.Heard(after(time.Second), Heartbeat{Instance: "b", Domain: "d", Address: "b:1", Loaded: true, FleetVersion: 5})
+	v.UpdateSessions(start, []KnownInstance{{Instance: "b", Domain: "d", Address: "b:1"}})
+	require.False(t, v.Peers(start)[0].Reachable, "has a session, but never sent a heartbeat")
+	v.RecordHeartbeat(after(time.Second), Heartbeat{Instance: "b", Domain: "d", Address: "b:1", Loaded: true, FleetVersion: 5})
 	require.True(t, v.Peers(after(2 * time.Second))[0].Reachable)
-	address, ok := v.Newest(after(2*time.Second), 4)
+	address, ok := v.NewestConfigPeer(after(2*time.Second), 4)
 	require.True(t, ok)
 	require.Equal(t, "b:1", address)
-	_, ok = v.Newest(after(2*time.Second), 5)
+	_, ok = v.NewestConfigPeer(after(2*time.Second), 5)
 	require.False(t, ok)
-	v.Listed(after(30*time.Second), nil)
+	v.UpdateSessions(after(30*time.Second), nil)
 	require.Len(t, v.Peers(after(30*time.Second)), 1)
-	v.Listed(after(2*time.Minute), nil)
+	v.UpdateSessions(after(2*time.Minute), nil)
 	require.Empty(t, v.Peers(after(2*time.Minute)))
 }
 
-// Withdrawals travel by many ways and meet in any order. The set must come out
-// the same, or one instance would let in whom another shuts out.
+// Withdrawals arrive over several paths and in any order. The merged sets must be
+// equal, or one instance would accept a key that another rejects.
 func TestTombstonesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOf(rapid.StringMatching("[a-d]")).Draw(t, "keys")
--- a/internal/coordination/member/options.go
+++ b/internal/coordination/member/options.go
@@ -9,8 +9,8 @@
 	"merlintiller/internal/state/replica"
 )
 
-// Local is the instance's own replayed state, as heartbeats need it.
-type Local interface {
+// LocalState is the part of the instance's replayed state that Heartbeats uses.
+type LocalState interface {
 	Session() protocol.SessionID
 	Fleet() *protocol.Fleet
 	Digest() (protocol.Offset, uint64)
@@ -24,22 +24,24 @@
 	InstallSnapshot(data []byte) error
 }
 
-// Options make Heartbeats.
+// Options configure Heartbeats.
 type Options struct {
 	Instance protocol.InstanceID
 	Domain   protocol.Domain
-	// Address is the own peer address, "ip:port".
+	// Address is the peer address of this instance, "ip:port".
 	Address string
-	// Seeds are peer addresses from the settings. They are asked while no
-	// other peer is known, such as at a start while the log is down.
+	// Seeds are peer addresses from the settings. Heartbeats go to them while no
+	// peer is reachable, for example at a startup while the log is down.
 	Seeds  []string
 	Caller protocol.Caller
 	Logger log.Logger
-	// Interval is the time between two rounds of heartbeats, 1 s by default. At
-	// 340 instances it is raised to stay inside the budget for control.
+	// Interval is the time between two heartbeat rounds, 1 s by default. At 340
+	// instances it has to be longer to stay within the traffic budget for
+	// coordination.
 	Interval time.Duration
-	// Timeout bounds one heartbeat, FetchTimeout the transfer of a snapshot.
-	Timeout      time.Duration
+	// Timeout bounds one heartbeat exchange, 1 s by default.
+	Timeout time.Duration
+	// FetchTimeout bounds the transfer of one snapshot, 10 s by default.
 	FetchTimeout time.Duration
 	Limits       ViewLimits
 }
--- a/internal/coordination/member/peer.go
+++ b/internal/coordination/member/peer.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// errNotLoaded: the asked instance has no replayed state yet. Two instances
-// that start together must not take the empty state from each other, or they
-// would let withdrawn keys in and accept what was done before.
+// errNotLoaded reports that this instance has no replayed state yet. Two instances
+// that start at the same time must not load the empty state from each other:
+// they would admit withdrawn keys and accept records that were already applied.
 var errNotLoaded = errors.New("state not loaded")
 
-// Peer is the net/rpc receiver that answers other instances. It is registered
+// Peer is the net/rpc receiver for calls from other instances. It is registered
 // under ServiceName.
 type Peer struct {
 	heartbeats *Heartbeats
@@ -16,16 +16,16 @@
 // Receiver returns the net/rpc receiver.
 func (h *Heartbeats) Receiver() *Peer { return &Peer{heartbeats: h} }
 
-// Heartbeat takes over what the caller tells and tells about this instance.
+// Heartbeat applies the caller's heartbeat and replies with that of this instance.
 func (p *Peer) Heartbeat(args *Heartbeat, reply *Heartbeat) error {
-	p.heartbeats.heard(*args)
-	*reply = p.heartbeats.beat()
+	p.heartbeats.applyHeartbeat(*args)
+	*reply = p.heartbeats.localHeartbeat()
 	return nil
 }
 
-// Snapshot gives the caller the replayed state.
+// Snapshot replies with the replayed state.
 func (p *Peer) Snapshot(_ *SnapshotArgs, reply *SnapshotReply) error {
-	local := p.heartbeats.attached()
+	local := p.heartbeats.localState()
 	if local == nil || !isLoaded(local) {
 		return errNotLoaded
 	}
--- a/internal/coordination/member/rendezvous.go
+++ b/internal/coordination/member/rendezvous.go
@@ -8,23 +8,23 @@
 	"merlintiller/internal/protocol"
 )
 
-// score is the weight of a session for a duty in rendezvous hashing.
-func score(duty string, session protocol.SessionID) uint64 {
-	buffer := make([]byte, 0, len(duty)+8)
-	buffer = append(buffer, duty...)
+// score returns the rendezvous hash weight of a session for a task.
+func score(task string, session protocol.SessionID) uint64 {
+	buffer := make([]byte, 0, len(task)+8)
+	buffer = append(buffer, task...)
 	buffer = binary.BigEndian.AppendUint64(buffer, uint64(session))
 	return xxhash.Sum64(buffer)
 }
 
-// Rank is the place of a session in the order that rendezvous hashing gives
-// the candidates for a duty; 0 is first. A wrong view of the candidates costs a
-// second try or a delay, never correctness: replay decides.
-func Rank(duty string, own protocol.SessionID, candidates []protocol.SessionID) int {
-	mine := score(duty, own)
+// Rank returns the position of own in the rendezvous hash order of the candidates
+// for a task; 0 is first. An outdated list of candidates costs a second attempt or
+// a delay but never correctness, because replay decides which record is accepted.
+func Rank(task string, own protocol.SessionID, candidates []protocol.SessionID) int {
+	ownScore := score(task, own)
 	rank := 0
 	for _, other := range candidates {
-		theirs := score(duty, other)
-		if theirs > mine || theirs == mine && other > own {
+		otherScore := score(task, other)
+		if otherScore > ownScore || otherScore == ownScore && other > own {
 			rank++
 		}
 	}
--- a/internal/coordination/member/timings.go
+++ b/internal/coordination/member/timings.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Timings are the durations of sessions. The defaults are for 9 to 12
-// instances; at 340, Renew is raised to 10 s so that all renewals together
-// stay at 34 appends a second.
+// Timings configure sessions. The defaults are for 9 to 12 instances. At 340
+// instances, Renew has to be raised to 10 s so that all renewals together stay at
+// 34 appends a second.
 type Timings struct {
-	// Renew is the time between two renewals of the own session.
+	// Renew is the time between two renewals of the instance's own session.
 	Renew time.Duration
-	// Hold is how long after a confirmed renewal was sent exclusive work may
-	// go on. It spans three renewals, so that two may be lost.
+	// Hold is how long exclusive work may continue after a confirmed renewal was
+	// sent. The default spans three renewals, so that two may be lost.
 	Hold time.Duration
-	// Expire is how long a session must be silent before its expiry may be
-	// proposed. It must exceed Hold by more than the clocks may drift apart.
+	// Expire is how long a session must be without renewals before an observer may
+	// propose its expiry. It must exceed Hold by more than the clocks may drift
+	// apart.
 	Expire time.Duration
-	// Stagger is the further wait of each observer that is not the first in
-	// line to propose an expiry, so that one proposes and not all at once. It
-	// must cover a poll of the log and a tick of the observer, or the second
-	// proposes before it can have read the first one's record.
+	// Stagger is the additional delay per rank before an observer proposes an
+	// expiry, so that one observer proposes instead of all at once. It must cover
+	// a poll of the log and a tick of the observer. Otherwise the second observer
+	// proposes before it can have read the record of the first.
 	Stagger time.Duration
-	// Drift is by how much a clock may run too fast or too slow, as a ratio.
+	// Drift is the largest clock rate error, fast or slow, as a ratio.
 	Drift float64
 }
 
@@ -37,8 +38,8 @@
 	}
 }
 
-// Check reports the first setting that would make two instances hold the same
-// resource, or make a healthy instance lose what it holds.
+// Check returns an error for the first setting that could let two instances hold
+// the same resource or make a healthy instance lose its session.
 func (t Timings) Check() error {
 	least := time.Duration(float64(t.Hold) * (1 + t.Drift) / (1 - t.Drift))
 	switch {
--- a/internal/coordination/member/tombstones.go
+++ b/internal/coordination/member/tombstones.go
@@ -8,12 +8,12 @@
 	"merlintiller/internal/protocol"
 )
 
-// MaxTombstones bounds the withdrawals that wait for the log, so that a faulty
-// peer can't fill the memory.
+// MaxTombstones limits the withdrawals that are not yet in the replayed state, so
+// that a faulty peer can't exhaust memory.
 const MaxTombstones = 65536
 
-// Tombstones is the set of keys withdrawn without the log. It may be merged
-// with another in any order: a withdrawal is never taken back. It is safe for
+// Tombstones is the set of key withdrawals that did not arrive over the log. Sets
+// may be merged in any order, because a withdrawal is never undone. It is safe for
 // concurrent use.
 type Tombstones struct {
 	mu  sync.Mutex
@@ -25,7 +25,8 @@
 	return &Tombstones{set: map[protocol.KeyID]protocol.KeyWithdraw{}}
 }
 
-// Add adds a withdrawal and reports whether it is new.
+// Add adds a withdrawal and reports whether it was added. It returns false if the
+// key is already in the set or the set is full.
 func (t *Tombstones) Add(tombstone protocol.KeyWithdraw) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +38,7 @@
 	return true
 }
 
-// Remove drops a withdrawal that the replayed state has taken over.
+// Remove drops a withdrawal that the replayed state now contains.
 func (t *Tombstones) Remove(key protocol.KeyID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/coordination/member/view.go
+++ b/internal/coordination/member/view.go
@@ -11,17 +11,20 @@
 	"merlintiller/internal/protocol"
 )
 
-// ViewLimits bound whom an instance exchanges heartbeats with. A full mesh of
-// 340 instances would spend the whole budget for control on heartbeats.
+// ViewLimits limit the number of peers that an instance exchanges heartbeats with
+// and the time it remembers them. A full mesh of 340 instances would spend the
+// whole traffic budget for coordination on heartbeats.
 type ViewLimits struct {
-	// OwnDomain is the most partners in the own failure domain.
+	// OwnDomain is the maximum number of partners in the instance's failure domain.
 	OwnDomain int
-	// OtherDomain is the most partners in each other failure domain. Two, so
-	// that one dead partner doesn't cut the way between the domains.
+	// OtherDomain is the maximum number of partners in each other failure domain.
+	// The default is two, so that one terminated partner doesn't interrupt the
+	// exchange between the domains.
 	OtherDomain int
-	// Reachable is how recent the last heartbeat of a reachable peer is.
+	// Reachable is the maximum age of the last heartbeat of a reachable peer.
 	Reachable time.Duration
-	// Forget is when a silent peer without an open session is dropped.
+	// Forget is the time without heartbeats after which a peer without an open
+	// session is dropped.
 	Forget time.Duration
 }
 
@@ -35,178 +38,186 @@
 	}
 }
 
-// Known is an instance that the control stream or the settings name.
-type Known struct {
+// KnownInstance is an instance that has an open session or has sent a heartbeat.
+type KnownInstance struct {
 	Instance protocol.InstanceID
 	Session  protocol.SessionID
 	Domain   protocol.Domain
 	Address  string
 }
 
-type contact struct {
-	Known
-	// heard is when its last heartbeat came, or when it became known.
-	heard time.Time
-	// beaten says that a heartbeat of it ever came.
-	beaten bool
-	// listed says that it has an open session.
-	listed bool
-	beat   Heartbeat
+// peerEntry is the state that a View keeps about one peer.
+type peerEntry struct {
+	KnownInstance
+	// lastSeen is the time of the last heartbeat, or the time when the peer became
+	// known.
+	lastSeen time.Time
+	// heartbeatReceived reports whether the peer has ever sent a heartbeat.
+	heartbeatReceived bool
+	// hasSession reports whether the peer has an open session.
+	hasSession    bool
+	lastHeartbeat Heartbeat
 }
 
-// View is what an instance knows of the others. It is pure and not safe for
-// concurrent use. All of it is a hint: it decides whom to ask first, and never
-// who is dead.
+// View holds an instance's knowledge of its peers. It does no I/O and is not safe
+// for concurrent use. All of it is a hint: it decides which peers to call first,
+// and never proves that an instance is down.
 type View struct {
-	own      protocol.InstanceID
-	domain   protocol.Domain
-	limits   ViewLimits
-	contacts map[protocol.InstanceID]*contact
+	own    protocol.InstanceID
+	domain protocol.Domain
+	limits ViewLimits
+	peers  map[protocol.InstanceID]*peerEntry
 }
 
 // NewView returns a view without peers.
 func NewView(own protocol.InstanceID, domain protocol.Domain, limits ViewLimits) *View {
-	return &View{own: own, domain: domain, limits: limits, contacts: map[protocol.InstanceID]*contact{}}
+	return &View{own: own, domain: domain, limits: limits, peers: map[protocol.InstanceID]*peerEntry{}}
 }
 
-// Listed takes over the instances with an open session, and drops those that
-// have neither a session nor given a sign of life lately.
-func (v *View) Listed(now time.Time, known []Known) {
-	for _, c := range v.contacts {
-		c.listed = false
+// UpdateSessions sets the instances that have an open session. It drops peers that
+// have neither an open session nor a heartbeat within ViewLimits.Forget.
+func (v *View) UpdateSessions(now time.Time, known []KnownInstance) {
+	for _, p := range v.peers {
+		p.hasSession = false
 	}
 	for _, k := range known {
 		if k.Instance == v.own {
 			continue
 		}
-		c := v.contact(now, k.Instance)
-		c.Known = k
-		c.listed = true
+		p := v.entry(now, k.Instance)
+		p.KnownInstance = k
+		p.hasSession = true
 	}
-	for id, c := range v.contacts {
-		if !c.listed && now.Sub(c.heard) >= v.limits.Forget {
-			delete(v.contacts, id)
+	for id, p := range v.peers {
+		if !p.hasSession && now.Sub(p.lastSeen) >= v.limits.Forget {
+			delete(v.peers, id)
 		}
 	}
 }
 
-// Heard takes over a heartbeat.
-func (v *View) Heard(now time.Time, beat Heartbeat) {
-	if beat.Instance == "" || beat.Instance == v.own {
+// RecordHeartbeat records a heartbeat that a peer sent.
+func (v *View) RecordHeartbeat(now time.Time, heartbeat Heartbeat) {
+	if heartbeat.Instance == "" || heartbeat.Instance == v.own {
 		return
 	}
-	c := v.contact(now, beat.Instance)
-	c.Known = Known{Instance: beat.Instance, Session: beat.Session, Domain: beat.Domain, Address: beat.Address}
-	c.heard = now
-	c.beaten = true
-	c.beat = beat
-	c.beat.Tombstones = nil
-}
-
-func (v *View) contact(now time.Time, id protocol.InstanceID) *contact {
-	c, ok := v.contacts[id]
+	p := v.entry(now, heartbeat.Instance)
+	p.KnownInstance = KnownInstance{Instance: heartbeat.Instance, Session: heartbeat.Session, Domain: heartbeat.Domain, Address: heartbeat.Address}
+	p.lastSeen = now
+	p.heartbeatReceived = true
+	p.lastHeartbeat = heartbeat
+	// The receiver merges the tombstones separately; keeping them here would only
+	// occupy memory.
+	p.lastHeartbeat.Tombstones = nil
+}
+
+func (v *View) entry(now time.Time, id protocol.InstanceID) *peerEntry {
+	p, ok := v.peers[id]
 	if !ok {
-		c = &contact{heard: now}
-		v.contacts[id] = c
+		p = &peerEntry{lastSeen: now}
+		v.peers[id] = p
 	}
-	return c
+	return p
 }
 
-// Address is the peer address of an instance.
+// Address returns the peer address of an instance. It returns false if the address
+// is not known.
 func (v *View) Address(id protocol.InstanceID) (string, bool) {
-	c, ok := v.contacts[id]
-	if !ok || c.Address == "" {
+	p, ok := v.peers[id]
+	if !ok || p.Address == "" {
 		return "", false
 	}
-	return c.Address, true
+	return p.Address, true
 }
 
-// Peers lists the others, own failure domain first.
+// Peers returns the known peers, those in the instance's failure domain first.
 func (v *View) Peers(now time.Time) []coordination.Peer {
-	peers := make([]coordination.Peer, 0, len(v.contacts))
-	for _, c := range v.contacts {
-		silent := now.Sub(c.heard)
+	peers := make([]coordination.Peer, 0, len(v.peers))
+	for _, p := range v.peers {
+		silent := now.Sub(p.lastSeen)
 		peers = append(peers, coordination.Peer{
-			Instance:  c.Instance,
-			Session:   c.Session,
-			Domain:    c.Domain,
-			Address:   c.Address,
-			Reachable: c.beaten && silent <= v.limits.Reachable,
+			Instance:  p.Instance,
+			Session:   p.Session,
+			Domain:    p.Domain,
+			Address:   p.Address,
+			Reachable: p.heartbeatReceived && silent <= v.limits.Reachable,
 			Silent:    silent,
 		})
 	}
-	slices.SortFunc(peers, v.compare)
+	slices.SortFunc(peers, v.comparePeers)
 	return peers
 }
 
-func (v *View) compare(a, b coordination.Peer) int {
+func (v *View) comparePeers(a, b coordination.Peer) int {
 	return cmp.Or(
-		cmp.Compare(v.distance(a.Domain), v.distance(b.Domain)),
+		cmp.Compare(v.domainOrder(a.Domain), v.domainOrder(b.Domain)),
 		cmp.Compare(a.Domain, b.Domain),
 		cmp.Compare(a.Instance, b.Instance),
 	)
 }
 
-func (v *View) distance(domain protocol.Domain) int {
+func (v *View) domainOrder(domain protocol.Domain) int {
 	if domain == v.domain {
 		return 0
 	}
 	return 1
 }
 
-// Partners are the addresses to send heartbeats to: all of the own failure
-// domain and a few of each other one, chosen by rendezvous hashing, so that
-// every instance picks others.
+// Partners returns the addresses to send heartbeats to: up to ViewLimits.OwnDomain
+// in the instance's failure domain and up to ViewLimits.OtherDomain in each other
+// one. Rendezvous hashing chooses them, so that instances choose different
+// partners.
 func (v *View) Partners() []string {
-	byDomain := map[protocol.Domain][]*contact{}
-	for _, c := range v.contacts {
-		if c.Address != "" {
-			byDomain[c.Domain] = append(byDomain[c.Domain], c)
+	byDomain := map[protocol.Domain][]*peerEntry{}
+	for _, p := range v.peers {
+		if p.Address != "" {
+			byDomain[p.Domain] = append(byDomain[p.Domain], p)
 		}
 	}
 	var addresses []string
-	for domain, contacts := range byDomain {
+	for domain, peers := range byDomain {
 		limit := v.limits.OtherDomain
 		if domain == v.domain {
 			limit = v.limits.OwnDomain
 		}
-		slices.SortFunc(contacts, v.byScore)
-		for _, c := range contacts[:min(limit, len(contacts))] {
-			addresses = append(addresses, c.Address)
+		slices.SortFunc(peers, v.byScore)
+		for _, p := range peers[:min(limit, len(peers))] {
+			addresses = append(addresses, p.Address)
 		}
 	}
 	slices.Sort(addresses)
 	return addresses
 }
 
-func (v *View) byScore(a, b *contact) int {
-	return cmp.Or(cmp.Compare(v.pair(b.Instance), v.pair(a.Instance)), cmp.Compare(a.Instance, b.Instance))
+func (v *View) byScore(a, b *peerEntry) int {
+	return cmp.Or(cmp.Compare(v.partnerScore(b.Instance), v.partnerScore(a.Instance)), cmp.Compare(a.Instance, b.Instance))
 }
 
-func (v *View) pair(other protocol.InstanceID) uint64 {
+func (v *View) partnerScore(other protocol.InstanceID) uint64 {
 	return xxhash.Sum64String(string(v.own) + "\x00" + string(other))
 }
 
-// AnyReachable reports whether some peer gave a sign of life lately.
+// AnyReachable reports whether any peer has sent a heartbeat within
+// ViewLimits.Reachable.
 func (v *View) AnyReachable(now time.Time) bool {
-	for _, c := range v.contacts {
-		if c.beaten && now.Sub(c.heard) <= v.limits.Reachable {
+	for _, p := range v.peers {
+		if p.heartbeatReceived && now.Sub(p.lastSeen) <= v.limits.Reachable {
 			return true
 		}
 	}
 	return false
 }
 
-// Newest is the reachable peer with the newest configuration, if it is newer
-// than a version.
-func (v *View) Newest(now time.Time, than protocol.Offset) (string, bool) {
-	var best *contact
-	for _, c := range v.contacts {
-		if !c.beaten || !c.beat.Loaded || now.Sub(c.heard) > v.limits.Reachable || c.beat.FleetVersion <= than {
+// NewestConfigPeer returns the address of the reachable peer with the newest
+// configuration. It returns false if no reachable peer has a configuration newer
+// than version.
+func (v *View) NewestConfigPeer(now time.Time, version protocol.Offset) (string, bool) {
+	var best *peerEntry
+	for _, p := range v.peers {
+		if !p.heartbeatReceived || !p.lastHeartbeat.Loaded || now.Sub(p.lastSeen) > v.limits.Reachable || p.lastHeartbeat.FleetVersion <= version {
 			continue
 		}
-		if best == nil || newer(c, best) {
-			best = c
+		if best == nil || hasNewerConfig(p, best) {
+			best = p
 		}
 	}
 	if best == nil {
@@ -215,10 +226,10 @@
 	return best.Address, true
 }
 
-func newer(a, b *contact) bool {
+func hasNewerConfig(a, b *peerEntry) bool {
 	return cmp.Or(
-		cmp.Compare(a.beat.FleetVersion, b.beat.FleetVersion),
-		cmp.Compare(a.beat.Applied, b.beat.Applied),
+		cmp.Compare(a.lastHeartbeat.FleetVersion, b.lastHeartbeat.FleetVersion),
+		cmp.Compare(a.lastHeartbeat.Applied, b.lastHeartbeat.Applied),
 		cmp.Compare(b.Instance, a.Instance),
 	) > 0
 }
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -43,7 +43,7 @@
 		Caller:   a.client,
 		Logger:   d.logger,
 		Seeds:    s.Seeds,
-		Interval:    s.Timings.Heartbeat,
+		Interval: s.Timings.Heartbeat,
 		Timeout:  s.Timings.PeerTimeout,
 		Limits:   viewLimits(s.Timings),
 	})
