--- a/internal/coordination/access/access.go
+++ b/internal/coordination/access/access.go
@@ -1,4 +1,4 @@
-// Package access tells whose request it is by the key that came with it.
+// Package access authenticates requests by the caller's key.
 package access
 
 import (
@@ -12,29 +12,30 @@
 	"merlintiller/internal/protocol"
 )
 
-// Caller is who a request runs for.
+// Caller identifies the key and the organisation of a request.
 type Caller struct {
 	Key          protocol.KeyID
 	Organisation protocol.OrganisationID
 }
 
-// Keys finds callers by their keys in the configuration in force. It is safe
-// for concurrent use.
+// Keys authenticates callers against the keys in the configuration in force. It is
+// safe for concurrent use.
 type Keys struct {
 	fleet   func() *protocol.Fleet
 	current atomic.Pointer[index]
 	build   sync.Mutex
 }
 
-// New returns the keys of the configuration that fleet gives. fleet must give
-// a new pointer whenever a key was added or withdrawn.
+// New returns Keys that use the configuration returned by fleet. fleet must return a
+// new pointer whenever a key was added or withdrawn, because the index of keys is
+// rebuilt only when the pointer changes.
 func New(fleet func() *protocol.Fleet) *Keys {
 	return &Keys{fleet: fleet}
 }
 
 type hash [sha256.Size]byte
 
-// index finds keys by hash. It is built once for each configuration.
+// index maps hashes of secrets to keys. It is built once per configuration.
 type index struct {
 	fleet  *protocol.Fleet
 	byHash map[hash]protocol.Key
@@ -47,8 +48,8 @@
 		if err != nil || len(raw) != sha256.Size {
 			continue
 		}
-		// Of two keys with the same secret the withdrawn one counts: a
-		// withdrawal must not be undone by a copy.
+		// If two keys have the same secret, the withdrawn one is used: a second
+		// key with the secret must not undo the withdrawal.
 		if other, ok := built.byHash[hash(raw)]; ok && other.Withdrawn {
 			continue
 		}
@@ -74,7 +75,8 @@
 
 const bearer = "Bearer "
 
-// BearerToken is the secret in an Authorization header, empty if there is none.
+// BearerToken returns the bearer token in an Authorization header, empty if there is
+// none.
 func BearerToken(authorization string) string {
 	if len(authorization) < len(bearer) || !strings.EqualFold(authorization[:len(bearer)], bearer) {
 		return ""
@@ -82,8 +84,8 @@
 	return strings.TrimSpace(authorization[len(bearer):])
 }
 
-// Authenticate tells whose secret it is. The lookup goes by the SHA-256 of the
-// secret, so its time says nothing of how close a guess was.
+// Authenticate returns the caller that a secret belongs to. It looks up the SHA-256
+// of the secret, so its timing reveals nothing about how close a guess is.
 func (k *Keys) Authenticate(secret string) (Caller, *protocol.Refusal) {
 	if secret == "" {
 		return Caller{}, protocol.Refuse(protocol.CodeUnauthorized, 0, "no key: send it as Authorization: Bearer KEY")
@@ -108,8 +110,8 @@
 	return err == nil && subtle.ConstantTimeCompare(raw, sum[:]) == 1
 }
 
-// Active reports whether a key may still be served: it is known, not
-// withdrawn, and its organisation is in service.
+// Active reports whether requests with a key may be served: the key is known and
+// not withdrawn, and its organisation is configured.
 func (k *Keys) Active(id protocol.KeyID) bool {
 	fleet := k.fleet()
 	key, ok := fleet.Keys[id]
--- a/internal/coordination/access/access_test.go
+++ b/internal/coordination/access/access_test.go
@@ -27,7 +27,7 @@
 	return fleet
 }
 
-func TestSecretOfHeader(t *testing.T) {
+func TestBearerToken(t *testing.T) {
 	for header, want := range map[string]string{
 		"Bearer sk-1":   "sk-1",
 		"bearer sk-1":   "sk-1",
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestKeysTellWhoseRequestItIs(t *testing.T) {
+func TestKeysAuthenticateCallers(t *testing.T) {
 	fleet := fleetOf(
 		protocol.Key{ID: "k1", Organisation: "o1", SHA256: hashed("s1")},
 		protocol.Key{ID: "k2", Organisation: "o1", SHA256: hashed("s2"), Withdrawn: true},
@@ -67,8 +67,8 @@
 	}
 }
 
-// A secret stands under two ids, one of them withdrawn. Which one a map gives
-// first must not decide whether a withdrawn secret goes on working.
+// A secret is configured under two key ids, one of them withdrawn. Whether the
+// secret still works must not depend on the iteration order of the map of keys.
 func TestWithdrawnSecretStaysRefusedUnderAnotherID(t *testing.T) {
 	for i := range 50 {
 		fleet := fleetOf(
--- a/internal/coordination/access/context.go
+++ b/internal/coordination/access/context.go
@@ -9,8 +9,8 @@
 	return context.WithValue(ctx, contextKey{}, caller)
 }
 
-// FromContext gives the caller that WithCaller put in. ok is false if the
-// request was not authenticated.
+// FromContext returns the caller that WithCaller stored. ok is false if the request
+// was not authenticated.
 func FromContext(ctx context.Context) (caller Caller, ok bool) {
 	caller, ok = ctx.Value(contextKey{}).(Caller)
 	return caller, ok
