--- a/internal/coordination/fanout/fanout.go
+++ b/internal/coordination/fanout/fanout.go
@@ -1,4 +1,4 @@
-// Package fanout asks all known instances the same thing at the same time.
+// Package fanout sends the same call to all known instances concurrently.
 package fanout
 
 import (
@@ -11,54 +11,56 @@
 	"merlintiller/internal/protocol"
 )
 
-// Request is what is asked.
+// Request describes the call.
 type Request struct {
 	// Method is the net/rpc method, "Service.Method".
 	Method string
 	Args   any
 	// Timeout bounds the call to one instance.
 	Timeout time.Duration
-	// Concurrency is the number of instances asked at the same time. It bounds the
-	// answers that are in memory at once.
+	// Concurrency is the maximum number of calls in flight. It limits the replies
+	// that are in memory at the same time.
 	Concurrency int
 }
 
-// Call asks every instance that peers lists, also those that seem unreachable:
-// a missed heartbeat is no proof. take gets each answer, one at a time; an
-// error of it counts the instance as unreached. Call returns the instances that
-// were not reached, sorted.
-func Call[R any](ctx context.Context, peers coordination.Peers, q Request, take func(protocol.InstanceID, R) error) []protocol.InstanceID {
+// Call sends the request to every instance that peers lists. This includes peers
+// that seem unreachable, because a missed heartbeat does not prove that an instance
+// is down. handle is called with each reply, one at a time. If handle returns an
+// error, the instance counts as unreached. Call returns the unreached instances,
+// sorted.
+func Call[R any](ctx context.Context, peers coordination.Peers, req Request, handle func(protocol.InstanceID, R) error) []protocol.InstanceID {
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var calls sync.WaitGroup
 	unreached := []protocol.InstanceID{}
-	places := make(chan struct{}, q.Concurrency)
+	inFlight := make(chan struct{}, req.Concurrency)
 	for _, peer := range peers.List() {
-		places <- struct{}{}
-		wait.Go(func() {
-			defer func() { <-places }()
-			answer, err := one[R](ctx, peers, peer.Instance, q)
+		inFlight <- struct{}{}
+		calls.Go(func() {
+			defer func() { <-inFlight }()
+			reply, err := callOne[R](ctx, peers, peer.Instance, req)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				err = take(peer.Instance, answer)
+				err = handle(peer.Instance, reply)
 			}
 			if err != nil {
 				unreached = append(unreached, peer.Instance)
 			}
 		})
 	}
-	wait.Wait()
+	calls.Wait()
 	slices.Sort(unreached)
 	return unreached
 }
 
-func one[R any](ctx context.Context, peers coordination.Peers, to protocol.InstanceID, q Request) (R, error) {
-	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
+// callOne calls one instance.
+func callOne[R any](ctx context.Context, peers coordination.Peers, to protocol.InstanceID, req Request) (R, error) {
+	ctx, cancel := context.WithTimeout(ctx, req.Timeout)
 	defer cancel()
-	// The reply is dropped after an error: a late answer may still be
-	// written to it.
+	// The reply is discarded after an error, because net/rpc may still write a late
+	// answer to it.
 	reply := new(R)
-	if err := peers.Call(ctx, to, q.Method, q.Args, reply); err != nil {
+	if err := peers.Call(ctx, to, req.Method, req.Args, reply); err != nil {
 		var none R
 		return none, err
 	}
--- a/internal/coordination/fanout/fanout_test.go
+++ b/internal/coordination/fanout/fanout_test.go
@@ -14,7 +14,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// peers answers at once, or hangs for those that are named.
+// peers answers calls without delay, except for the instances in hang, where calls
+// block until the context is done.
 type peers struct {
 	count int
 	hang  map[protocol.InstanceID]bool
@@ -37,39 +38,40 @@
 	return nil
 }
 
-// A failure domain is cut off without a refusal: its instances do not answer at
-// all. An operator must have the others' answers after one timeout and not after
-// one for each that hangs, and must be told who is missing.
+// Packets to a failure domain are dropped, so calls to its instances hang until they
+// time out. An operator must get the replies of the other instances after one
+// timeout, not one per hanging instance, together with the list of instances that
+// did not answer.
 func TestHangingInstancesCostOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{count: 12, hang: map[protocol.InstanceID]bool{"i01": true, "i05": true, "i09": true}}
-		begun := time.Now()
-		var answers []string
-		unreached := Call(t.Context(), p, Request{Method: "X.Y", Timeout: time.Second, Concurrency: 12}, func(from protocol.InstanceID, answer string) error {
+		start := time.Now()
+		var replies []string
+		unreached := Call(t.Context(), p, Request{Method: "X.Y", Timeout: time.Second, Concurrency: 12}, func(from protocol.InstanceID, reply string) error {
 			if from == "i02" {
 				return errors.New("malformed")
 			}
-			require.Equal(t, string(from), answer)
-			answers = append(answers, answer)
+			require.Equal(t, string(from), reply)
+			replies = append(replies, reply)
 			return nil
 		})
-		require.Equal(t, time.Second, time.Since(begun))
+		require.Equal(t, time.Second, time.Since(start))
 		require.Equal(t, []protocol.InstanceID{"i01", "i02", "i05", "i09"}, unreached)
-		require.Len(t, answers, 8)
+		require.Len(t, replies, 8)
 	})
 }
 
-// With fewer places than instances that hang, the rest wait in turn and are
-// still all asked.
-func TestWidthBoundsTheCallsInFlight(t *testing.T) {
+// With fewer concurrent calls than hanging instances, the remaining calls wait until
+// earlier ones end. Every instance must still be called.
+func TestConcurrencyLimitsTheCallsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{count: 6, hang: map[protocol.InstanceID]bool{}}
 		for _, peer := range p.List() {
 			p.hang[peer.Instance] = true
 		}
-		begun := time.Now()
+		start := time.Now()
 		unreached := Call(t.Context(), p, Request{Timeout: time.Second, Concurrency: 2}, func(protocol.InstanceID, string) error { return nil })
 		require.Len(t, unreached, 6)
-		require.Equal(t, 3*time.Second, time.Since(begun))
+		require.Equal(t, 3*time.Second, time.Since(start))
 	})
 }
