--- a/internal/coordination/fleetstatus/status.go
+++ b/internal/coordination/fleetstatus/status.go
@@ -1,6 +1,6 @@
-// Package fleetstatus tells operators what each instance knows: which
-// configuration is in force there, whether it sees the log, and which jobs are
-// late.
+// Package fleetstatus collects a status report of the fleet for operators: which
+// configuration is in force at each instance, whether the instance can read the log,
+// and which jobs are late.
 package fleetstatus
 
 import (
@@ -15,51 +15,53 @@
 	"merlintiller/internal/state/replica"
 )
 
-// askWidth is the number of instances asked at the same time: 340 of them are
-// asked in 11 rounds.
-const askWidth = 32
+// maxConcurrentCalls is the number of instances called at the same time. With 32,
+// 340 instances take 11 rounds.
+const maxConcurrentCalls = 32
 
-// mostLate bounds the late jobs that a status lists.
-const mostLate = 20
+// maxLateJobs limits the late jobs in a status.
+const maxLateJobs = 20
 
-// Instance is what one instance says of itself.
+// Instance is the status that an instance reports about itself.
 type Instance struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Domain   protocol.Domain     `json:"domain"`
-	// Session is zero while the instance has none.
+	// Session is the instance's session, zero while it has none.
 	Session string `json:"session"`
-	// Version is the configuration in force there.
+	// Version is the version of the configuration in force at the instance.
 	Version protocol.Offset `json:"version"`
-	// Applied is the last entry of the control stream that it replayed.
+	// Applied is the offset of the last entry of the control stream that the
+	// instance replayed.
 	Applied protocol.Offset `json:"applied"`
-	// LogUp says that it reads the log to its end.
+	// LogUp reports whether the instance can read the log to its end.
 	LogUp bool `json:"log_up"`
-	// MayHold says that it may do exclusive work.
-	MayHold  bool `json:"may_hold"`
+	// MayHold reports whether the instance may do exclusive work.
+	MayHold bool `json:"may_hold"`
+	// Draining reports whether the instance is shutting down.
 	Draining bool `json:"draining"`
 	// UpSeconds is the time since the process started.
 	UpSeconds int64 `json:"up_s"`
-	// Trouble is a sentence while the instance can't go on, else empty.
+	// Trouble describes why the instance can't continue, empty if it can.
 	Trouble string `json:"trouble,omitempty"`
 }
 
-// LateJob is a running job that is past its deadline, or has little time left
-// for what is not done.
+// LateJob is a running job that is past its deadline or close to it.
 type LateJob struct {
 	Job          protocol.JobID          `json:"job"`
 	Organisation protocol.OrganisationID `json:"organisation"`
 	Deadline     time.Time               `json:"deadline"`
-	ItemsLeft         int                     `json:"items_left"`
+	ItemsLeft    int                     `json:"items_left"`
 	Items        int                     `json:"items"`
 }
 
-// Status is the fleet as one instance could find out.
+// Status is the status of the fleet, as collected by one instance.
 type Status struct {
+	// At is the time of the collection, by the clock of CollectedBy.
 	At time.Time `json:"at"`
-	// CollectedBy is the instance that asked the others.
-	CollectedBy     protocol.InstanceID `json:"asked"`
-	Instances []Instance          `json:"instances"`
-	// Unreached are known instances that did not answer.
+	// CollectedBy is the instance that called the others.
+	CollectedBy protocol.InstanceID `json:"asked"`
+	Instances   []Instance          `json:"instances"`
+	// Unreached holds the known instances that did not answer, sorted by name.
 	Unreached   []Unreached `json:"unreached"`
 	JobsRunning int         `json:"jobs_running"`
 	Late        []LateJob   `json:"late"`
@@ -68,12 +70,13 @@
 // Unreached is a known instance that did not answer.
 type Unreached struct {
 	Instance protocol.InstanceID `json:"instance"`
-	// SessionOpen tells an instance that died or was cut off just now from
-	// one that has left, or was cut off for so long that its session ended.
+	// SessionOpen reports whether the instance's session is open. If so, the
+	// instance terminated or became isolated within the session timeout. If not, it
+	// was shut down, or was isolated for so long that its session ended.
 	SessionOpen bool `json:"session_open"`
 }
 
-// NewestVersion is the highest version in force anywhere.
+// NewestVersion returns the highest configuration version in force at any instance.
 func (s Status) NewestVersion() protocol.Offset {
 	newest := protocol.NoOffset
 	for _, instance := range s.Instances {
@@ -82,20 +85,21 @@
 	return newest
 }
 
-// Source says what this instance knows of itself.
+// Source provides the status of this instance.
 type Source struct {
 	Instance protocol.InstanceID
 	Domain   protocol.Domain
 	Journal  coordination.Journal
-	// Draining reports whether the instance is leaving; nil means never.
+	// Draining reports whether the instance is shutting down; nil means never.
 	Draining func() bool
-	// Trouble gives a sentence while the journal can't go on; nil means none.
+	// Trouble describes why the journal can't continue, empty if it can; nil means
+	// that it always can.
 	Trouble func() string
 	Now     func() time.Time
 	Started time.Time
 }
 
-// Own is the status of this instance.
+// Own returns the status of this instance.
 func (s *Source) Own() Instance {
 	own := Instance{
 		Instance:  s.Instance,
@@ -116,37 +120,39 @@
 	return own
 }
 
-// Collector asks the others.
+// Collector collects the status of all instances.
 type Collector struct {
-	Source      *Source
-	Peers       coordination.Peers
+	Source *Source
+	Peers  coordination.Peers
+	// PeerTimeout bounds the call to one instance.
 	PeerTimeout time.Duration
-	// LateWithin is the time left to its deadline at which an unfinished job
-	// is listed.
+	// LateWithin is the remaining time to its deadline below which a running job
+	// counts as late.
 	LateWithin time.Duration
 }
 
-// Status asks every known instance.
+// Status calls every known instance and returns the status of the fleet.
 func (c *Collector) Status(ctx context.Context) Status {
 	now := c.Source.Now()
 	status := Status{At: now, CollectedBy: c.Source.Instance, Instances: []Instance{c.Source.Own()}, Late: []LateJob{}}
-	question := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Concurrency: askWidth}
-	unreached := fanout.Call(ctx, c.Peers, question, func(_ protocol.InstanceID, answer Instance) error {
-		status.Instances = append(status.Instances, answer)
+	request := fanout.Request{Method: MethodOwn, Args: Request{}, Timeout: c.PeerTimeout, Concurrency: maxConcurrentCalls}
+	unreached := fanout.Call(ctx, c.Peers, request, func(_ protocol.InstanceID, reply Instance) error {
+		status.Instances = append(status.Instances, reply)
 		return nil
 	})
 	slices.SortFunc(status.Instances, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Instance, b.Instance))
 	})
-	c.unreached(unreached, &status)
-	c.jobs(now, &status)
+	c.addUnreached(unreached, &status)
+	c.addJobs(now, &status)
 	return status
 }
 
-// unreached also counts instances that the log has a session of and that no
-// heartbeat ever named here, such as those of a domain that was cut off before
-// this instance started.
-func (c *Collector) unreached(silent []protocol.InstanceID, status *Status) {
+// addUnreached adds the instances that did not answer to the status. It also adds
+// instances that have an open session and that this instance doesn't know from
+// heartbeats, for example those of a domain that was isolated before this instance
+// started.
+func (c *Collector) addUnreached(failed []protocol.InstanceID, status *Status) {
 	open := map[protocol.InstanceID]bool{}
 	c.Source.Journal.View(func(state *replica.State) {
 		for _, info := range state.Sessions.All() {
@@ -157,7 +163,7 @@
 	for id := range open {
 		missing[id] = true
 	}
-	for _, id := range silent {
+	for _, id := range failed {
 		missing[id] = true
 	}
 	for _, instance := range status.Instances {
@@ -170,7 +176,9 @@
 	slices.SortFunc(status.Unreached, func(a, b Unreached) int { return cmp.Compare(a.Instance, b.Instance) })
 }
 
-func (c *Collector) jobs(now time.Time, status *Status) {
+// addJobs adds the number of running jobs and the late jobs with the earliest
+// deadlines to the status.
+func (c *Collector) addJobs(now time.Time, status *Status) {
 	c.Source.Journal.View(func(state *replica.State) {
 		for _, job := range state.Ledger.Running() {
 			status.JobsRunning++
@@ -184,7 +192,7 @@
 		}
 	})
 	slices.SortFunc(status.Late, func(a, b LateJob) int { return a.Deadline.Compare(b.Deadline) })
-	if len(status.Late) > mostLate {
-		status.Late = status.Late[:mostLate]
+	if len(status.Late) > maxLateJobs {
+		status.Late = status.Late[:maxLateJobs]
 	}
 }
