--- a/internal/coordination/withdrawal/rpc.go
+++ b/internal/coordination/withdrawal/rpc.go
@@ -8,23 +8,24 @@
 // MethodWithdraw is the net/rpc method that withdraws a key at an instance.
 const MethodWithdraw = ServiceName + ".Withdraw"
 
-// Request asks an instance to withdraw a key.
+// Request holds the arguments of Keys.Withdraw.
 type Request struct {
 	Key protocol.KeyID
-	// Operator is the id of the operator's key.
+	// Operator is the id of the key of the operator who withdraws Key.
 	Operator string
 }
 
-// Done confirms that the key no longer works at the instance.
-type Done struct{}
+// Reply confirms that the instance no longer accepts the key.
+type Reply struct{}
 
-// Receiver answers other instances.
+// Receiver is the net/rpc receiver for calls from other instances.
 type Receiver struct {
-	Local Local
+	Local LocalWithdrawer
 }
 
-// Withdraw makes a key stop working before it answers.
-func (r *Receiver) Withdraw(request Request, _ *Done) error {
+// Withdraw withdraws a key at this instance. The key no longer works when the reply
+// is sent.
+func (r *Receiver) Withdraw(request Request, _ *Reply) error {
 	r.Local.WithdrawLocally(request.Key, request.Operator)
 	return nil
 }
--- a/internal/coordination/withdrawal/withdrawal.go
+++ b/internal/coordination/withdrawal/withdrawal.go
@@ -1,11 +1,11 @@
-// Package withdrawal makes a caller's key stop working everywhere within
-// seconds, also while the platform's log is down.
+// Package withdrawal withdraws a caller's key on the whole fleet within seconds, even
+// while the platform's log is down.
 //
-// A withdrawal is a tombstone on an id that is never reused, so it needs no
-// order and does no harm if it comes twice. It therefore goes three ways at
-// once: it takes effect at the instance that the operator reached, is handed
-// directly to every other instance that can be reached, and is appended to the
-// control stream, which brings it to the rest.
+// A withdrawal is a tombstone on an id that is never reused. Withdrawals need no order,
+// and applying one twice has no further effect. A withdrawal therefore uses three paths
+// at the same time. The instance that the operator called applies it first. That
+// instance then calls all other known instances and appends the record to the control
+// stream, from which the unreachable instances read it later.
 package withdrawal
 
 import (
@@ -19,23 +19,26 @@
 	"merlintiller/internal/protocol"
 )
 
-// spreadWidth is the number of instances told at the same time. 16 keeps 340
-// instances at 22 rounds of a millisecond each and the sockets few.
-const spreadWidth = 16
+// maxConcurrentCalls is the number of instances called at the same time. With 16, 340
+// instances take 22 rounds of a millisecond each and few sockets are open.
+const maxConcurrentCalls = 16
 
-// Local makes a key stop working at this instance.
-type Local interface {
-	// WithdrawLocally takes effect before it returns and may be repeated.
+// LocalWithdrawer withdraws keys at this instance.
+type LocalWithdrawer interface {
+	// WithdrawLocally withdraws a key. It takes effect before it returns and is
+	// idempotent.
 	WithdrawLocally(key protocol.KeyID, operator string)
 }
 
-// Result says how far a withdrawal went.
+// Result reports which instances a withdrawal has reached.
 type Result struct {
-	// Log is the fate of the record in the control stream.
+	// Log is the outcome of the record in the control stream.
 	Log coordination.Outcome
-	// Confirmed are the other instances that have confirmed it.
+	// Confirmed holds the other instances that have confirmed the withdrawal, sorted
+	// by name.
 	Confirmed []protocol.InstanceID
-	// Unreached are the known instances that did not confirm it in time.
+	// Unreached holds the known instances that did not confirm the withdrawal in
+	// time, sorted by name.
 	Unreached []protocol.InstanceID
 }
 
@@ -43,37 +46,38 @@
 type Service struct {
 	Journal coordination.Journal
 	Peers   coordination.Peers
-	Local   Local
+	Local   LocalWithdrawer
 	// PeerTimeout bounds the call to one instance.
 	PeerTimeout time.Duration
 }
 
-// Withdraw withdraws a key. It returns when the record is settled or ctx ends,
-// and every known instance was asked.
+// Withdraw withdraws a key. It returns once the outcome of the record is known or ctx
+// is done, and every known instance was called.
 func (s *Service) Withdraw(ctx context.Context, key protocol.KeyID, operator string) Result {
 	s.Local.WithdrawLocally(key, operator)
 	var result Result
-	var wait sync.WaitGroup
-	wait.Go(func() {
+	var tasks sync.WaitGroup
+	tasks.Go(func() {
 		record := protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: key, Operator: operator}}
 		result.Log = s.Journal.Submit(ctx, record)
 	})
-	wait.Go(func() { result.Confirmed, result.Unreached = s.spread(ctx, key, operator) })
-	wait.Wait()
+	tasks.Go(func() { result.Confirmed, result.Unreached = s.withdrawAtPeers(ctx, key, operator) })
+	tasks.Wait()
 	return result
 }
 
-func (s *Service) spread(ctx context.Context, key protocol.KeyID, operator string) (told, unreached []protocol.InstanceID) {
-	question := fanout.Request{
-		Method:  MethodWithdraw,
-		Args:    Request{Key: key, Operator: operator},
-		Timeout: s.PeerTimeout,
-		Concurrency:   spreadWidth,
+// withdrawAtPeers withdraws a key at every other known instance.
+func (s *Service) withdrawAtPeers(ctx context.Context, key protocol.KeyID, operator string) (confirmed, unreached []protocol.InstanceID) {
+	request := fanout.Request{
+		Method:      MethodWithdraw,
+		Args:        Request{Key: key, Operator: operator},
+		Timeout:     s.PeerTimeout,
+		Concurrency: maxConcurrentCalls,
 	}
-	unreached = fanout.Call(ctx, s.Peers, question, func(to protocol.InstanceID, _ Done) error {
-		told = append(told, to)
+	unreached = fanout.Call(ctx, s.Peers, request, func(to protocol.InstanceID, _ Reply) error {
+		confirmed = append(confirmed, to)
 		return nil
 	})
-	slices.Sort(told)
-	return told, unreached
+	slices.Sort(confirmed)
+	return confirmed, unreached
 }
