--- a/internal/closing/closing.go
+++ b/internal/closing/closing.go
@@ -1,16 +1,16 @@
-// Package closing ties the end of a listener and its connections to a context.
+// Package closing closes listeners and their connections when a context is done.
 package closing
 
 import "context"
 
-// OnDone runs end once ctx is done. The returned wait must be called before the
-// duty reports that it stopped: it gives back only when end has run to its end,
-// or will never run.
+// OnDone calls end once ctx is done. A background service must call the returned wait
+// before it reports that it has stopped. wait returns when end has returned, or
+// when end will never run.
 //
-// What goes wrong without the wait: closing a listener wakes its accept loop
-// before the open connections are closed. A duty that returns at that moment
-// counts as stopped, while a connection that is still open answers one more
-// call: a caller is served by an instance that was said to be gone.
+// Without the wait, closing a listener wakes its accept loop before the open
+// connections are closed. A service that returns then counts as stopped, while an
+// open connection may still answer one more call. The caller is served by an
+// instance that was reported as terminated.
 func OnDone(ctx context.Context, end func()) (wait func()) {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/closing/closing_test.go
+++ b/internal/closing/closing_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A duty is told to stop. Closing what it has open takes a while, and only
-// after that may it say that it stopped.
-func TestWaitGivesBackOnlyWhenEverythingIsClosed(t *testing.T) {
+// Closing the connections of a stopping service takes one second. The service must
+// not report that it has stopped before they are closed.
+func TestWaitReturnsAfterEverythingIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		closed := false
@@ -25,7 +25,7 @@
 	})
 }
 
-func TestWaitDoesNotHangWhenNothingWasAsked(t *testing.T) {
+func TestWaitReturnsIfContextIsNotDone(t *testing.T) {
 	called := false
 	wait := OnDone(t.Context(), func() { called = true })
 	wait()
