--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins the duties of a process by bounded queues whose depth and
-// drops are counted in expvar.
+// Package ring provides bounded queues between the background services of a process.
+// Their depth and the number of dropped items are published in expvar.
 package ring
 
 import (
@@ -9,20 +9,20 @@
 	"sync/atomic"
 )
 
-var published = expvar.NewMap("ring")
+var metrics = expvar.NewMap("ring")
 
-// Ring is a bounded queue between two duties.
+// Ring is a bounded queue between two background services.
 type Ring[T any] struct {
 	items   chan T
 	dropped atomic.Int64
 }
 
-// New returns a ring of the given capacity, counted under its name. Tests that
-// make several rings give an empty name, which publishes nothing.
+// New returns a ring of the given capacity and publishes its metrics under name. With
+// an empty name it publishes nothing; tests that create several rings use this.
 func New[T any](name string, capacity int) *Ring[T] {
 	r := &Ring[T]{items: make(chan T, capacity)}
 	if name != "" {
-		published.Set(name, expvar.Func(r.stats))
+		metrics.Set(name, expvar.Func(r.stats))
 	}
 	return r
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// Put adds an item and waits for room until ctx ends.
+// Put adds an item. If the ring is full, it waits for room until ctx is done.
 func (r *Ring[T]) Put(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -57,7 +57,8 @@
 	}
 }
 
-// Take removes the oldest item and waits for one until ctx ends.
+// Take removes the oldest item. If the ring is empty, it waits for an item until ctx
+// is done.
 func (r *Ring[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case item := <-r.items:
@@ -79,11 +80,11 @@
 	}
 }
 
-// Len is the number of waiting items.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Dropped counts the items that Offer could not add.
+// Dropped returns the number of items that Offer could not add.
 func (r *Ring[T]) Dropped() int64 { return r.dropped.Load() }
 
-// Chan gives the items in order, for a duty that waits for other things too.
+// Chan returns the channel of items, for use in a select statement.
 func (r *Ring[T]) Chan() <-chan T { return r.items }
