--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait has the waits of duties, which all end with their context.
+// Package wait provides delays and periodic calls that end with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits. It is false if the context ended first.
+// For waits for d. It returns false if ctx is done first.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,8 +21,8 @@
 	}
 }
 
-// Every calls do after each period until the context ends, and gives its error. A
-// period that passes during a call is left out.
+// Every calls do after each period until ctx is done, and returns the error of ctx.
+// Ticks that are missed while do is running are dropped as by time.Ticker.
 func Every(ctx context.Context, period time.Duration, do func()) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -36,7 +36,7 @@
 	}
 }
 
-// AtOnceAndEvery is Every with a first call at once.
+// AtOnceAndEvery calls do immediately and then like Every.
 func AtOnceAndEvery(ctx context.Context, period time.Duration, do func()) error {
 	do()
 	return Every(ctx, period, do)
