--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -237,7 +237,7 @@
 		Query:        c.Request.Query,
 		Target:       choice.ID,
 		Organisation: c.Organisation,
-		TimeLeft:         time.Until(c.Deadline),
+		TimeLeft:     time.Until(c.Deadline),
 		After:        c.lastEvent,
 		Header:       c.Request.Header,
 		Body:         c.Request.Body,
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -11,11 +11,11 @@
 // MaxEntryBytes is the largest payload of one log entry.
 const MaxEntryBytes = 1 << 20
 
-// maxElements bounds arrays and maps while decoding, so that a forged length
-// can't make a reader allocate without limit.
+// maxElements limits the length of decoded arrays and maps, so that a forged length
+// can't make a reader allocate unbounded memory.
 const maxElements = 1 << 17
 
-// ErrMalformed: bytes from outside do not decode to the expected type.
+// ErrMalformed reports that external input does not decode to the expected type.
 var ErrMalformed = errors.New("malformed")
 
 var (
@@ -36,13 +36,13 @@
 	return value
 }
 
-// Marshal encodes a value in deterministic CBOR: equal values give equal
-// bytes, so that snapshots of different instances can be compared.
+// Marshal encodes a value in deterministic CBOR: equal values have equal encodings,
+// so that snapshots of different instances can be compared.
 func Marshal(value any) ([]byte, error) {
 	return encMode.Marshal(value)
 }
 
-// Unmarshal decodes what Marshal wrote. Its error wraps ErrMalformed.
+// Unmarshal decodes the output of Marshal. Its error wraps ErrMalformed.
 func Unmarshal(data []byte, value any) error {
 	if err := decMode.Unmarshal(data, value); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// EncodeFrame encodes a frame and checks it against MaxEntryBytes.
+// EncodeFrame encodes a frame. It returns ErrFrameTooLarge if the encoding exceeds
+// MaxEntryBytes.
 func EncodeFrame(frame Frame) ([]byte, error) {
 	data, err := Marshal(frame)
 	if err != nil {
@@ -62,28 +63,28 @@
 	return data, nil
 }
 
-// ErrFrameTooLarge: the records do not fit in one log entry.
+// ErrFrameTooLarge reports that the records do not fit in one log entry.
 var ErrFrameTooLarge = errors.New("frame too large")
 
-// DecodeFrame decodes a frame. It rejects records with no body or several: a
-// reader that applied just one of them would disagree with one that applied
-// another.
+// DecodeFrame decodes a frame. It rejects a frame if one of its records has no body
+// or more than one. If readers applied different bodies of the same record, their
+// states would diverge.
 func DecodeFrame(data []byte) (Frame, error) {
 	var frame Frame
 	if err := Unmarshal(data, &frame); err != nil {
 		return Frame{}, err
 	}
 	for i := range frame.Records {
-		if n := frame.Records[i].bodies(); n != 1 {
+		if n := frame.Records[i].countBodies(); n != 1 {
 			return Frame{}, fmt.Errorf("%w: record %d has %d bodies", ErrMalformed, i, n)
 		}
 	}
 	return frame, nil
 }
 
-// bodies counts the set body fields. Every field of Record after ID is a
-// pointer to a body.
-func (r *Record) bodies() int {
+// countBodies returns the number of body fields that are set. Every field of Record
+// after ID is a pointer to a body.
+func (r *Record) countBodies() int {
 	count := 0
 	value := reflect.ValueOf(r).Elem()
 	for i := 1; i < value.NumField(); i++ {
@@ -94,7 +95,7 @@
 	return count
 }
 
-// Kind names the body of a record, for logs and metrics.
+// Kind returns the field name of the record's body, for logs and metrics.
 func (r *Record) Kind() string {
 	value := reflect.ValueOf(r).Elem()
 	for i := 1; i < value.NumField(); i++ {
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFrameSurvivesEncoding(t *testing.T) {
+func TestFrameEncodingRoundTrip(t *testing.T) {
 	frame := Frame{Records: []Record{
 		{ID: RecordID{Session: 7, Seq: 1}, SessionRenew: &SessionRenew{}},
 		{ID: RecordID{Session: 7, Seq: 2}, LeaseClaim: &LeaseClaim{Resource: "orders/t1", Replaces: NoOffset}},
@@ -18,9 +18,9 @@
 	require.Equal(t, frame, back)
 }
 
-// A faulty writer sends a record with two bodies. If readers of different
-// versions applied different ones, their states would part and an item could
-// complete twice. The frame is refused whole, by every reader alike.
+// A faulty writer sends a record with two bodies. If readers of different versions
+// applied different bodies, their states would diverge and an item could complete
+// twice. Every reader must reject the whole frame.
 func TestRecordWithTwoBodiesIsMalformed(t *testing.T) {
 	data, err := Marshal(Frame{Records: []Record{{SessionRenew: &SessionRenew{}, SessionClose: &SessionClose{}}}})
 	require.NoError(t, err)
--- a/internal/protocol/exchange/exchange.go
+++ b/internal/protocol/exchange/exchange.go
@@ -1,6 +1,5 @@
-// Package exchange holds one request on its way from a caller to a target and
-// the answer on its way back, in the words of this project. The names that they
-// have on the wire are known to the adapter alone.
+// Package exchange defines the requests from callers to targets and the answers, as used
+// within this project. Only the adapter knows their names on the wire.
 package exchange
 
 import (
@@ -8,114 +7,119 @@
 	"time"
 )
 
-// FromStart is the position of a stream of which the reader has nothing.
+// FromStart is the position of a reader that has received no event of a stream.
 const FromStart = -1
 
-// Request is one attempt of a caller, with its whole body.
+// Request is one attempt of a caller, with its complete body.
 type Request struct {
-	// ID is the attempt's own id; a repeat has another one.
+	// ID identifies the attempt. A retry has a different id.
 	ID string
-	// Secret is the key that was shown, empty if none was.
+	// Secret is the secret of the caller's key, empty if none was sent.
 	Secret string
 	Method string
 	Host   string
-	// Path and Query are as they came, still escaped.
+	// Path and Query are as received, still escaped.
 	Path, Query string
-	// Timeout is how long the caller waits from now on. 0: it did not say.
+	// Timeout is how much longer the caller waits, 0 if not specified.
 	Timeout time.Duration
-	// After is the last event that the caller has of a stream, FromStart if
-	// none.
+	// After is the position of the last event of a stream that the caller has
+	// received, FromStart if none.
 	After int
-	// Prompt says what a model has to read.
+	// Prompt describes the size of the model's input and output.
 	Prompt Prompt
-	// Header holds what is passed on to a target unchanged.
+	// Header contains the headers that are forwarded to the target unchanged.
 	Header http.Header
 	Body   []byte
 }
 
 // Prompt is the size of a request to a model.
 type Prompt struct {
-	// Parts are the shared parts of the prompt in order, the own part last.
+	// Parts are the parts of the prompt in order: first those that other requests may
+	// share, last the part of this request alone.
 	Parts []PromptPart
-	// InputTokens are read, MaxOutputTokens at most are produced.
+	// InputTokens is the number of tokens in the prompt, MaxOutputTokens the maximum
+	// number that the model generates.
 	InputTokens, MaxOutputTokens int
 }
 
-// PromptPart is a piece of a prompt that other requests may share.
+// PromptPart is a part of a prompt that other requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Dispatch is a request on its way to one target.
+// Dispatch is a request that is being sent to one target.
 type Dispatch struct {
-	// ID is the request's or the item's id, which the answer echoes.
+	// ID is the id of the request or batch item. The answer echoes it.
 	ID     string
 	Method string
 	Host   string
 	Path   string
 	Query  string
-	// Target is the only target that may run the request. Another one that has
-	// its address by now refuses it.
+	// Target is the only target that may run the request. If the address now belongs
+	// to another target, that target rejects the request.
 	Target string
-	// Organisation is who the request runs for.
+	// Organisation is the organisation that the request runs for.
 	Organisation string
-	// TimeLeft is how long the target may work on it. 0: no bound.
+	// TimeLeft is how long the target may work on the request, 0 if not limited.
 	TimeLeft time.Duration
-	// After is the last event that is there already, FromStart if none.
+	// After is the position of the last event that has been received, FromStart if
+	// none.
 	After  int
 	Header http.Header
 	Body   []byte
 }
 
-// Load is what a target says of itself with an answer.
+// Load is the load that a target reports with an answer.
 type Load struct {
+	// Running and Waiting count requests at the target. Slots is the number that the
+	// target can run at the same time, 0 if not reported.
 	Running, Waiting, Slots int
 }
 
-// Report is what a target says of itself when it is asked.
+// Report is a target's answer to a status query.
 type Report struct {
 	Load Load
-	// Runs are the ids of the requests that it works on.
+	// Runs are the ids of the requests that the target is working on.
 	Runs []string
 }
 
-// Health is a target's answer to the question how it is.
+// Health is a target's answer to a health check.
 type Health struct {
-	// Target is who answered.
+	// Target is the target that answered.
 	Target  string
 	Healthy bool
-	// WarmUp is how much longer it warms up, 0 if it does not.
+	// WarmUp is the remaining warm-up time, 0 if the target is not warming up.
 	WarmUp time.Duration
 }
 
-// Reply is the head of a target's answer.
+// Reply is a target's answer without its body.
 type Reply struct {
 	Status int
-	// ID is the request that the answer is for.
+	// ID is the id of the request that the answer belongs to.
 	ID string
-	// NotRun says that the target did not and will not run the request.
+	// NotRun reports that the target did not and will not run the request.
 	NotRun bool
-	// WrongTarget says that another target has this address.
+	// WrongTarget reports that the address now belongs to another target.
 	WrongTarget bool
-	// Load is nil if the target did not tell it.
+	// Load is nil if the target did not report its load.
 	Load *Load
-	// IdleTimeout is how long the target keeps the connection open unused. 0: it
-	// did not say.
+	// IdleTimeout is how long the target keeps an idle connection open, 0 if not
+	// specified.
 	IdleTimeout time.Duration
-	// Header holds what is passed on to the caller unchanged.
+	// Header contains the headers that are forwarded to the caller unchanged.
 	Header http.Header
 }
 
-// Success says that the target did what was asked.
+// Success reports whether the status is 2xx.
 func (r *Reply) Success() bool { return r.Status >= 200 && r.Status < 300 }
 
-// JobKind is what a call on a batch job asks for.
+// JobKind is the operation of a call on a batch job.
 type JobKind int
 
-// The calls on a batch job.
+// Operations on a batch job.
 const (
-	// JobResults reads results from a position on.
+	// JobResults reads results, starting at a position.
 	JobResults JobKind = iota
 	// JobItem reads the body of an item.
 	JobItem
@@ -123,14 +127,14 @@
 	JobEnd
 )
 
-// JobCall is a call on a batch job that was submitted before.
+// JobCall is a call on an existing batch job.
 type JobCall struct {
 	Kind JobKind
 	Job  string
 	// Item is set for JobItem.
 	Item string
-	// After and Wait are set for JobResults: the first position wanted, and how
-	// long the caller lets itself be kept waiting for a result there.
+	// After and Wait are set for JobResults. After is the first position to read and
+	// Wait is how long the caller waits for a result at that position.
 	After int
 	Wait  time.Duration
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Fleet is the whole configuration in force, merged from the objects that
-// operators publish. A Fleet that has been handed out is never changed.
+// Fleet is the complete configuration in force, merged from the objects that
+// operators publish. A Fleet is immutable once it has been published to readers.
 type Fleet struct {
 	// Version is the offset of the last accepted change. It never decreases.
 	Version Offset `cbor:"1,keyasint" json:"version"`
-	// Organisations by id.
+	// Organisations maps ids to organisations.
 	Organisations map[OrganisationID]Organisation `cbor:"2,keyasint" json:"organisations"`
-	// Keys by id, including withdrawn ones.
+	// Keys maps ids to keys, including withdrawn ones.
 	Keys map[KeyID]Key `cbor:"3,keyasint" json:"keys"`
-	// Models by the name callers use.
+	// Models maps the names that callers use to models.
 	Models map[ModelName]Model `cbor:"4,keyasint" json:"models"`
-	// Services by name: model runners and plain services.
+	// Services maps names to services, both model runners and plain services.
 	Services map[ServiceName]Service `cbor:"5,keyasint" json:"services"`
-	// Domains are the failure domains with their share of every rate.
+	// Domains maps failure domains to their share of every organisation's rate.
 	Domains map[Domain]DomainShare `cbor:"6,keyasint" json:"domains"`
 }
 
@@ -23,11 +23,12 @@
 type Organisation struct {
 	// ID names the organisation.
 	ID OrganisationID `cbor:"1,keyasint" json:"id" yaml:"id"`
-	// Name is for people.
+	// Name is the display name.
 	Name string `cbor:"2,keyasint,omitempty" json:"name,omitempty" yaml:"name,omitempty"`
-	// Rate is in online requests a second over the whole fleet.
+	// Rate is the limit on online requests per second over the whole fleet.
 	Rate float64 `cbor:"3,keyasint" json:"rate" yaml:"rate"`
-	// Burst is in requests over the whole fleet, at least 1.
+	// Burst is the size of the token bucket in requests over the whole fleet, at least
+	// 1.
 	Burst float64 `cbor:"4,keyasint" json:"burst" yaml:"burst"`
 	// Weight is the fair share under contention; 0 means 1.
 	Weight float64 `cbor:"5,keyasint,omitempty" json:"weight,omitempty" yaml:"weight,omitempty"`
@@ -37,42 +38,42 @@
 
 // Objectives are service-level objectives. A zero field is not measured.
 type Objectives struct {
-	// FirstToken is the longest good time to the first token.
+	// FirstToken is the longest time to the first token of a good call.
 	FirstToken time.Duration `cbor:"1,keyasint,omitempty" json:"first_token,omitempty" yaml:"first_token,omitempty"`
-	// BetweenTokens is the longest good mean gap between tokens of a stream.
+	// BetweenTokens is the longest mean time between the tokens of a good stream.
 	BetweenTokens time.Duration `cbor:"2,keyasint,omitempty" json:"between_tokens,omitempty" yaml:"between_tokens,omitempty"`
 	// Target is the share of calls that must be good, such as 0.99.
 	Target float64 `cbor:"3,keyasint,omitempty" json:"target,omitempty" yaml:"target,omitempty"`
-	// BatchOnTime is the share of batch items done by their deadline.
+	// BatchOnTime is the share of batch items that must be done by their deadline.
 	BatchOnTime float64 `cbor:"4,keyasint,omitempty" json:"batch_on_time,omitempty" yaml:"batch_on_time,omitempty"`
 }
 
-// Key lets callers act for one organisation. The secret itself is stored
-// nowhere.
+// Key authorises callers to act for one organisation. The secret itself is never
+// stored.
 type Key struct {
-	// ID is public and never used again for another secret.
+	// ID is public and never reused for another secret.
 	ID KeyID `cbor:"1,keyasint" json:"id" yaml:"id"`
-	// Organisation is the one that callers with the key act for.
+	// Organisation is the organisation that callers with the key act for.
 	Organisation OrganisationID `cbor:"2,keyasint" json:"organisation" yaml:"organisation"`
 	// SHA256 is the lower-case hexadecimal hash of the secret.
 	SHA256 string `cbor:"3,keyasint" json:"sha256" yaml:"sha256"`
-	// Withdrawn is a tombstone. Once true it stays true.
+	// Withdrawn is a tombstone: once true, it is never reset.
 	Withdrawn bool `cbor:"4,keyasint,omitempty" json:"withdrawn,omitempty" yaml:"withdrawn,omitempty"`
 }
 
-// Model maps the name callers use to a service and the version it must run.
+// Model maps the name that callers use to a service and the version that it must run.
 type Model struct {
-	// Name is the name that callers ask for.
+	// Name is the model name in callers' requests.
 	Name ModelName `cbor:"1,keyasint" json:"name" yaml:"name"`
 	// Service is the model service whose targets run it.
 	Service ServiceName `cbor:"2,keyasint" json:"service" yaml:"service"`
 	// Version is the weight version the service's targets must have loaded.
 	Version string `cbor:"3,keyasint,omitempty" json:"version,omitempty" yaml:"version,omitempty"`
-	// Adapter is an optional adapter loaded beside the model.
+	// Adapter is an optional adapter that is loaded with the model.
 	Adapter string `cbor:"4,keyasint,omitempty" json:"adapter,omitempty" yaml:"adapter,omitempty"`
 }
 
-// ServiceKind tells model runners from plain services.
+// ServiceKind distinguishes model runners from plain services.
 type ServiceKind string
 
 const (
@@ -88,27 +89,29 @@
 	Name ServiceName `cbor:"1,keyasint" json:"name" yaml:"name"`
 	// Kind is model for model runners and plain for ordinary HTTP services.
 	Kind ServiceKind `cbor:"2,keyasint" json:"kind" yaml:"kind"`
-	// ChecksFencing says that the targets refuse an order with an old number.
+	// ChecksFencing reports whether the targets reject an order whose fencing number
+	// is lower than one they have seen.
 	ChecksFencing bool `cbor:"3,keyasint,omitempty" json:"checks_fencing,omitempty" yaml:"checks_fencing,omitempty"`
-	// Repeatable says that a call may be sent again when its fate is unknown.
-	// Calls to a service that is not repeatable are dispatched at most once.
+	// Repeatable reports whether calls are idempotent, so that a call may be sent
+	// again if its outcome is unknown. Calls to other services are dispatched at
+	// most once.
 	Repeatable bool `cbor:"4,keyasint,omitempty" json:"repeatable,omitempty" yaml:"repeatable,omitempty"`
-	// Slots is the number of streams one target runs well at the same time.
+	// Slots is the number of streams that one target serves well at the same time.
 	Slots int `cbor:"5,keyasint,omitempty" json:"slots,omitempty" yaml:"slots,omitempty"`
-	// LongestOrder bounds how long a target works on an order.
+	// LongestOrder is the longest time that a target works on an order.
 	LongestOrder time.Duration `cbor:"6,keyasint,omitempty" json:"longest_order,omitempty" yaml:"longest_order,omitempty"`
-	// Role is the role that targets of this service are ordered to take, such
-	// as "mixed", "prefill" or "decode".
+	// Role is the role assigned to the targets of this service, such as "mixed",
+	// "prefill" or "decode".
 	Role string `cbor:"7,keyasint,omitempty" json:"role,omitempty" yaml:"role,omitempty"`
 }
 
-// DomainShare fixes what part of each organisation's rate and burst a failure
-// domain serves when it is cut off from the others.
+// DomainShare determines the part of each organisation's rate and burst that a
+// failure domain serves while it is isolated from the others.
 type DomainShare struct {
-	// Domain is the failure domain, as settings of instances name it.
+	// Domain is the name of the failure domain in the settings of its instances.
 	Domain Domain `cbor:"1,keyasint" json:"domain" yaml:"domain"`
 	// Region groups failure domains that are close to each other.
 	Region string `cbor:"2,keyasint,omitempty" json:"region,omitempty" yaml:"region,omitempty"`
-	// Share is relative: a domain's part is Share ÷ the sum of all shares.
+	// Share is the relative weight: a domain serves Share ÷ the sum of all shares.
 	Share float64 `cbor:"3,keyasint" json:"share" yaml:"share"`
 }
--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -6,53 +6,54 @@
 	"strings"
 )
 
-// InstanceID names one entry instance, as its settings give it. A restarted
+// InstanceID identifies an entry instance. It comes from the settings: a restarted
 // process keeps its InstanceID and gets a new SessionID.
 type InstanceID string
 
-// Domain names a failure domain, such as "pnw-sea".
+// Domain identifies a failure domain, such as "pnw-sea".
 type Domain string
 
-// OrganisationID names a tenant.
+// OrganisationID identifies a tenant.
 type OrganisationID string
 
-// KeyID names a caller's key. It is public, unlike the secret, and is never
-// reused, so that a withdrawal needs no order.
+// KeyID identifies a caller's key. Unlike the secret, it is public. It is never reused,
+// so that withdrawals can be applied in any order.
 type KeyID string
 
-// SecretPrefix begins the secret of every caller's key. Ids never begin with
-// it, so that a secret that somebody puts where an id belongs is noticed
-// before it is logged or published.
+// SecretPrefix is the prefix of the secret of every caller's key. Ids never begin with
+// it, so that a secret entered in place of an id is detected before it is logged or
+// published.
 const SecretPrefix = "mt-"
 
-// LooksLikeSecret reports whether a text that should be an id is a secret.
+// LooksLikeSecret reports whether the id begins with SecretPrefix and is therefore a
+// secret entered by mistake.
 func (id KeyID) LooksLikeSecret() bool { return strings.HasPrefix(string(id), SecretPrefix) }
 
-// TargetID names one model runner or plain service process.
+// TargetID identifies a model runner or plain service process.
 type TargetID string
 
-// ServiceName names a set of interchangeable targets.
+// ServiceName identifies a set of interchangeable targets.
 type ServiceName string
 
-// ModelName is the name by which callers ask for a model.
+// ModelName is the name of a model in callers' requests.
 type ModelName string
 
-// JobID names a batch job.
+// JobID identifies a batch job.
 type JobID string
 
-// CallID names one online call. The target's answer must echo it.
+// CallID identifies an online call. The target's answer must echo it.
 type CallID string
 
-// SessionID is the incarnation of an instance: a random number that is drawn
-// anew whenever an instance opens a session. Zero means "no session".
+// SessionID identifies an incarnation of an instance. It is a new random number
+// whenever an instance opens a session. Zero means "no session".
 type SessionID uint64
 
-// String gives the fixed-width hexadecimal form used in logs.
+// String returns the fixed-width hexadecimal form used in logs.
 func (s SessionID) String() string {
 	return fmt.Sprintf("%016x", uint64(s))
 }
 
-// ParseSessionID reads the form that String writes.
+// ParseSessionID parses the form that SessionID.String returns.
 func ParseSessionID(text string) (SessionID, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -62,22 +63,22 @@
 }
 
 // Offset is the position of an entry in one stream of the platform's log. The
-// first entry has offset 0. The offset of an accepted claim is its fencing
-// number: offsets only grow, so a later holder has a larger one.
+// first entry has offset 0. The offset of an accepted claim is its fencing number:
+// offsets only increase, so a later holder has a higher number.
 type Offset int64
 
-// NoOffset marks "nothing read yet".
+// NoOffset is the offset before any entry is read.
 const NoOffset Offset = -1
 
-// RecordID identifies a control record for duplicate detection. A writer has
-// one frame in flight and numbers its records upwards, so replay needs to
-// remember only the highest number it saw of each session.
+// RecordID identifies a control record for duplicate detection. A writer has at most
+// one frame in flight and uses increasing sequence numbers, so replay stores only the
+// highest sequence number of each session.
 type RecordID struct {
 	Session SessionID `cbor:"1,keyasint"`
 	Seq     uint64    `cbor:"2,keyasint"`
 }
 
-// String gives "session/seq".
+// String returns "session/seq".
 func (id RecordID) String() string {
 	return fmt.Sprintf("%s/%d", id.Session, id.Seq)
 }
--- a/internal/protocol/sse/sse.go
+++ b/internal/protocol/sse/sse.go
@@ -1,7 +1,7 @@
-// Package sse splits a stream of server-sent events into whole events without
-// decoding them, so that a relay can pass them on byte for byte. The format is
-// that of the WHATWG HTML standard, section 9.2; the end mark "data: [DONE]"
-// is OpenAI's.
+// Package sse splits a stream of server-sent events into complete events without
+// decoding them, so that a relay can forward them byte for byte. The format is that of
+// the WHATWG HTML standard, section 9.2. The end marker "data: [DONE]" is that of the
+// OpenAI API.
 package sse
 
 import (
@@ -11,29 +11,32 @@
 	"strconv"
 )
 
-// MaxEvent bounds one event in bytes.
+// MaxEvent is the maximum size of one event in bytes.
 const MaxEvent = 1 << 20
 
-// firstBuffer holds the usual event without growing.
-const firstBuffer = 4 << 10
+// initialBufferSize is the initial buffer size in bytes. Most events fit without
+// growing the buffer.
+const initialBufferSize = 4 << 10
 
-// ErrTooLong: an event exceeds MaxEvent.
-var ErrTooLong = errors.New("sse: event too long")
+// ErrTooLong reports that an event exceeds MaxEvent.
+var ErrTooLong = errors.New("sse: event exceeds 1 MiB")
 
-// Event is one event as it came, with its closing blank line.
+// Event is one event as received.
 type Event struct {
-	// Raw is valid until the next call of Next.
+	// Raw is the event's bytes, including the blank line that ends it. It is valid
+	// until the next call of Reader.Next.
 	Raw []byte
-	// Position is the number in the event's id field: how many events a
-	// reader has once it got this one. 0 if there is none.
+	// Position is the number in the event's id field, which is the number of events
+	// that a reader has received including this one. 0 if there is none.
 	Position int
-	// HasPosition says that there is an id field with a number, which may be 0.
+	// HasPosition reports whether the event has an id field with a number, which may be
+	// 0.
 	HasPosition bool
-	// Done says that this is the end mark.
+	// Done reports whether the event is the end marker.
 	Done bool
 }
 
-// Data joins the event's data fields by line feeds, as the standard wants it.
+// Data returns the event's data fields joined by line feeds, as the standard requires.
 func (e *Event) Data() []byte {
 	var data []byte
 	found := false
@@ -53,26 +56,26 @@
 	return data
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	from       io.Reader
 	buf        []byte
 	start, end int
-	// scanned is how far the buffer is known to hold no end of an event.
+	// scanned is the position in buf up to which no event ends.
 	scanned int
 	err     error
 }
 
-// NewReader returns a reader of the events in from.
+// NewReader returns a Reader of the events in from.
 func NewReader(from io.Reader) *Reader {
-	return &Reader{from: from, buf: make([]byte, firstBuffer)}
+	return &Reader{from: from, buf: make([]byte, initialBufferSize)}
 }
 
-// Next gives the next whole event. At the end it gives io.EOF, or
-// io.ErrUnexpectedEOF if bytes of a broken event are left.
+// Next returns the next complete event. At the end of the stream it returns io.EOF, or
+// io.ErrUnexpectedEOF if the last event is incomplete.
 func (r *Reader) Next() (Event, error) {
 	for {
-		if length := r.whole(); length > 0 {
+		if length := r.completeEventLen(); length > 0 {
 			raw := r.buf[r.start : r.start+length]
 			r.start += length
 			r.scanned = r.start
@@ -87,9 +90,9 @@
 	}
 }
 
-// More reports whether another whole event is already in memory, so that a
-// relay can put off its flush.
-func (r *Reader) More() bool { return r.whole() > 0 }
+// More reports whether another complete event is already buffered, so that a relay can
+// delay its flush.
+func (r *Reader) More() bool { return r.completeEventLen() > 0 }
 
 func (r *Reader) finalError() error {
 	if errors.Is(r.err, io.EOF) && len(bytes.TrimSpace(r.buf[r.start:r.end])) > 0 {
@@ -98,31 +101,32 @@
 	return r.err
 }
 
-// whole is the length of the first event in the buffer, 0 if it is not whole.
-func (r *Reader) whole() int {
+// completeEventLen returns the length of the first event in the buffer, 0 if the event
+// is not complete.
+func (r *Reader) completeEventLen() int {
 	at := r.scanned
 	for {
 		i := bytes.IndexByte(r.buf[at:r.end], '\n')
 		if i < 0 {
-			r.scanned = max(r.start, r.lastLine())
+			r.scanned = max(r.start, r.rescanFrom())
 			return 0
 		}
 		at += i + 1
-		if n := blankLine(r.buf[at:r.end]); n > 0 {
+		if n := lineEndLen(r.buf[at:r.end]); n > 0 {
 			return at + n - r.start
 		}
 	}
 }
 
-// lastLine is where the last line in the buffer starts, less one so that its
-// preceding line feed is seen again.
-func (r *Reader) lastLine() int {
+// rescanFrom returns the position of the last line feed in the buffer, where the next
+// scan for the end of an event has to start.
+func (r *Reader) rescanFrom() int {
 	return r.start + max(0, bytes.LastIndexByte(r.buf[r.start:r.end], '\n'))
 }
 
-// blankLine is the length of the line end that rest starts with, 0 if it
-// starts with none.
-func blankLine(rest []byte) int {
+// lineEndLen returns the length of the line end at the start of rest, 0 if there is
+// none.
+func lineEndLen(rest []byte) int {
 	switch {
 	case len(rest) >= 1 && rest[0] == '\n':
 		return 1
@@ -153,9 +157,9 @@
 }
 
 var (
-	idField   = []byte("id:")
-	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	idField    = []byte("id:")
+	dataField  = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
 func parse(raw []byte) Event {
@@ -164,15 +168,15 @@
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte{'\n'})
 		if value, ok := bytes.CutPrefix(line, idField); ok {
-			event.Position, event.HasPosition = position(value)
+			event.Position, event.HasPosition = parsePosition(value)
 		} else if value, ok := bytes.CutPrefix(line, dataField); ok {
-			event.Done = bytes.Equal(bytes.TrimSpace(value), doneMark)
+			event.Done = bytes.Equal(bytes.TrimSpace(value), doneMarker)
 		}
 	}
 	return event
 }
 
-func position(value []byte) (n int, ok bool) {
+func parsePosition(value []byte) (n int, ok bool) {
 	n, err := strconv.Atoi(string(bytes.TrimSpace(value)))
 	if err != nil || n < 0 {
 		return 0, false
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -42,17 +42,17 @@
 	}
 }
 
-// A target dies in the middle of an event. The half event must not pass for a
-// whole one.
-func TestCutEventIsNotWhole(t *testing.T) {
+// A target terminates in the middle of an event. The incomplete event must not be
+// returned as a complete one.
+func TestTruncatedEventIsNotReturned(t *testing.T) {
 	events, err := readEvents(strings.NewReader("data: a\n\ndata: half"))
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Len(t, events, 1)
 }
 
-// A target sends an event without end. The instance's memory must not go with
-// it.
-func TestEndlessEventIsRefused(t *testing.T) {
+// A target sends an event that never ends. The reader must stop at MaxEvent instead of
+// exhausting the instance's memory.
+func TestEndlessEventIsRejected(t *testing.T) {
 	_, err := readEvents(io.MultiReader(strings.NewReader("data: "), endless{}))
 	require.ErrorIs(t, err, ErrTooLong)
 }
@@ -66,7 +66,7 @@
 	return len(p), nil
 }
 
-func TestMoreTellsOfEventsInMemory(t *testing.T) {
+func TestMoreReportsBufferedEvents(t *testing.T) {
 	reader := NewReader(strings.NewReader("data: a\n\ndata: b\n\ndata: h"))
 	_, err := reader.Next()
 	require.NoError(t, err)
@@ -76,8 +76,8 @@
 	require.False(t, reader.More())
 }
 
-// FuzzReader checks that events are the same however the bytes arrive, and
-// that what comes out is what went in.
+// FuzzReader checks that the events don't depend on how the input is split into reads,
+// and that joined together they are a prefix of the input.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("\r\n\r\n\n\n"))
--- a/internal/transport/batchapi/client_test.go
+++ b/internal/transport/batchapi/client_test.go
@@ -35,9 +35,9 @@
 	return place{}, nil
 }
 func (place) Capacity(protocol.ServiceName) int { return 1 }
-func (place) Pick() coordination.Pick         { return coordination.Pick{} }
-func (place) Revoked() <-chan struct{}        { return nil }
-func (place) Release(coordination.CallResult) {}
+func (place) Pick() coordination.Pick           { return coordination.Pick{} }
+func (place) Revoked() <-chan struct{}          { return nil }
+func (place) Release(coordination.CallResult)   {}
 
 // echo answers an item after a second. Items called "bad" fail.
 type echo struct{}
