--- a/internal/external/network.go
+++ b/internal/external/network.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Network opens listeners and connections by "ip:port".
+// Network opens listeners and connections for "ip:port" addresses.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string) (net.Conn, error)
@@ -23,6 +23,6 @@
 
 // Dial implements Network.
 func (n OSNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: n.Timeout, KeepAlive: -1, Control: limitUnacknowledged}
+	dialer := net.Dialer{Timeout: n.Timeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
--- a/internal/external/socket_linux.go
+++ b/internal/external/socket_linux.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// unacknowledgedLimit ends a connection on which sent bytes stay
-	// unacknowledged. The other sides are some milliseconds away.
-	unacknowledgedLimit = 5 * time.Second
-	// tcpUserTimeout is the socket option for it, in milliseconds. Package
-	// syscall does not name it.
+	// unacknowledgedTimeout is the time after which a connection with unacknowledged
+	// bytes is closed. The round-trip time to the other side is a few milliseconds.
+	unacknowledgedTimeout = 5 * time.Second
+	// tcpUserTimeout is the number of the TCP_USER_TIMEOUT socket option, whose value is
+	// in milliseconds. Package syscall does not define it.
 	tcpUserTimeout = 18
 )
 
-// limitUnacknowledged sets the bound on unacknowledged bytes.
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
 //
-// What goes wrong without it: packets are dropped without a reset. A write
-// succeeds, nothing ever comes back, and the connection counts as in use until
-// the process ends.
-func limitUnacknowledged(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// Without the timeout, a connection whose packets are dropped without a reset stays in
+// use until the process ends: writes succeed and no answer ever arrives.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedLimit.Milliseconds()))
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optErr)
 }
--- a/internal/external/targets.go
+++ b/internal/external/targets.go
@@ -10,44 +10,48 @@
 
 // Causes of a failed exchange with a target.
 var (
-	// ErrNotSent: nothing of the request left this instance, so it did not and
-	// will not run.
+	// ErrNotSent: no byte of the request was sent, so the request did not and will not
+	// run.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrMayHaveRun: the request left, and no answer to it came.
-	ErrMayHaveRun = errors.New("no answer")
+	// ErrMayHaveRun: the request was sent and no answer was received.
+	ErrMayHaveRun = errors.New("request was sent and no answer was received")
 )
 
-// OpenAnswer is a target's answer whose body is still to be read. The reader
-// must close it.
+// OpenAnswer is a target's answer whose body has not been read yet. The reader must
+// close it.
 type OpenAnswer interface {
+	// Head returns the status and headers of the answer.
 	Head() *exchange.Reply
-	// Read gives io.EOF only at the end of a whole body.
+	// Read returns io.EOF only at the end of a complete body.
 	io.Reader
-	// Close gives the answer up, or ends the reading of a whole one.
+	// Close releases the answer. If the body has not been read to its end, Close also
+	// ends the exchange with the target.
 	Close()
 }
 
-// Inspector asks targets what they work on, and has them end it. Neither takes a
-// slot.
+// Inspector queries the requests that targets are working on and ends them. Neither
+// operation occupies a slot.
 type Inspector interface {
-	// Report gives what a target works on, as of some hundred milliseconds ago.
+	// Report returns the requests that a target is working on. The report is some
+	// hundred milliseconds old.
 	Report(ctx context.Context, address string) (exchange.Report, error)
-	// EndRun ends a run. Its memory goes by way of another target of the service
-	// that has room, and is freed there. A run that has ended by itself is no error.
-	EndRun(ctx context.Context, address, id, by string) error
+	// EndRun ends the run with the given id. The run's memory is moved to evacuateTo,
+	// another target of the service that has room, and is freed there. A run that has
+	// already ended is not an error.
+	EndRun(ctx context.Context, address, id, evacuateTo string) error
 }
 
-// HealthChecker asks targets how they are. A target takes the question as a request: it
-// waits for a slot there.
+// HealthChecker checks the health of targets. A target handles a health check as a
+// request, so the check waits for a slot at the target.
 type HealthChecker interface {
 	Health(ctx context.Context, address, path string) (exchange.Health, error)
 }
 
 // Sender sends requests to targets.
 type Sender interface {
-	// Send sends a request and waits for the head of its answer. When ctx ends,
-	// also while the body is being read, the target is told to drop the request.
-	// An error wraps ErrNotSent or ErrMayHaveRun.
+	// Send sends a request and waits for the head of its answer. If ctx is done before
+	// the body has been read, the target is told to cancel the request. An error wraps
+	// ErrNotSent or ErrMayHaveRun.
 	Send(ctx context.Context, address string, d *exchange.Dispatch) (OpenAnswer, error)
 	// Forget closes the idle connections to an address.
 	Forget(address string)
--- a/internal/transport/targethttp/control.go
+++ b/internal/transport/targethttp/control.go
@@ -60,7 +60,7 @@
 	return trace.Wrap(errStatus, "cancel: %d", status)
 }
 
-// Send implements external.Orders.
+// Send implements external.OrderClient.
 func (c *Client) Send(ctx context.Context, address string, order external.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Current implements external.Orders.
+// Current implements external.OrderClient.
 func (c *Client) Current(ctx context.Context, address string) (external.OrderState, error) {
 	var state external.OrderState
 	data, err := c.get(ctx, address, "/orders")
