--- a/internal/coordination/routing/health.go
+++ b/internal/coordination/routing/health.go
@@ -61,7 +61,7 @@
 // judged by what it does after its return.
 func (h *health) eject(now time.Time, o *Options) {
 	length := o.EjectFor << min(h.ejections, 10)
-	h.until = now.Add(min(length, o.EjectMost))
+	h.until = now.Add(min(length, o.MaxEjection))
 	h.ejections++
 	h.failures = 0
 	h.samples = 0
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -81,7 +81,7 @@
 		AffinityLoad:    s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
 		EjectFor:        s.Routing.EjectFor,
-		EjectMost:       s.Routing.LongestEjection,
+		MaxEjection:       s.Routing.LongestEjection,
 		EjectShare:      s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
