--- a/internal/coordination/routing/health.go
+++ b/internal/coordination/routing/health.go
@@ -60,7 +60,7 @@
 // eject takes the target out of use. Its samples start anew, so that it is
 // judged by what it does after its return.
 func (h *health) eject(now time.Time, o *Options) {
-	length := o.EjectFor << min(h.ejections, 10)
+	length := o.InitialEjection << min(h.ejections, 10)
 	h.until = now.Add(min(length, o.MaxEjection))
 	h.ejections++
 	h.failures = 0
--- a/internal/coordination/routing/options.go
+++ b/internal/coordination/routing/options.go
@@ -44,9 +44,9 @@
 	AffinityFresh time.Duration
 	// FailuresToEject is the run of failures that ejects a target. Default 3.
 	FailuresToEject int
-	// EjectFor is the first ejection; it doubles up to MaxEjection. Defaults
+	// InitialEjection is the first ejection; it doubles up to MaxEjection. Defaults
 	// 2 s and 60 s.
-	EjectFor, MaxEjection time.Duration
+	InitialEjection, MaxEjection time.Duration
 	// EjectShare bounds the part of a service that is ejected at the same
 	// time. Default 0.5: one of three failure domains may be dead as a whole;
 	// beyond a half the cause is more likely shared, and the rest could not
@@ -75,7 +75,7 @@
 	defaults.SetPositive(&o.ReportHalfLife, 300*time.Millisecond)
 	defaults.SetPositive(&o.AffinityFresh, 4*time.Second)
 	defaults.SetPositive(&o.FailuresToEject, 3)
-	defaults.SetPositive(&o.EjectFor, 2*time.Second)
+	defaults.SetPositive(&o.InitialEjection, 2*time.Second)
 	defaults.SetPositive(&o.MaxEjection, time.Minute)
 	defaults.SetPositive(&o.EjectShare, 0.5)
 	defaults.SetPositive(&o.SlowFactor, 4)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -80,7 +80,7 @@
 		ReportHalfLife:  s.Routing.ReportHalfLife,
 		AffinityLoad:    s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
-		EjectFor:        s.Routing.EjectFor,
+		InitialEjection:        s.Routing.EjectFor,
 		MaxEjection:       s.Routing.LongestEjection,
 		EjectShare:      s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
