--- a/internal/coordination/routing/options.go
+++ b/internal/coordination/routing/options.go
@@ -47,11 +47,11 @@
 	// InitialEjection is the first ejection; it doubles up to MaxEjection. Defaults
 	// 2 s and 60 s.
 	InitialEjection, MaxEjection time.Duration
-	// EjectShare bounds the part of a service that is ejected at the same
+	// MaxEjectedShare bounds the part of a service that is ejected at the same
 	// time. Default 0.5: one of three failure domains may be dead as a whole;
 	// beyond a half the cause is more likely shared, and the rest could not
 	// carry the load.
-	EjectShare float64
+	MaxEjectedShare float64
 	// SlowFactor ejects a target whose mean time to the first byte is so many
 	// times the service's. Default 4.
 	SlowFactor float64
@@ -77,7 +77,7 @@
 	defaults.SetPositive(&o.FailuresToEject, 3)
 	defaults.SetPositive(&o.InitialEjection, 2*time.Second)
 	defaults.SetPositive(&o.MaxEjection, time.Minute)
-	defaults.SetPositive(&o.EjectShare, 0.5)
+	defaults.SetPositive(&o.MaxEjectedShare, 0.5)
 	defaults.SetPositive(&o.SlowFactor, 4)
 	defaults.SetPositive(&o.SlowSamples, 8)
 	defaults.SetPositive(&o.SlowFloor, 100*time.Millisecond)
--- a/internal/coordination/routing/pool.go
+++ b/internal/coordination/routing/pool.go
@@ -77,7 +77,7 @@
 			ejected++
 		}
 	}
-	most := int(o.EjectShare * float64(len(p.all)))
+	most := int(o.MaxEjectedShare * float64(len(p.all)))
 	if len(p.all) > 1 {
 		most = max(1, most)
 	}
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -82,7 +82,7 @@
 		FailuresToEject: s.Routing.FailuresToEject,
 		InitialEjection:        s.Routing.EjectFor,
 		MaxEjection:       s.Routing.LongestEjection,
-		EjectShare:      s.Routing.EjectShare,
+		MaxEjectedShare:      s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
 }
