--- a/internal/coordination/routing/core.go
+++ b/internal/coordination/routing/core.go
@@ -84,7 +84,7 @@
 		return remote
 	case remote == nil:
 		return local
-	case remote.load(now, &c.opts)+c.opts.SpillGain <= local.load(now, &c.opts):
+	case remote.load(now, &c.opts)+c.opts.SpillMargin <= local.load(now, &c.opts):
 		return remote
 	default:
 		return local
--- a/internal/coordination/routing/options.go
+++ b/internal/coordination/routing/options.go
@@ -26,9 +26,9 @@
 	// taken. Default 1: below it the local target runs well, so crossing
 	// domains would cost latency for nothing.
 	SpillAt float64
-	// SpillGain is by how much less loaded per slot the other domain's target
+	// SpillMargin is by how much less loaded per slot the other domain's target
 	// must be. Default 0.25, so that two full domains don't trade calls.
-	SpillGain float64
+	SpillMargin float64
 	// ReportHalfLife is the age at which a load report counts half; the other
 	// half is the mean over the service. Default 300 ms: reports are 1 to 2 s
 	// old when they are used, and all instances that trusted them would turn
@@ -71,7 +71,7 @@
 func (o Options) withDefaults() Options {
 	defaults.SetPositive(&o.SlotsPerTarget, 16)
 	defaults.SetPositive(&o.SpillAt, 1)
-	defaults.SetPositive(&o.SpillGain, 0.25)
+	defaults.SetPositive(&o.SpillMargin, 0.25)
 	defaults.SetPositive(&o.ReportHalfLife, 300*time.Millisecond)
 	defaults.SetPositive(&o.AffinityFresh, 4*time.Second)
 	defaults.SetPositive(&o.FailuresToEject, 3)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -76,7 +76,7 @@
 		Domain:          s.Domain,
 		Seed:            seedOf(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
-		SpillGain:       s.Routing.SpillGain,
+		SpillMargin:       s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
 		AffinityLoad:    s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
