--- a/internal/coordination/routing/core.go
+++ b/internal/coordination/routing/core.go
@@ -121,14 +121,14 @@
 // to by rendezvous hashing, unless its load is too far above the mean or not
 // known.
 func (c *Core) withPrefix(now time.Time, p *pool, req *coordination.PickRequest) *target {
-	if req.Prefix == 0 || c.opts.AffinityLoad <= 0 {
+	if req.Prefix == 0 || c.opts.AffinityMargin <= 0 {
 		return nil
 	}
 	t := p.owner(req.Prefix)
 	if t == nil || slices.Contains(req.Exclude, t.id) || !t.freshly(now, &c.opts) {
 		return nil
 	}
-	bound := (1+c.opts.AffinityLoad)*p.meanLoad() + 1/p.slots
+	bound := (1+c.opts.AffinityMargin)*p.meanLoad() + 1/p.slots
 	if t.load(now, &c.opts) > bound {
 		return nil
 	}
--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -218,7 +218,7 @@
 
 func TestPrefixKeepsItsTargetUntilItIsFull(t *testing.T) {
 	targets := listed(8, here)
-	core := newTestCore(Options{AffinityLoad: 1}, targets...)
+	core := newTestCore(Options{AffinityMargin: 1}, targets...)
 	for _, one := range targets {
 		core.Report(start, external.Load{Target: one.ID})
 	}
@@ -240,7 +240,7 @@
 // they would overrun it; so the prefix draws no calls then.
 func TestPrefixDrawsNoCallsWithoutReports(t *testing.T) {
 	targets := listed(8, here)
-	core := newTestCore(Options{AffinityLoad: 1}, targets...)
+	core := newTestCore(Options{AffinityMargin: 1}, targets...)
 	for _, one := range targets {
 		core.Report(start, external.Load{Target: one.ID})
 	}
@@ -341,7 +341,7 @@
 	for _, n := range []int{10, 100, 850} {
 		for _, affinity := range []float64{0, 0.5} {
 			b.Run(fmt.Sprintf("targets=%d/affinity=%g", n, affinity), func(b *testing.B) {
-				core := newTestCore(Options{AffinityLoad: affinity}, append(listed(n/4+1, here), listed(n-n/4-1, there)...)...)
+				core := newTestCore(Options{AffinityMargin: affinity}, append(listed(n/4+1, here), listed(n-n/4-1, there)...)...)
 				now := start
 				for id := range core.targets {
 					core.Report(now, external.Load{Target: id})
--- a/internal/coordination/routing/options.go
+++ b/internal/coordination/routing/options.go
@@ -34,10 +34,10 @@
 	// old when they are used, and all instances that trusted them would turn
 	// to the same targets (docs/design/10-routing.md has the figures).
 	ReportHalfLife time.Duration
-	// AffinityLoad is how far above the mean load per slot a target that
+	// AffinityMargin is how far above the mean load per slot a target that
 	// holds the prompt's prefix is still preferred. Zero is no affinity; the
 	// daemon's setting is 0.25.
-	AffinityLoad float64
+	AffinityMargin float64
 	// AffinityFresh is the greatest age of a load report with which a prefix
 	// may draw calls to its target. Default 4 s: two reports a second apart
 	// may fail.
--- a/internal/coordination/routing/ways_test.go
+++ b/internal/coordination/routing/ways_test.go
@@ -46,10 +46,10 @@
 		{name: "own-counts+reports", reports: true},
 		{name: "reports-half-life-2s", reports: true, opts: Options{ReportHalfLife: 2 * time.Second}},
 		{name: "reports-half-life-8s", reports: true, opts: Options{ReportHalfLife: 8 * time.Second}},
-		{name: "affinity-0.5-no-reports", opts: Options{AffinityLoad: 0.5}},
-		{name: "affinity-0.25", reports: true, opts: Options{AffinityLoad: 0.25}},
-		{name: "affinity-0.5", reports: true, opts: Options{AffinityLoad: 0.5}},
-		{name: "affinity-1", reports: true, opts: Options{AffinityLoad: 1}},
+		{name: "affinity-0.5-no-reports", opts: Options{AffinityMargin: 0.5}},
+		{name: "affinity-0.25", reports: true, opts: Options{AffinityMargin: 0.25}},
+		{name: "affinity-0.5", reports: true, opts: Options{AffinityMargin: 0.5}},
+		{name: "affinity-1", reports: true, opts: Options{AffinityMargin: 1}},
 		{name: "oracle-least-loaded", pick: (*sim).leastLoaded},
 	}
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -78,7 +78,7 @@
 		SpillAt:         s.Routing.SpillAt,
 		SpillMargin:       s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
-		AffinityLoad:    s.Routing.AffinityLoad,
+		AffinityMargin:    s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
 		InitialEjection:        s.Routing.EjectFor,
 		MaxEjection:       s.Routing.LongestEjection,
