--- a/internal/coordination/routing/options.go
+++ b/internal/coordination/routing/options.go
@@ -60,9 +60,9 @@
 	// SlowFloor is a time to the first byte that is never slow. Default
 	// 100 ms, so that jitter on a fast service ejects nobody.
 	SlowFloor time.Duration
-	// BatchElsewhere is the number of batch items that other instances had at
+	// PeerBatchItems is the number of batch items that other instances had at
 	// a target at a time, as far as it is known; nil if it never is.
-	BatchElsewhere func(protocol.TargetID, time.Time) int
+	PeerBatchItems func(protocol.TargetID, time.Time) int
 	// LeavingFor keeps a target that said it is leaving out of use until the
 	// list has dropped it. Default 60 s.
 	LeavingFor time.Duration
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -21,7 +21,7 @@
 
 // NewRouter returns a router that knows no target.
 func NewRouter(opts Options) *Router {
-	return &Router{core: NewCore(opts), batchElsewhere: opts.BatchElsewhere}
+	return &Router{core: NewCore(opts), batchElsewhere: opts.PeerBatchItems}
 }
 
 // Pick implements coordination.Router.
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -44,7 +44,7 @@
 	j := d.agreement.journal
 	f := &d.fleet
 	options := routingOptions(s)
-	options.BatchElsewhere = f.batchElsewhere
+	options.PeerBatchItems = f.batchElsewhere
 	f.router = routing.NewRouter(options)
 	f.orders = orders.New(orders.Options{
 		Instance: s.Instance,
