--- a/internal/coordination/routing/core.go
+++ b/internal/coordination/routing/core.go
@@ -209,9 +209,9 @@
 	t.pool.rebuild(now, &c.opts)
 }
 
-// SetBatchElsewhere tells how many batch items other instances have at a target,
+// SetPeerBatchItems tells how many batch items other instances have at a target,
 // which its next reports count among its streams.
-func (c *Core) SetBatchElsewhere(id protocol.TargetID, items int) {
+func (c *Core) SetPeerBatchItems(id protocol.TargetID, items int) {
 	if t, ok := c.targets[id]; ok {
 		t.batchElsewhere = items
 	}
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -96,7 +96,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.core.SetBatchElsewhere(load.Target, elsewhere)
+	r.core.SetPeerBatchItems(load.Target, elsewhere)
 	r.core.Report(now, load)
 }
 
