--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -26,9 +26,9 @@
 	// Fleet gives the configuration in force.
 	Fleet  func() *protocol.Fleet
 	Logger log.Logger
-	// ListEvery is the time between reads of the platform's list. Default 1 s,
+	// ListInterval is the time between reads of the platform's list. Default 1 s,
 	// so that a leaving target gets no new work after about a second.
-	ListEvery time.Duration
+	ListInterval time.Duration
 	// LoadsPerSecond bounds the load reports read a second. Default 20: each
 	// of ten targets twice a second, and at hundreds of targets a round of
 	// them within the control budget.
@@ -43,7 +43,7 @@
 }
 
 func (o PollOptions) withDefaults() PollOptions {
-	defaults.SetPositive(&o.ListEvery, time.Second)
+	defaults.SetPositive(&o.ListInterval, time.Second)
 	defaults.SetPositive(&o.LoadsPerSecond, 20)
 	defaults.SetPositive(&o.LoadEvery, time.Second)
 	if o.Logger == nil {
@@ -72,7 +72,7 @@
 func (l *listPoller) Serve(ctx context.Context) error {
 	for {
 		l.poll(ctx)
-		if !wait.For(ctx, l.opts.ListEvery) {
+		if !wait.For(ctx, l.opts.ListInterval) {
 			return ctx.Err()
 		}
 	}
@@ -80,7 +80,7 @@
 
 // poll reads the list once. While it can't be read the last one stays in use.
 func (l *listPoller) poll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, l.opts.ListEvery*2)
+	ctx, cancel := context.WithTimeout(ctx, l.opts.ListInterval*2)
 	defer cancel()
 	listing, err := l.opts.List.List(ctx)
 	if err != nil {
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -108,7 +108,7 @@
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
-		ListEvery:      s.Timings.ListPoll,
+		ListInterval:      s.Timings.ListPoll,
 		LoadEvery:      s.Timings.LoadPoll,
 		LoadsPerSecond: s.Routing.LoadsPerSecond,
 	}
