--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -33,9 +33,9 @@
 	// of ten targets twice a second, and at hundreds of targets a round of
 	// them within the control budget.
 	LoadsPerSecond float64
-	// LoadEvery is the least time between two reads of one target's load.
+	// LoadInterval is the least time between two reads of one target's load.
 	// Default 1 s, the lag of the reports.
-	LoadEvery time.Duration
+	LoadInterval time.Duration
 	// Domain is read first and more often than the others.
 	Domain protocol.Domain
 	// Listed is told each listing too, for other users of the list. May be nil.
@@ -45,7 +45,7 @@
 func (o PollOptions) withDefaults() PollOptions {
 	defaults.SetPositive(&o.ListInterval, time.Second)
 	defaults.SetPositive(&o.LoadsPerSecond, 20)
-	defaults.SetPositive(&o.LoadEvery, time.Second)
+	defaults.SetPositive(&o.LoadInterval, time.Second)
 	if o.Logger == nil {
 		o.Logger = log.NewNopLogger()
 	}
@@ -183,7 +183,7 @@
 
 func (l *loadPoller) due(t Status) time.Duration {
 	if t.Domain != l.opts.Domain {
-		return remoteEvery * l.opts.LoadEvery
+		return remoteEvery * l.opts.LoadInterval
 	}
-	return l.opts.LoadEvery
+	return l.opts.LoadInterval
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -109,7 +109,7 @@
 	return routing.PollOptions{
 		Domain:         s.Domain,
 		ListInterval:      s.Timings.ListPoll,
-		LoadEvery:      s.Timings.LoadPoll,
+		LoadInterval:      s.Timings.LoadPoll,
 		LoadsPerSecond: s.Routing.LoadsPerSecond,
 	}
 }
