--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -38,8 +38,8 @@
 	LoadInterval time.Duration
 	// Domain is read first and more often than the others.
 	Domain protocol.Domain
-	// Listed is told each listing too, for other users of the list. May be nil.
-	Listed func(external.Listing)
+	// OnListing is told each listing too, for other users of the list. May be nil.
+	OnListing func(external.Listing)
 }
 
 func (o PollOptions) withDefaults() PollOptions {
@@ -96,8 +96,8 @@
 	l.down = false
 	l.opts.Router.SetServices(l.opts.Fleet().Services)
 	l.opts.Router.Listing(listing)
-	if l.opts.Listed != nil {
-		l.opts.Listed(listing)
+	if l.opts.OnListing != nil {
+		l.opts.OnListing(listing)
 	}
 }
 
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -61,7 +61,7 @@
 	polls.Loads = d.outside.control
 	polls.Fleet = j.Fleet
 	polls.Logger = d.logger
-	polls.Listed = f.orders.Listing
+	polls.OnListing = f.orders.Listing
 	f.pollers = routing.Pollers(polls)
 	f.limits = limiter.New(limiter.Config{
 		Self: s.Instance, Domain: s.Domain, Address: s.Listen.Peers,
