--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -35,7 +35,7 @@
 	opts.Seed = 1
 	core := NewCore(opts)
 	core.SetServices(map[protocol.ServiceName]protocol.Service{service: {Name: service, Slots: 4}})
-	core.Listing(start, external.Listing{Targets: targets})
+	core.ApplyListing(start, external.Listing{Targets: targets})
 	return core
 }
 
@@ -94,7 +94,7 @@
 	core := newTestCore(Options{}, targets...)
 	choice, _ := core.Pick(start, coordination.PickRequest{Service: service})
 	core.Done(start, choice, coordination.CallResult{Leaving: true})
-	core.Listing(start.Add(time.Second), external.Listing{Targets: targets})
+	core.ApplyListing(start.Add(time.Second), external.Listing{Targets: targets})
 	require.Zero(t, picks(t, core, start.Add(2*time.Second), 20)[choice.Target])
 }
 
@@ -102,10 +102,10 @@
 	targets := listed(2, here)
 	core := newTestCore(Options{}, targets...)
 	targets[0].Leaving = true
-	core.Listing(start, external.Listing{Targets: targets})
+	core.ApplyListing(start, external.Listing{Targets: targets})
 	require.Zero(t, picks(t, core, start, 20)[targets[0].ID])
 	targets[1].Leaving = true
-	core.Listing(start, external.Listing{Targets: targets})
+	core.ApplyListing(start, external.Listing{Targets: targets})
 	_, ok := core.Pick(start, coordination.PickRequest{Service: service})
 	require.False(t, ok, "all are leaving")
 }
@@ -114,7 +114,7 @@
 // targets are all alive; an instance that believed the list would refuse all.
 func TestEmptyListKeepsTheLastTargets(t *testing.T) {
 	core := newTestCore(Options{}, listed(3, here)...)
-	core.Listing(start, external.Listing{})
+	core.ApplyListing(start, external.Listing{})
 	picks(t, core, start, 3)
 }
 
@@ -126,12 +126,12 @@
 		choice, _ := core.Pick(start, coordination.PickRequest{Service: service})
 		kept = append(kept, choice)
 	}
-	core.Listing(start, external.Listing{Targets: targets[:1]})
+	core.ApplyListing(start, external.Listing{Targets: targets[:1]})
 	require.Len(t, core.Targets(start), 2)
 	for _, choice := range kept {
 		core.Done(start, choice, coordination.CallResult{})
 	}
-	core.Listing(start, external.Listing{Targets: targets[:1]})
+	core.ApplyListing(start, external.Listing{Targets: targets[:1]})
 	require.Len(t, core.Targets(start), 1)
 }
 
@@ -305,7 +305,7 @@
 					some[i].Leaving = true
 					leaving[some[i].ID] = true
 				}
-				core.Listing(now, external.Listing{Targets: some})
+				core.ApplyListing(now, external.Listing{Targets: some})
 				if len(some) == 0 {
 					for _, one := range core.Targets(now) {
 						leaving[one.Target] = one.Leaving
--- a/internal/coordination/routing/listing.go
+++ b/internal/coordination/routing/listing.go
@@ -28,9 +28,9 @@
 	return float64(c.opts.SlotsPerTarget)
 }
 
-// Listing takes in the platform's list. Targets that are not on it any more
+// ApplyListing takes in the platform's list. Targets that are not on it any more
 // get no new work and are forgotten once their calls have ended.
-func (c *Core) Listing(now time.Time, listing external.Listing) {
+func (c *Core) ApplyListing(now time.Time, listing external.Listing) {
 	for _, t := range c.targets {
 		t.listed = false
 	}
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -84,7 +84,7 @@
 func (r *Router) Listing(listing external.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.core.Listing(time.Now(), listing)
+	r.core.ApplyListing(time.Now(), listing)
 }
 
 // Report takes in a load report.
--- a/internal/coordination/routing/ways_test.go
+++ b/internal/coordination/routing/ways_test.go
@@ -139,7 +139,7 @@
 		opts := w.opts
 		opts.Domain, opts.Seed = domains[i%3], uint64(i)
 		core := NewCore(opts)
-		core.Listing(s.now, listing)
+		core.ApplyListing(s.now, listing)
 		s.cores = append(s.cores, core)
 	}
 	return s
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -166,7 +166,7 @@
 		})
 	}
 	core.SetServices(map[protocol.ServiceName]protocol.Service{u.service: {Name: u.service, Slots: slotsPerTarget}})
-	core.Listing(virtual.Start, listing)
+	core.ApplyListing(virtual.Start, listing)
 	loads := make([]int, bigTargets)
 	random := rand.New(rand.NewPCG(1, 1))
 	for i, listed := range listing.Targets {
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -178,7 +178,7 @@
 			waiting:   map[admission.WaitID]func(){},
 		}
 		n.router.SetServices(s.rates.fleet.Services)
-		n.router.Listing(s.clock.Now(), listing)
+		n.router.ApplyListing(s.clock.Now(), listing)
 		n.headroom.Known(s.targets(i))
 		s.nodes = append(s.nodes, n)
 	}
