--- a/internal/coordination/routing/core.go
+++ b/internal/coordination/routing/core.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// Report takes in a target's load report.
-func (c *Core) Report(now time.Time, load external.Load) {
+// ApplyReport takes in a target's load report.
+func (c *Core) ApplyReport(now time.Time, load external.Load) {
 	t, ok := c.targets[load.Target]
 	if !ok {
 		return
--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -72,8 +72,8 @@
 func TestReportsOfOthersCount(t *testing.T) {
 	core := newTestCore(Options{}, listed(2, here)...)
 	busy := listed(2, here)[0].ID
-	core.Report(start, external.Load{Target: busy, Running: 3})
-	core.Report(start, external.Load{Target: listed(2, here)[1].ID})
+	core.ApplyReport(start, external.Load{Target: busy, Running: 3})
+	core.ApplyReport(start, external.Load{Target: listed(2, here)[1].ID})
 	require.Zero(t, picks(t, core, start, 3)[busy])
 }
 
@@ -83,7 +83,7 @@
 	core := newTestCore(Options{}, listed(1, here)...)
 	picks(t, core, start, 3)
 	later := start.Add(time.Second)
-	core.Report(later, external.Load{Target: listed(1, here)[0].ID, Running: 5, AgeMS: 500})
+	core.ApplyReport(later, external.Load{Target: listed(1, here)[0].ID, Running: 5, AgeMS: 500})
 	require.InDelta(t, 2, core.Targets(later)[0].Others, 0.01, "5 running, 3 of them own")
 }
 
@@ -220,7 +220,7 @@
 	targets := listed(8, here)
 	core := newTestCore(Options{AffinityMargin: 1}, targets...)
 	for _, one := range targets {
-		core.Report(start, external.Load{Target: one.ID})
+		core.ApplyReport(start, external.Load{Target: one.ID})
 	}
 	req := coordination.PickRequest{Service: service, Prefix: 42}
 	first, _ := core.Pick(start, req)
@@ -242,7 +242,7 @@
 	targets := listed(8, here)
 	core := newTestCore(Options{AffinityMargin: 1}, targets...)
 	for _, one := range targets {
-		core.Report(start, external.Load{Target: one.ID})
+		core.ApplyReport(start, external.Load{Target: one.ID})
 	}
 	seen := map[protocol.TargetID]bool{}
 	late := start.Add(time.Minute)
@@ -313,7 +313,7 @@
 				}
 			},
 			"report": func(t *rapid.T) {
-				core.Report(now, external.Load{Target: all[rapid.IntRange(0, len(all)-1).Draw(t, "i")].ID, Running: rapid.IntRange(0, 50).Draw(t, "running"), AgeMS: int64(rapid.IntRange(0, 3000).Draw(t, "age"))})
+				core.ApplyReport(now, external.Load{Target: all[rapid.IntRange(0, len(all)-1).Draw(t, "i")].ID, Running: rapid.IntRange(0, 50).Draw(t, "running"), AgeMS: int64(rapid.IntRange(0, 3000).Draw(t, "age"))})
 			},
 			"": func(t *rapid.T) { checkCore(t, core, now, len(open)) },
 		})
@@ -344,7 +344,7 @@
 				core := newTestCore(Options{AffinityMargin: affinity}, append(listed(n/4+1, here), listed(n-n/4-1, there)...)...)
 				now := start
 				for id := range core.targets {
-					core.Report(now, external.Load{Target: id})
+					core.ApplyReport(now, external.Load{Target: id})
 				}
 				var prefix uint64
 				for b.Loop() {
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -97,7 +97,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.SetPeerBatchItems(load.Target, elsewhere)
-	r.core.Report(now, load)
+	r.core.ApplyReport(now, load)
 }
 
 // SetServices takes in the configured services.
--- a/internal/coordination/routing/ways_test.go
+++ b/internal/coordination/routing/ways_test.go
@@ -216,7 +216,7 @@
 			continue
 		}
 		for _, core := range s.cores {
-			core.Report(s.now, external.Load{Target: e.id, Running: e.history[back], AgeMS: simReportLag.Milliseconds()})
+			core.ApplyReport(s.now, external.Load{Target: e.id, Running: e.history[back], AgeMS: simReportLag.Milliseconds()})
 		}
 	}
 }
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -171,7 +171,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for i, listed := range listing.Targets {
 		loads[i] = random.IntN(slotsPerTarget)
-		core.Report(virtual.Start, external.Load{Target: listed.ID, Running: loads[i]})
+		core.ApplyReport(virtual.Start, external.Load{Target: listed.ID, Running: loads[i]})
 	}
 	now := virtual.Start
 	begin := time.Now()
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -247,7 +247,7 @@
 			if !s.blind {
 				n.router.SetPeerBatchItems(e.id, n.headroom.BatchElsewhere(e.id, s.clock.Now().Add(-reportLag)))
 			}
-			n.router.Report(s.clock.Now(), load)
+			n.router.ApplyReport(s.clock.Now(), load)
 		}
 	}
 }
