--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -95,7 +95,7 @@
 	}
 	l.down = false
 	l.opts.Router.SetServices(l.opts.Fleet().Services)
-	l.opts.Router.Listing(listing)
+	l.opts.Router.ApplyListing(listing)
 	if l.opts.OnListing != nil {
 		l.opts.OnListing(listing)
 	}
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -80,8 +80,8 @@
 	return r.core.Targets(time.Now())
 }
 
-// Listing takes in the platform's list.
-func (r *Router) Listing(listing external.Listing) {
+// ApplyListing takes in the platform's list.
+func (r *Router) ApplyListing(listing external.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.ApplyListing(time.Now(), listing)
--- a/internal/daemon/view_test.go
+++ b/internal/daemon/view_test.go
@@ -47,7 +47,7 @@
 			Domain: "d", Address: "127.0.0.1:1",
 		})
 	}
-	router.Listing(listing)
+	router.ApplyListing(listing)
 	for _, target := range listing.Targets {
 		router.Report(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
 	}
--- a/internal/transport/edge/matrix_answer_test.go
+++ b/internal/transport/edge/matrix_answer_test.go
@@ -97,7 +97,7 @@
 	for i := 1; i < modelTargets; i++ {
 		far.Targets[i].Leaving = true
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.targets[0].SetFaults(target.Faults{HoldAfter: 4})
 	running := begin(func() error { return s.chatStreamed("riser") })
 	if err := s.held(1); err != nil {
@@ -106,7 +106,7 @@
 	for i := range modelTargets {
 		far.Targets[i].Leaving = false
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.servers[0].CloseClientConnections()
 	return first(<-running, s.resumedOnce(1))
 }
--- a/internal/transport/edge/matrix_dispatch_test.go
+++ b/internal/transport/edge/matrix_dispatch_test.go
@@ -125,7 +125,7 @@
 	for _, id := range []protocol.TargetID{"far-1", "far-2"} {
 		listing.Targets = append(listing.Targets, external.ListedTarget{ID: id, Service: testService, Domain: "pnw-pdx", Address: "127.0.0.1:1"})
 	}
-	s.router.Listing(listing)
+	s.router.ApplyListing(listing)
 	for i := range 24 {
 		if err := s.chatWhole(fmt.Sprint("riser ", i)); err != nil {
 			return err
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -242,7 +242,7 @@
 	for i := 1; i < modelTargets; i++ {
 		far.Targets[i].Domain = "pnw-pdx"
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.targets[0].SetFaults(target.Faults{Cross: true, CrossWaitMS: 10_000, Times: 2})
 	err := together(
 		func() error { return call("riser 1") },
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -128,7 +128,7 @@
 	}
 	s.plain = add(plainTargetID, target.Config{Service: plainService, Kind: protocol.KindPlain})
 	s.router.SetServices(s.fleet.Load().Services)
-	s.router.Listing(s.listing)
+	s.router.ApplyListing(s.listing)
 }
 
 func (s *system) listen() (net.Listener, error) {
