--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -147,7 +147,7 @@
 		return
 	}
 	load.Target = next.Target
-	l.opts.Router.Report(load)
+	l.opts.Router.ApplyReport(load)
 }
 
 // remoteEvery is how many times rarer targets of other domains are read.
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -87,8 +87,8 @@
 	r.core.ApplyListing(time.Now(), listing)
 }
 
-// Report takes in a load report.
-func (r *Router) Report(load external.Load) {
+// ApplyReport takes in a load report.
+func (r *Router) ApplyReport(load external.Load) {
 	now := time.Now()
 	elsewhere := 0
 	if r.batchElsewhere != nil {
--- a/internal/daemon/view_test.go
+++ b/internal/daemon/view_test.go
@@ -49,7 +49,7 @@
 	}
 	router.ApplyListing(listing)
 	for _, target := range listing.Targets {
-		router.Report(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
+		router.ApplyReport(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
 	}
 	return &view{router: router, journal: journal.New(journal.Options{Log: memlog.New(memlog.Options{})})}
 }
