--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -84,7 +84,7 @@
 	picks(t, core, start, 3)
 	later := start.Add(time.Second)
 	core.ApplyReport(later, external.Load{Target: listed(1, here)[0].ID, Running: 5, AgeMS: 500})
-	require.InDelta(t, 2, core.Targets(later)[0].Others, 0.01, "5 running, 3 of them own")
+	require.InDelta(t, 2, core.Targets(later)[0].PeerStreams, 0.01, "5 running, 3 of them own")
 }
 
 // A target says itself that it is leaving, before the list does. It gets no
@@ -327,7 +327,7 @@
 	for _, one := range targets {
 		require.GreaterOrEqual(t, one.Online, 0)
 		require.GreaterOrEqual(t, one.Batch, 0)
-		require.GreaterOrEqual(t, one.Others, 0.0)
+		require.GreaterOrEqual(t, one.PeerStreams, 0.0)
 		counted += one.Online + one.Batch
 		if one.Ejected {
 			ejected++
--- a/internal/coordination/routing/listing.go
+++ b/internal/coordination/routing/listing.go
@@ -116,8 +116,8 @@
 	// Online and Batch count own calls in flight.
 	Online int `json:"online"`
 	Batch  int `json:"batch"`
-	// Others is the estimate of what other instances have in flight.
-	Others float64 `json:"others"`
+	// PeerStreams is the estimate of what other instances have in flight.
+	PeerStreams float64 `json:"others"`
 	// Reported is the number of streams in the target's last report, from all
 	// instances, and ReportedAt the time it speaks of, zero if none came.
 	Reported   int       `json:"reported"`
@@ -165,7 +165,7 @@
 			Address:     t.address,
 			Online:      t.online,
 			Batch:       t.batch,
-			Others:      t.othersNow(now, &c.opts),
+			PeerStreams:      t.othersNow(now, &c.opts),
 			Reported:    t.reported,
 			ReportedAt:  t.reportedAt,
 			FirstByteMS: t.health.firstByte * 1000,
--- a/internal/coordination/routing/pollers_test.go
+++ b/internal/coordination/routing/pollers_test.go
@@ -84,7 +84,7 @@
 	polled(t, func(f *fakePlatform, router *Router) {
 		<-time.After(20 * time.Second)
 		for _, one := range router.Targets() {
-			require.InDelta(t, 3, one.Others, 0.1)
+			require.InDelta(t, 3, one.PeerStreams, 0.1)
 		}
 		f.set(func() {
 			require.InDelta(t, 20, f.reads["n0"], 2, "each second")
@@ -138,7 +138,7 @@
 		f.set(func() { f.wrong = true })
 		<-time.After(5 * time.Second)
 		for _, one := range router.Targets() {
-			require.Zero(t, one.Others)
+			require.Zero(t, one.PeerStreams)
 		}
 	})
 }
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -145,7 +145,7 @@
 		shown = append(shown, target)
 		state := pick(target.Leaving, "leaving", pick(target.Ejected, "ejected", "in use"))
 		t.add(string(target.Target), string(target.Service), string(target.Domain), target.Address, fmt.Sprint(target.Online),
-			fmt.Sprint(target.Batch), fmt.Sprintf("%.1f", target.Others), fmt.Sprintf("%.1f ms", target.FirstByteMS), state)
+			fmt.Sprint(target.Batch), fmt.Sprintf("%.1f", target.PeerStreams), fmt.Sprintf("%.1f ms", target.FirstByteMS), state)
 	}
 	answer.Targets = shown
 	return env.show(result{data: answer, table: t, did: fmt.Sprintf("%d targets as %s knows them; ONLINE and BATCH are its own calls", len(shown), answer.Instance)})
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -261,7 +261,7 @@
 				continue
 			}
 			capacity.Slots += slotsPerTarget
-			others += status.Others
+			others += status.PeerStreams
 		}
 		capacity.Others = int(others)
 		n.admission.SetCapacity(s.user.service, capacity)
