--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -34,7 +34,7 @@
 	idCount  atomic.Uint64
 
 	budgetMu sync.Mutex
-	budgets  map[protocol.ServiceName]*routing.Budget
+	budgets  map[protocol.ServiceName]*routing.RetryBudget
 }
 
 // New returns a path. Its Services must run.
@@ -53,7 +53,7 @@
 		policy:   policy,
 		cancels:  newCanceller(opts.Target, policy.CancelTimeout),
 		idPrefix: hex.EncodeToString(random) + "-",
-		budgets:  map[protocol.ServiceName]*routing.Budget{},
+		budgets:  map[protocol.ServiceName]*routing.RetryBudget{},
 	}
 	p.allowed = append(p.allowed, allowedHeaders...)
 	for _, name := range policy.AllowHeaders {
@@ -155,7 +155,7 @@
 	return protocol.CallID(p.idPrefix + strconv.FormatUint(p.idCount.Add(1), 10))
 }
 
-func (p *Path) budget(service protocol.ServiceName) *routing.Budget {
+func (p *Path) budget(service protocol.ServiceName) *routing.RetryBudget {
 	b, ok := p.budgets[service]
 	if !ok {
 		b = routing.NewBudget(p.policy.RetryRatio, p.policy.RetryPerSecond, p.policy.RetryMost)
--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Budget bounds retries to a part of the calls, so that a fleet in trouble is
+// RetryBudget bounds retries to a part of the calls, so that a fleet in trouble is
 // not sent a multiple of its load. It is not safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	// ratio is what each call adds, perSecond what time adds.
 	ratio, perSecond float64
 	most             float64
@@ -17,17 +17,17 @@
 
 // NewBudget returns a budget that allows ratio retries a call and perSecond
 // retries a second beside, of which most can be saved up.
-func NewBudget(ratio, perSecond, most float64) *Budget {
-	return &Budget{ratio: ratio, perSecond: perSecond, most: most, tokens: most}
+func NewBudget(ratio, perSecond, most float64) *RetryBudget {
+	return &RetryBudget{ratio: ratio, perSecond: perSecond, most: most, tokens: most}
 }
 
 // Called notes a first attempt.
-func (b *Budget) Called() {
+func (b *RetryBudget) Called() {
 	b.tokens = min(b.most, b.tokens+b.ratio)
 }
 
 // Retry takes one retry if there is one left.
-func (b *Budget) Retry(now time.Time) bool {
+func (b *RetryBudget) Retry(now time.Time) bool {
 	if !b.at.IsZero() {
 		b.tokens = min(b.most, b.tokens+b.perSecond*now.Sub(b.at).Seconds())
 	}
