--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -158,7 +158,7 @@
 func (p *Path) budget(service protocol.ServiceName) *routing.RetryBudget {
 	b, ok := p.budgets[service]
 	if !ok {
-		b = routing.NewBudget(p.policy.RetryRatio, p.policy.RetryPerSecond, p.policy.RetryMost)
+		b = routing.NewRetryBudget(p.policy.RetryRatio, p.policy.RetryPerSecond, p.policy.RetryMost)
 		p.budgets[service] = b
 	}
 	return b
--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -15,9 +15,9 @@
 // rounding is what sums of fractions may fall short by.
 const rounding = 1e-9
 
-// NewBudget returns a budget that allows ratio retries a call and perSecond
+// NewRetryBudget returns a budget that allows ratio retries a call and perSecond
 // retries a second beside, of which most can be saved up.
-func NewBudget(ratio, perSecond, most float64) *RetryBudget {
+func NewRetryBudget(ratio, perSecond, most float64) *RetryBudget {
 	return &RetryBudget{ratio: ratio, perSecond: perSecond, most: most, tokens: most}
 }
 
--- a/internal/coordination/routing/pollers_test.go
+++ b/internal/coordination/routing/pollers_test.go
@@ -144,7 +144,7 @@
 }
 
 func TestBudgetAllowsAShareOfRetries(t *testing.T) {
-	budget := NewBudget(0.1, 0, 2)
+	budget := NewRetryBudget(0.1, 0, 2)
 	now := start
 	require.True(t, budget.Retry(now))
 	require.True(t, budget.Retry(now))
