--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -167,7 +167,7 @@
 func (p *Path) called(service protocol.ServiceName) {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
-	p.budget(service).Called()
+	p.budget(service).RecordCall()
 }
 
 func (p *Path) mayRetry(service protocol.ServiceName) bool {
--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -21,8 +21,8 @@
 	return &RetryBudget{ratio: ratio, perSecond: perSecond, most: most, tokens: most}
 }
 
-// Called notes a first attempt.
-func (b *RetryBudget) Called() {
+// RecordCall notes a first attempt.
+func (b *RetryBudget) RecordCall() {
 	b.tokens = min(b.most, b.tokens+b.ratio)
 }
 
--- a/internal/coordination/routing/pollers_test.go
+++ b/internal/coordination/routing/pollers_test.go
@@ -150,7 +150,7 @@
 	require.True(t, budget.Retry(now))
 	require.False(t, budget.Retry(now))
 	for range 10 {
-		budget.Called()
+		budget.RecordCall()
 	}
 	require.True(t, budget.Retry(now))
 	require.False(t, budget.Retry(now))
