--- a/internal/coordination/online/path.go
+++ b/internal/coordination/online/path.go
@@ -173,5 +173,5 @@
 func (p *Path) mayRetry(service protocol.ServiceName) bool {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
-	return p.budget(service).Retry(time.Now())
+	return p.budget(service).TakeRetry(time.Now())
 }
--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -26,8 +26,8 @@
 	b.tokens = min(b.most, b.tokens+b.ratio)
 }
 
-// Retry takes one retry if there is one left.
-func (b *RetryBudget) Retry(now time.Time) bool {
+// TakeRetry takes one retry if there is one left.
+func (b *RetryBudget) TakeRetry(now time.Time) bool {
 	if !b.at.IsZero() {
 		b.tokens = min(b.most, b.tokens+b.perSecond*now.Sub(b.at).Seconds())
 	}
--- a/internal/coordination/routing/pollers_test.go
+++ b/internal/coordination/routing/pollers_test.go
@@ -146,12 +146,12 @@
 func TestBudgetAllowsAShareOfRetries(t *testing.T) {
 	budget := NewRetryBudget(0.1, 0, 2)
 	now := start
-	require.True(t, budget.Retry(now))
-	require.True(t, budget.Retry(now))
-	require.False(t, budget.Retry(now))
+	require.True(t, budget.TakeRetry(now))
+	require.True(t, budget.TakeRetry(now))
+	require.False(t, budget.TakeRetry(now))
 	for range 10 {
 		budget.RecordCall()
 	}
-	require.True(t, budget.Retry(now))
-	require.False(t, budget.Retry(now))
+	require.True(t, budget.TakeRetry(now))
+	require.False(t, budget.TakeRetry(now))
 }
