--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -232,7 +232,7 @@
 
 // Serve implements suture.Service.
 func (s *windowService) Serve(ctx context.Context) error {
-	return wait.AtOnceAndEvery(ctx, s.headroom.Settings.Tick, func() {
+	return wait.AtOnceAndEvery(ctx, s.headroom.Settings.NoticeInterval, func() {
 		s.headroom.notices.Offer(s.headroom.tick(time.Now()))
 	})
 }
--- a/internal/coordination/headroom/settings.go
+++ b/internal/coordination/headroom/settings.go
@@ -4,10 +4,10 @@
 
 // Settings are the policy constants of the batch windows.
 type Settings struct {
-	// Tick is how often notices leave. It bounds how long the
+	// NoticeInterval is how often notices leave. It bounds how long the
 	// feeder of a target does not know of an online call that started at
 	// another instance.
-	Tick time.Duration `yaml:"tick"`
+	NoticeInterval time.Duration `yaml:"tick"`
 	// NoticeCalm is how long the end of an online call may wait before the
 	// target's feeder is told. A start is told with the next tick.
 	NoticeCalm time.Duration `yaml:"notice_calm"`
@@ -50,7 +50,7 @@
 // Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
-		Tick:         10 * time.Millisecond,
+		NoticeInterval:         10 * time.Millisecond,
 		NoticeCalm:   100 * time.Millisecond,
 		NoticeRepeat: 2 * time.Second,
 		NoticeAll:    10 * time.Second,
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -218,7 +218,7 @@
 func (s *servingSim) duties() {
 	s.clock.Every(engineStep, s.stepEngines)
 	s.clock.Every(capacityEvery, s.capacities)
-	s.clock.Every(s.headroom.Tick, s.notices)
+	s.clock.Every(s.headroom.NoticeInterval, s.notices)
 	s.clock.Every(s.headroom.Look, s.windows)
 	s.clock.Every(batchLook, s.placeAny)
 	s.clock.Every(reportEvery, s.reports)
