--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -156,7 +156,7 @@
 
 // tick returns the notices to send, and looks at the targets when it is time.
 func (h *Headroom) tick(now time.Time) map[protocol.InstanceID][]TargetCount {
-	if now.Sub(h.lookedAt) >= h.Settings.Look {
+	if now.Sub(h.lookedAt) >= h.Settings.PollInterval {
 		h.lookedAt = now
 		h.look(now)
 	}
--- a/internal/coordination/headroom/settings.go
+++ b/internal/coordination/headroom/settings.go
@@ -19,8 +19,8 @@
 	// NoticeLife is the age from which a count is not believed; then only the
 	// target's report shows the instance's calls.
 	NoticeLife time.Duration `yaml:"notice_life"`
-	// Look is how often the targets and their reports are looked at.
-	Look time.Duration `yaml:"look"`
+	// PollInterval is how often the targets and their reports are looked at.
+	PollInterval time.Duration `yaml:"look"`
 	// Refresh is how often the feeders are chosen anew.
 	Refresh time.Duration `yaml:"refresh"`
 	// GrowEvery is how often a window may grow by one step. Growing slowly
@@ -55,7 +55,7 @@
 		NoticeRepeat: 2 * time.Second,
 		NoticeAll:    10 * time.Second,
 		NoticeLife:   5 * time.Second,
-		Look:         50 * time.Millisecond,
+		PollInterval:         50 * time.Millisecond,
 		Refresh:      time.Second,
 		GrowEvery:    100 * time.Millisecond,
 		GrowPart:     0.125,
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -219,7 +219,7 @@
 	s.clock.Every(engineStep, s.stepEngines)
 	s.clock.Every(capacityEvery, s.capacities)
 	s.clock.Every(s.headroom.NoticeInterval, s.notices)
-	s.clock.Every(s.headroom.Look, s.windows)
+	s.clock.Every(s.headroom.PollInterval, s.windows)
 	s.clock.Every(batchLook, s.placeAny)
 	s.clock.Every(reportEvery, s.reports)
 }
