--- a/internal/coordination/headroom/core.go
+++ b/internal/coordination/headroom/core.go
@@ -145,7 +145,7 @@
 		return
 	}
 	spare := math.Ceil(c.settings.Spare * float64(w.target.Slots))
-	step := math.Max(1, math.Floor(c.settings.GrowPart*float64(w.target.Slots)))
+	step := math.Max(1, math.Floor(c.settings.GrowStep*float64(w.target.Slots)))
 	if aim := room - spare; aim > w.size {
 		w.size = min(aim, w.size+step)
 		w.grownAt = now
--- a/internal/coordination/headroom/settings.go
+++ b/internal/coordination/headroom/settings.go
@@ -27,8 +27,8 @@
 	// keeps short dips of the online load from placing batch items that the
 	// next second takes back.
 	GrowEvery time.Duration `yaml:"grow_every"`
-	// GrowPart is the step, as a part of the target's slots; at least one.
-	GrowPart float64 `yaml:"grow_part"`
+	// GrowStep is the step, as a part of the target's slots; at least one.
+	GrowStep float64 `yaml:"grow_part"`
 	// CalmAfter is how long a window does not grow after a revocation.
 	CalmAfter time.Duration `yaml:"calm_after"`
 	// Spare is the part of the slots that growth leaves free, so that the
@@ -58,7 +58,7 @@
 		PollInterval:         50 * time.Millisecond,
 		Refresh:      time.Second,
 		GrowEvery:    100 * time.Millisecond,
-		GrowPart:     0.125,
+		GrowStep:     0.125,
 		CalmAfter:    500 * time.Millisecond,
 		Spare:        0.05,
 		Young:        80 * time.Millisecond,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -234,7 +234,7 @@
 		{"calls.retry_share", s.Calls.RetryShare},
 		{"routing.eject_share", s.Routing.EjectShare},
 		{"headroom.spare", s.Headroom.Spare},
-		{"headroom.grow_part", s.Headroom.GrowPart},
+		{"headroom.grow_part", s.Headroom.GrowStep},
 		{"admission.hold_memory", s.Admission.HoldMemory},
 	}
 	for _, share := range shares {
