--- a/internal/coordination/headroom/core.go
+++ b/internal/coordination/headroom/core.go
@@ -144,7 +144,7 @@
 	if now.Sub(w.shrunkAt) < c.settings.CalmAfter || now.Sub(w.grownAt) < c.settings.GrowEvery {
 		return
 	}
-	spare := math.Ceil(c.settings.Spare * float64(w.target.Slots))
+	spare := math.Ceil(c.settings.SpareShare * float64(w.target.Slots))
 	step := math.Max(1, math.Floor(c.settings.GrowStep*float64(w.target.Slots)))
 	if aim := room - spare; aim > w.size {
 		w.size = min(aim, w.size+step)
--- a/internal/coordination/headroom/settings.go
+++ b/internal/coordination/headroom/settings.go
@@ -31,9 +31,9 @@
 	GrowStep float64 `yaml:"grow_part"`
 	// CalmAfter is how long a window does not grow after a revocation.
 	CalmAfter time.Duration `yaml:"calm_after"`
-	// Spare is the part of the slots that growth leaves free, so that the
+	// SpareShare is the part of the slots that growth leaves free, so that the
 	// usual jitter of online traffic fits without taking batch items back.
-	Spare float64 `yaml:"spare"`
+	SpareShare float64 `yaml:"spare"`
 	// Young is the age up to which a batch item is taken back when an online
 	// call starts: the time in which a target usually reads a prompt.
 	Young time.Duration `yaml:"young"`
@@ -60,7 +60,7 @@
 		GrowEvery:    100 * time.Millisecond,
 		GrowStep:     0.125,
 		CalmAfter:    500 * time.Millisecond,
-		Spare:        0.05,
+		SpareShare:        0.05,
 		Young:        80 * time.Millisecond,
 		StartGap:     80 * time.Millisecond,
 		QuietBefore:  50 * time.Millisecond,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -233,7 +233,7 @@
 	}{
 		{"calls.retry_share", s.Calls.RetryShare},
 		{"routing.eject_share", s.Routing.EjectShare},
-		{"headroom.spare", s.Headroom.Spare},
+		{"headroom.spare", s.Headroom.SpareShare},
 		{"headroom.grow_part", s.Headroom.GrowStep},
 		{"admission.hold_memory", s.Admission.HoldMemory},
 	}
