--- a/internal/coordination/headroom/core_test.go
+++ b/internal/coordination/headroom/core_test.go
@@ -106,15 +106,15 @@
 func TestNoticeOfAnotherInstanceTakesSlotsBack(t *testing.T) {
 	c, now := grown(t)
 	place(t, c, now, 15)
-	require.Len(t, c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 5}}), 4)
-	require.Empty(t, c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 5}}), "a repeated notice")
+	require.Len(t, c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 5}}), 4)
+	require.Empty(t, c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 5}}), "a repeated notice")
 }
 
 // The other instance dies with its calls. Its count must not keep batch out
 // for ever.
 func TestOldNoticesAreForgotten(t *testing.T) {
 	c, now := grown(t)
-	c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 16}})
+	c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 16}})
 	now = now.Add(time.Minute)
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
--- a/internal/coordination/headroom/matrix_test.go
+++ b/internal/coordination/headroom/matrix_test.go
@@ -56,8 +56,8 @@
 	c, now := grown(t)
 	place(t, c, now, 15)
 	counts := []TargetCount{{Target: "t", Count: 4}}
-	require.Len(t, c.Noticed(now, "other", counts), 3)
-	require.Empty(t, c.Noticed(now, "other", counts))
+	require.Len(t, c.ApplyNotice(now, "other", counts), 3)
+	require.Empty(t, c.ApplyNotice(now, "other", counts))
 }
 
 // An old notice arrives after a newer one and hides online calls. The next
@@ -65,14 +65,14 @@
 func revokeLate(t *testing.T) {
 	c, now := grown(t)
 	place(t, c, now, 15)
-	c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 8}})
-	c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 1}})
+	c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 8}})
+	c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 1}})
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
 		c.Observe(now, []Target{target()})
 		c.Place(now, "s")
 	}
-	require.NotEmpty(t, c.Noticed(now, "other", []TargetCount{{Target: "t", Count: 8}}))
+	require.NotEmpty(t, c.ApplyNotice(now, "other", []TargetCount{{Target: "t", Count: 8}}))
 	require.LessOrEqual(t, c.Places("s"), 8)
 }
 
--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -37,7 +37,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	h.revoke(h.core.Noticed(now, args.From, args.Counts))
+	h.revoke(h.core.ApplyNotice(now, args.From, args.Counts))
 	reply.Batch = h.core.Placed(args.Counts)
 	return nil
 }
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -108,8 +108,8 @@
 	c.outbox.calm[target] = true
 }
 
-// Noticed takes in what another instance says and returns the slots to revoke.
-func (c *Core) Noticed(now time.Time, from protocol.InstanceID, counts []TargetCount) []SlotID {
+// ApplyNotice takes in what another instance says and returns the slots to revoke.
+func (c *Core) ApplyNotice(now time.Time, from protocol.InstanceID, counts []TargetCount) []SlotID {
 	var revoked []SlotID
 	for _, count := range counts {
 		t := c.traffic(count.Target)
--- a/internal/policybench/batchside.go
+++ b/internal/policybench/batchside.go
@@ -19,7 +19,7 @@
 			s.clock.After(noticeHop, func() {
 				for j, other := range s.nodes {
 					if s.user.instance(j) == feeder {
-						s.revoke(j, other.headroom.Noticed(s.clock.Now(), from, counts))
+						s.revoke(j, other.headroom.ApplyNotice(s.clock.Now(), from, counts))
 						n.headroom.Told(s.clock.Now(), other.headroom.Placed(counts))
 					}
 				}
