--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -77,7 +77,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.core.Told(time.Now(), reply.Batch)
+	h.core.RecordPeerBatchItems(time.Now(), reply.Batch)
 }
 
 // BatchElsewhere is the number of batch items that another instance had at a
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -138,8 +138,8 @@
 	return placed
 }
 
-// Told takes in the batch items that a feeder has placed.
-func (c *Core) Told(now time.Time, placed []TargetCount) {
+// RecordPeerBatchItems takes in the batch items that a feeder has placed.
+func (c *Core) RecordPeerBatchItems(now time.Time, placed []TargetCount) {
 	for _, p := range placed {
 		c.traffic(p.Target).told.note(now, max(0, p.Count))
 	}
