--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -38,7 +38,7 @@
 	defer h.mu.Unlock()
 	now := time.Now()
 	h.revoke(h.core.ApplyNotice(now, args.From, args.Counts))
-	reply.Batch = h.core.Placed(args.Counts)
+	reply.Batch = h.core.PlacedItems(args.Counts)
 	return nil
 }
 
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -127,8 +127,8 @@
 	return revoked
 }
 
-// Placed are the batch items at the given targets that are fed here.
-func (c *Core) Placed(asked []TargetCount) []TargetCount {
+// PlacedItems are the batch items at the given targets that are fed here.
+func (c *Core) PlacedItems(asked []TargetCount) []TargetCount {
 	var placed []TargetCount
 	for _, a := range asked {
 		if w, ok := c.windows[a.Target]; ok {
--- a/internal/policybench/batchside.go
+++ b/internal/policybench/batchside.go
@@ -20,7 +20,7 @@
 				for j, other := range s.nodes {
 					if s.user.instance(j) == feeder {
 						s.revoke(j, other.headroom.ApplyNotice(s.clock.Now(), from, counts))
-						n.headroom.RecordPeerBatchItems(s.clock.Now(), other.headroom.Placed(counts))
+						n.headroom.RecordPeerBatchItems(s.clock.Now(), other.headroom.PlacedItems(counts))
 					}
 				}
 			})
