--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -174,7 +174,7 @@
 	if now.Sub(h.refreshedAt) >= h.Settings.Refresh {
 		h.refreshedAt = now
 		h.feeders = Feeders(targets, members)
-		h.core.Known(targets)
+		h.core.SyncTargets(targets)
 	}
 	fed := targets[:0:0]
 	for _, t := range targets {
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -183,9 +183,9 @@
 	return t
 }
 
-// Known drops the counts of targets that do not exist any more, and begins to
+// SyncTargets drops the counts of targets that do not exist any more, and begins to
 // count for new ones.
-func (c *Core) Known(existing []Target) {
+func (c *Core) SyncTargets(existing []Target) {
 	known := make(map[protocol.TargetID]bool, len(existing))
 	for _, t := range existing {
 		known[t.ID] = true
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -179,7 +179,7 @@
 		}
 		n.router.SetServices(s.rates.fleet.Services)
 		n.router.ApplyListing(s.clock.Now(), listing)
-		n.headroom.Known(s.targets(i))
+		n.headroom.SyncTargets(s.targets(i))
 		s.nodes = append(s.nodes, n)
 	}
 	s.feeders = headroom.Feeders(s.targets(0), members)
