--- a/internal/coordination/headroom/core_test.go
+++ b/internal/coordination/headroom/core_test.go
@@ -128,6 +128,6 @@
 	feeders := map[protocol.TargetID]protocol.InstanceID{"t": "feeder", "own": "self"}
 	c.OnlineStarted(epoch, "t")
 	c.OnlineStarted(epoch, "own")
-	notices := c.Notices(epoch, feeders, "self")
+	notices := c.DueNotices(epoch, feeders, "self")
 	require.Equal(t, map[protocol.InstanceID][]TargetCount{"feeder": {{Target: "t", Count: 1}}}, notices)
 }
--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -162,7 +162,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.Notices(now, h.feeders, h.Self)
+	return h.core.DueNotices(now, h.feeders, h.Self)
 }
 
 // look follows the targets and who feeds them.
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -158,8 +158,8 @@
 	return 0
 }
 
-// Notices are the counts to tell other instances now, by feeder.
-func (c *Core) Notices(now time.Time, feeders map[protocol.TargetID]protocol.InstanceID, self protocol.InstanceID) map[protocol.InstanceID][]TargetCount {
+// DueNotices are the counts to tell other instances now, by feeder.
+func (c *Core) DueNotices(now time.Time, feeders map[protocol.TargetID]protocol.InstanceID, self protocol.InstanceID) map[protocol.InstanceID][]TargetCount {
 	var out map[protocol.InstanceID][]TargetCount
 	for _, id := range c.outbox.due(now, c.traffics) {
 		feeder := feeders[id]
--- a/internal/policybench/batchside.go
+++ b/internal/policybench/batchside.go
@@ -13,7 +13,7 @@
 func (s *servingSim) notices() {
 	for i, n := range s.nodes {
 		from := s.user.instance(i)
-		notices := n.headroom.Notices(s.clock.Now(), s.feeders, from)
+		notices := n.headroom.DueNotices(s.clock.Now(), s.feeders, from)
 		for _, feeder := range slices.Sorted(maps.Keys(notices)) {
 			counts := notices[feeder]
 			s.clock.After(noticeHop, func() {
