--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -85,7 +85,7 @@
 func (h *Headroom) BatchElsewhere(target protocol.TargetID, at time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.core.BatchElsewhere(target, at)
+	return h.core.PeerBatchItems(target, at)
 }
 
 // Watch returns a router that tells of every online call it routes, so that
--- a/internal/coordination/headroom/online.go
+++ b/internal/coordination/headroom/online.go
@@ -145,10 +145,10 @@
 	}
 }
 
-// BatchElsewhere is the number of batch items that another instance had at a
+// PeerBatchItems is the number of batch items that another instance had at a
 // target at a time, as far as it is known here. Reports lag, so what they count
 // has to be compared with what was there then.
-func (c *Core) BatchElsewhere(id protocol.TargetID, at time.Time) int {
+func (c *Core) PeerBatchItems(id protocol.TargetID, at time.Time) int {
 	if _, fed := c.windows[id]; fed {
 		return 0
 	}
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -245,7 +245,7 @@
 		load := external.Load{Target: e.id, Running: e.history[len(e.history)-1-lag], AgeMS: reportLag.Milliseconds()}
 		for _, n := range s.nodes {
 			if !s.blind {
-				n.router.SetPeerBatchItems(e.id, n.headroom.BatchElsewhere(e.id, s.clock.Now().Add(-reportLag)))
+				n.router.SetPeerBatchItems(e.id, n.headroom.PeerBatchItems(e.id, s.clock.Now().Add(-reportLag)))
 			}
 			n.router.ApplyReport(s.clock.Now(), load)
 		}
