--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -80,9 +80,9 @@
 	h.core.RecordPeerBatchItems(time.Now(), reply.Batch)
 }
 
-// BatchElsewhere is the number of batch items that another instance had at a
+// PeerBatchItems is the number of batch items that another instance had at a
 // target at a time, as far as it is known here.
-func (h *Headroom) BatchElsewhere(target protocol.TargetID, at time.Time) int {
+func (h *Headroom) PeerBatchItems(target protocol.TargetID, at time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.PeerBatchItems(target, at)
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -79,7 +79,7 @@
 // batchElsewhere is the number of batch items that other instances had at a
 // target.
 func (f *fleetPolicy) batchElsewhere(target protocol.TargetID, at time.Time) int {
-	return f.headroom.BatchElsewhere(target, at)
+	return f.headroom.PeerBatchItems(target, at)
 }
 
 // leave gives up the duties and hands the rate's tokens to others. No call runs
