--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -88,9 +88,9 @@
 	return h.core.PeerBatchItems(target, at)
 }
 
-// Watch returns a router that tells of every online call it routes, so that
+// WrapRouter returns a router that tells of every online call it routes, so that
 // batch yields before the call reaches the target.
-func (h *Headroom) Watch(router coordination.Router) coordination.Router {
+func (h *Headroom) WrapRouter(router coordination.Router) coordination.Router {
 	return &watchedRouter{headroom: h, router: router}
 }
 
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -31,7 +31,7 @@
 		Keys:       d.keys,
 		Limits:     d.fleet.limits,
 		Admission:  d.fleet.admission,
-		Router:     d.fleet.headroom.Watch(d.fleet.router),
+		Router:     d.fleet.headroom.WrapRouter(d.fleet.router),
 		Target:     d.outside.online,
 		OnceTarget: d.outside.once,
 		Once:       d.batch.once,
