--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -34,8 +34,8 @@
 	Source   Source
 	Peers    coordination.Peers
 	Settings Settings
-	// Started tells the router of a batch call at a target; may be nil.
-	Started func(protocol.TargetID)
+	// OnBatchStarted tells the router of a batch call at a target; may be nil.
+	OnBatchStarted func(protocol.TargetID)
 	// Report tells the router how a batch call went; may be nil.
 	Report func(protocol.TargetID, coordination.CallResult)
 }
@@ -129,8 +129,8 @@
 	}
 	h.slots[id] = s
 	stats.Add("placed", 1)
-	if h.Started != nil {
-		h.Started(target.ID)
+	if h.OnBatchStarted != nil {
+		h.OnBatchStarted(target.ID)
 	}
 	return s, nil
 }
