--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -36,8 +36,8 @@
 	Settings Settings
 	// OnBatchStarted tells the router of a batch call at a target; may be nil.
 	OnBatchStarted func(protocol.TargetID)
-	// Report tells the router how a batch call went; may be nil.
-	Report func(protocol.TargetID, coordination.CallResult)
+	// OnBatchDone tells the router how a batch call went; may be nil.
+	OnBatchDone func(protocol.TargetID, coordination.CallResult)
 }
 
 // Headroom implements coordination.BatchSlots around the pure Core.
@@ -219,8 +219,8 @@
 	delete(h.slots, s.id)
 	h.wake()
 	h.mu.Unlock()
-	if h.Report != nil {
-		h.Report(s.pick.Target, result)
+	if h.OnBatchDone != nil {
+		h.OnBatchDone(s.pick.Target, result)
 	}
 }
 
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -72,7 +72,7 @@
 	f.admission = admission.New(admission.Config{Fleet: j.Fleet, Capacities: shown, Settings: s.Admission})
 	f.headroom = headroom.New(headroom.Config{Self: s.Instance, Source: shown, Settings: s.Headroom,
 		Peers:   d.agreement.heartbeats,
-		OnBatchStarted: f.router.BatchStarted, Report: f.router.BatchDone,
+		OnBatchStarted: f.router.BatchStarted, OnBatchDone: f.router.BatchDone,
 	})
 }
 
