--- a/internal/coordination/routing/listing.go
+++ b/internal/coordination/routing/listing.go
@@ -165,7 +165,7 @@
 			Address:     t.address,
 			Online:      t.online,
 			Batch:       t.batch,
-			PeerStreams:      t.othersNow(now, &c.opts),
+			PeerStreams: t.othersNow(now, &c.opts),
 			Reported:    t.reported,
 			ReportedAt:  t.reportedAt,
 			FirstByteMS: t.health.firstByte * 1000,
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -71,7 +71,7 @@
 	shown := &view{router: f.router, journal: j}
 	f.admission = admission.New(admission.Config{Fleet: j.Fleet, Capacities: shown, Settings: s.Admission})
 	f.headroom = headroom.New(headroom.Config{Self: s.Instance, Source: shown, Settings: s.Headroom,
-		Peers:   d.agreement.heartbeats,
+		Peers:          d.agreement.heartbeats,
 		OnBatchStarted: f.router.BatchStarted, OnBatchDone: f.router.BatchDone,
 	})
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -76,13 +76,13 @@
 		Domain:          s.Domain,
 		Seed:            seedOf(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
-		SpillMargin:       s.Routing.SpillGain,
+		SpillMargin:     s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
-		AffinityMargin:    s.Routing.AffinityLoad,
+		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
-		InitialEjection:        s.Routing.EjectFor,
-		MaxEjection:       s.Routing.LongestEjection,
-		MaxEjectedShare:      s.Routing.EjectShare,
+		InitialEjection: s.Routing.EjectFor,
+		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
 }
@@ -108,8 +108,8 @@
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
-		ListInterval:      s.Timings.ListPoll,
-		LoadInterval:      s.Timings.LoadPoll,
+		ListInterval:   s.Timings.ListPoll,
+		LoadInterval:   s.Timings.LoadPoll,
 		LoadsPerSecond: s.Routing.LoadsPerSecond,
 	}
 }
