--- a/internal/coordination/routing/budget.go
+++ b/internal/coordination/routing/budget.go
@@ -2,37 +2,41 @@
 
 import "time"
 
-// RetryBudget bounds retries to a part of the calls, so that a fleet in trouble is
-// not sent a multiple of its load. It is not safe for concurrent use.
+// RetryBudget limits retries to a share of the calls, so that retries do not
+// multiply the load of a fleet that is already failing. It is not safe for
+// concurrent use.
 type RetryBudget struct {
-	// ratio is what each call adds, perSecond what time adds.
+	// ratio is the number of tokens that each call adds, and perSecond the
+	// number that each second adds. A retry takes one token.
 	ratio, perSecond float64
-	most             float64
+	max              float64
 	tokens           float64
-	at               time.Time
+	refilledAt       time.Time
 }
 
-// rounding is what sums of fractions may fall short by.
-const rounding = 1e-9
+// roundingError is the amount by which a sum of fractions may fall short of a
+// whole token.
+const roundingError = 1e-9
 
-// NewRetryBudget returns a budget that allows ratio retries a call and perSecond
-// retries a second beside, of which most can be saved up.
-func NewRetryBudget(ratio, perSecond, most float64) *RetryBudget {
-	return &RetryBudget{ratio: ratio, perSecond: perSecond, most: most, tokens: most}
+// NewRetryBudget returns a full budget. It allows ratio retries per call plus
+// perSecond retries per second, and stores at most maxRetries unused retries.
+func NewRetryBudget(ratio, perSecond, maxRetries float64) *RetryBudget {
+	return &RetryBudget{ratio: ratio, perSecond: perSecond, max: maxRetries, tokens: maxRetries}
 }
 
-// RecordCall notes a first attempt.
+// RecordCall records the first attempt of a call.
 func (b *RetryBudget) RecordCall() {
-	b.tokens = min(b.most, b.tokens+b.ratio)
+	b.tokens = min(b.max, b.tokens+b.ratio)
 }
 
-// TakeRetry takes one retry if there is one left.
+// TakeRetry takes one retry from the budget and reports whether one was
+// available.
 func (b *RetryBudget) TakeRetry(now time.Time) bool {
-	if !b.at.IsZero() {
-		b.tokens = min(b.most, b.tokens+b.perSecond*now.Sub(b.at).Seconds())
+	if !b.refilledAt.IsZero() {
+		b.tokens = min(b.max, b.tokens+b.perSecond*now.Sub(b.refilledAt).Seconds())
 	}
-	b.at = now
-	if b.tokens < 1-rounding {
+	b.refilledAt = now
+	if b.tokens < 1-roundingError {
 		return false
 	}
 	b.tokens--
--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	service = protocol.ServiceName("dispecer-lm")
-	here    = protocol.Domain("ploiesti")
-	there   = protocol.Domain("bucuresti-s4")
+	service      = protocol.ServiceName("dispecer-lm")
+	localDomain  = protocol.Domain("ploiesti")
+	remoteDomain = protocol.Domain("bucuresti-s4")
 )
 
 var start = time.Unix(1_000_000, 0)
 
-func listed(n int, domain protocol.Domain) []external.ListedTarget {
+func listedTargets(n int, domain protocol.Domain) []external.ListedTarget {
 	var out []external.ListedTarget
 	for i := range n {
 		id := protocol.TargetID(fmt.Sprintf("%s-%02d", domain, i))
@@ -31,7 +31,7 @@
 }
 
 func newTestCore(opts Options, targets ...external.ListedTarget) *Core {
-	opts.Domain = here
+	opts.Domain = localDomain
 	opts.Seed = 1
 	core := NewCore(opts)
 	core.SetServices(map[protocol.ServiceName]protocol.Service{service: {Name: service, Slots: 4}})
@@ -39,8 +39,9 @@
 	return core
 }
 
-// picks makes n picks that stay in flight and counts them by target.
-func picks(t require.TestingT, core *Core, now time.Time, n int) map[protocol.TargetID]int {
+// pickCounts picks n targets for calls that stay in flight, and returns the
+// number of calls by target.
+func pickCounts(t require.TestingT, core *Core, now time.Time, n int) map[protocol.TargetID]int {
 	out := map[protocol.TargetID]int{}
 	for range n {
 		choice, ok := core.Pick(now, coordination.PickRequest{Service: service})
@@ -51,143 +52,144 @@
 }
 
 func TestPicksSpreadEvenly(t *testing.T) {
-	core := newTestCore(Options{}, listed(10, here)...)
-	for id, n := range picks(t, core, start, 40) {
+	core := newTestCore(Options{}, listedTargets(10, localDomain)...)
+	for id, n := range pickCounts(t, core, start, 40) {
 		require.InDelta(t, 4, n, 2, id)
 	}
 }
 
 func TestOwnDomainFirstAndSpillWhenFull(t *testing.T) {
-	core := newTestCore(Options{}, append(listed(2, here), listed(2, there)...)...)
-	for id := range picks(t, core, start, 8) {
-		require.Contains(t, string(id), string(here))
+	core := newTestCore(Options{}, append(listedTargets(2, localDomain), listedTargets(2, remoteDomain)...)...)
+	for id := range pickCounts(t, core, start, 8) {
+		require.Contains(t, string(id), string(localDomain))
 	}
 	spilled := false
-	for id := range picks(t, core, start, 8) {
-		spilled = spilled || id[:4] == protocol.TargetID(there[:4])
+	for id := range pickCounts(t, core, start, 8) {
+		spilled = spilled || id[:4] == protocol.TargetID(remoteDomain[:4])
 	}
 	require.True(t, spilled)
 }
 
-func TestReportsOfOthersCount(t *testing.T) {
-	core := newTestCore(Options{}, listed(2, here)...)
-	busy := listed(2, here)[0].ID
+func TestReportedPeerLoadIsCounted(t *testing.T) {
+	core := newTestCore(Options{}, listedTargets(2, localDomain)...)
+	busy := listedTargets(2, localDomain)[0].ID
 	core.ApplyReport(start, external.Load{Target: busy, Running: 3})
-	core.ApplyReport(start, external.Load{Target: listed(2, here)[1].ID})
-	require.Zero(t, picks(t, core, start, 3)[busy])
+	core.ApplyReport(start, external.Load{Target: listedTargets(2, localDomain)[1].ID})
+	require.Zero(t, pickCounts(t, core, start, 3)[busy])
 }
 
-// A report that counts this instance's own calls must not count them twice:
-// the target would look twice as busy and get too little.
-func TestOwnCallsAreTakenOutOfReports(t *testing.T) {
-	core := newTestCore(Options{}, listed(1, here)...)
-	picks(t, core, start, 3)
+// A load report includes the calls of this instance. If they were counted twice,
+// the target would look busier than it is and get too few calls.
+func TestOwnCallsAreSubtractedFromReports(t *testing.T) {
+	core := newTestCore(Options{}, listedTargets(1, localDomain)...)
+	pickCounts(t, core, start, 3)
 	later := start.Add(time.Second)
-	core.ApplyReport(later, external.Load{Target: listed(1, here)[0].ID, Running: 5, AgeMS: 500})
+	core.ApplyReport(later, external.Load{Target: listedTargets(1, localDomain)[0].ID, Running: 5, AgeMS: 500})
 	require.InDelta(t, 2, core.Targets(later)[0].PeerStreams, 0.01, "5 running, 3 of them own")
 }
 
-// A target says itself that it is leaving, before the list does. It gets no
-// new work from then on, and not again when a lagging list calls it live.
+// A target reports that it is leaving before the list does. It gets no new calls
+// from then on, also when the next, lagging list still names it as live.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	targets := listed(2, here)
+	targets := listedTargets(2, localDomain)
 	core := newTestCore(Options{}, targets...)
 	choice, _ := core.Pick(start, coordination.PickRequest{Service: service})
 	core.Done(start, choice, coordination.CallResult{Leaving: true})
 	core.ApplyListing(start.Add(time.Second), external.Listing{Targets: targets})
-	require.Zero(t, picks(t, core, start.Add(2*time.Second), 20)[choice.Target])
+	require.Zero(t, pickCounts(t, core, start.Add(2*time.Second), 20)[choice.Target])
 }
 
 func TestListedLeavingTargetGetsNoNewWork(t *testing.T) {
-	targets := listed(2, here)
+	targets := listedTargets(2, localDomain)
 	core := newTestCore(Options{}, targets...)
 	targets[0].Leaving = true
 	core.ApplyListing(start, external.Listing{Targets: targets})
-	require.Zero(t, picks(t, core, start, 20)[targets[0].ID])
+	require.Zero(t, pickCounts(t, core, start, 20)[targets[0].ID])
 	targets[1].Leaving = true
 	core.ApplyListing(start, external.Listing{Targets: targets})
 	_, ok := core.Pick(start, coordination.PickRequest{Service: service})
-	require.False(t, ok, "all are leaving")
+	require.False(t, ok, "all targets are leaving")
 }
 
-// The platform's list comes back empty after a fault of the platform. The
-// targets are all alive; an instance that believed the list would refuse all.
-func TestEmptyListKeepsTheLastTargets(t *testing.T) {
-	core := newTestCore(Options{}, listed(3, here)...)
+// Due to a fault of the platform, its list is empty while all targets run. An
+// instance that trusted the list would reject all calls.
+func TestEmptyListKeepsLastTargets(t *testing.T) {
+	core := newTestCore(Options{}, listedTargets(3, localDomain)...)
 	core.ApplyListing(start, external.Listing{})
-	picks(t, core, start, 3)
+	pickCounts(t, core, start, 3)
 }
 
-func TestTargetOffTheListIsForgottenAfterItsCalls(t *testing.T) {
-	targets := listed(2, here)
+func TestUnlistedTargetIsRemovedAfterItsCalls(t *testing.T) {
+	targets := listedTargets(2, localDomain)
 	core := newTestCore(Options{}, targets...)
-	var kept []Choice
+	var inFlight []Choice
 	for range 4 {
 		choice, _ := core.Pick(start, coordination.PickRequest{Service: service})
-		kept = append(kept, choice)
+		inFlight = append(inFlight, choice)
 	}
 	core.ApplyListing(start, external.Listing{Targets: targets[:1]})
 	require.Len(t, core.Targets(start), 2)
-	for _, choice := range kept {
+	for _, choice := range inFlight {
 		core.Done(start, choice, coordination.CallResult{})
 	}
 	core.ApplyListing(start, external.Listing{Targets: targets[:1]})
 	require.Len(t, core.Targets(start), 1)
 }
 
-// failAll lets every call to a target fail and the others go well.
-func failAll(core *Core, now time.Time, dead map[protocol.TargetID]bool, calls int) int {
-	hits := 0
+// callWithDeadTargets makes calls that fail at the dead targets and succeed at
+// the others. It returns the number of failed calls.
+func callWithDeadTargets(core *Core, now time.Time, dead map[protocol.TargetID]bool, calls int) int {
+	failed := 0
 	for range calls {
 		choice, ok := core.Pick(now, coordination.PickRequest{Service: service})
 		if !ok {
-			return hits
+			return failed
 		}
 		if dead[choice.Target] {
-			hits++
+			failed++
 		}
 		core.Done(now, choice, coordination.CallResult{Failed: dead[choice.Target], FirstByte: 10 * time.Millisecond})
 	}
-	return hits
+	return failed
 }
 
-// A target dies and refuses every call at once, so it always looks idle. After
-// a few failures it gets no calls until its ejection ends; then one call tells
-// whether it is back.
+// A dead target fails every call at once, so it always looks idle. After a few
+// failures it gets no calls until its ejection ends. Then a single failed call
+// ejects it again.
 func TestDeadTargetIsEjected(t *testing.T) {
-	targets := listed(4, here)
+	targets := listedTargets(4, localDomain)
 	core := newTestCore(Options{}, targets...)
 	dead := map[protocol.TargetID]bool{targets[1].ID: true}
-	require.Equal(t, 3, failAll(core, start, dead, 200))
-	require.Zero(t, failAll(core, start.Add(time.Second), dead, 200))
-	require.Equal(t, 1, failAll(core, start.Add(3*time.Second), dead, 200), "one call after its return")
-	require.Positive(t, picks(t, core, start.Add(time.Hour), 40)[targets[1].ID], "it comes back")
+	require.Equal(t, 3, callWithDeadTargets(core, start, dead, 200))
+	require.Zero(t, callWithDeadTargets(core, start.Add(time.Second), dead, 200))
+	require.Equal(t, 1, callWithDeadTargets(core, start.Add(3*time.Second), dead, 200), "one call after the ejection")
+	require.Positive(t, pickCounts(t, core, start.Add(time.Hour), 40)[targets[1].ID], "the target is used again")
 }
 
-// Every target fails, as when a faulty model version is loaded. At most a part
-// may be ejected: the rest would be overrun, and nothing would be left to
-// recover with.
-func TestEjectionsLeaveAPartOfThePool(t *testing.T) {
-	targets := listed(10, here)
+// Every target fails, for example because a faulty model version is loaded. Only
+// a share of them may be ejected. Otherwise the remaining targets would be
+// overloaded, and no target would be left for a recovery.
+func TestEjectedShareIsLimited(t *testing.T) {
+	targets := listedTargets(10, localDomain)
 	core := newTestCore(Options{}, targets...)
 	dead := map[protocol.TargetID]bool{}
-	for _, one := range targets {
-		dead[one.ID] = true
+	for _, listed := range targets {
+		dead[listed.ID] = true
 	}
-	failAll(core, start, dead, 1000)
+	callWithDeadTargets(core, start, dead, 1000)
 	ejected := 0
-	for _, one := range core.Targets(start) {
-		if one.Ejected {
+	for _, status := range core.Targets(start) {
+		if status.Ejected {
 			ejected++
 		}
 	}
 	require.Equal(t, 5, ejected)
 }
 
-// A target answers, but many times slower than the others. Its callers wait;
-// it is ejected although nothing fails.
+// A target answers many times more slowly than the others. It is ejected although
+// no call fails, because its callers would wait too long.
 func TestSlowTargetIsEjected(t *testing.T) {
-	targets := listed(4, here)
+	targets := listedTargets(4, localDomain)
 	core := newTestCore(Options{}, targets...)
 	slow := targets[2].ID
 	for range 400 {
@@ -198,29 +200,29 @@
 		}
 		core.Done(start, choice, coordination.CallResult{FirstByte: firstByte})
 	}
-	for _, one := range core.Targets(start) {
-		require.Equal(t, one.Target == slow, one.Ejected, one.Target)
+	for _, status := range core.Targets(start) {
+		require.Equal(t, status.Target == slow, status.Ejected, status.Target)
 	}
 }
 
-// A caller leaves or a batch item is revoked again and again. That says nothing
-// of the target, which stays in use.
-func TestAbandonedCallsEjectNobody(t *testing.T) {
-	core := newTestCore(Options{}, listed(2, here)...)
+// Many calls end because a caller disconnects or a batch item is revoked. Such
+// calls say nothing about the target, which stays in use.
+func TestAbandonedCallsDoNotEject(t *testing.T) {
+	core := newTestCore(Options{}, listedTargets(2, localDomain)...)
 	for range 50 {
 		choice, _ := core.Pick(start, coordination.PickRequest{Service: service})
 		core.Done(start, choice, coordination.CallResult{Abandoned: true})
 	}
-	for _, one := range core.Targets(start) {
-		require.False(t, one.Ejected)
+	for _, status := range core.Targets(start) {
+		require.False(t, status.Ejected)
 	}
 }
 
-func TestPrefixKeepsItsTargetUntilItIsFull(t *testing.T) {
-	targets := listed(8, here)
+func TestPrefixKeepsItsTargetUntilOverloaded(t *testing.T) {
+	targets := listedTargets(8, localDomain)
 	core := newTestCore(Options{AffinityMargin: 1}, targets...)
-	for _, one := range targets {
-		core.ApplyReport(start, external.Load{Target: one.ID})
+	for _, listed := range targets {
+		core.ApplyReport(start, external.Load{Target: listed.ID})
 	}
 	req := coordination.PickRequest{Service: service, Prefix: 42}
 	first, _ := core.Pick(start, req)
@@ -235,27 +237,27 @@
 	require.Greater(t, len(seen), 3, "a popular prefix must not overload one target")
 }
 
-// No load report has come for a while. Each of hundreds of instances sees
-// hardly a call of its own at the target of a popular prefix, and all together
-// they would overrun it; so the prefix draws no calls then.
-func TestPrefixDrawsNoCallsWithoutReports(t *testing.T) {
-	targets := listed(8, here)
+// No load report arrived for one minute. With hundreds of instances, each has at
+// most about one call at the target of a popular prefix, and together they would
+// overload it. Prefix affinity is therefore off without recent reports.
+func TestNoAffinityWithoutFreshReports(t *testing.T) {
+	targets := listedTargets(8, localDomain)
 	core := newTestCore(Options{AffinityMargin: 1}, targets...)
-	for _, one := range targets {
-		core.ApplyReport(start, external.Load{Target: one.ID})
+	for _, listed := range targets {
+		core.ApplyReport(start, external.Load{Target: listed.ID})
 	}
 	seen := map[protocol.TargetID]bool{}
-	late := start.Add(time.Minute)
+	later := start.Add(time.Minute)
 	for range 50 {
-		choice, _ := core.Pick(late, coordination.PickRequest{Service: service, Prefix: 42})
-		core.Done(late, choice, coordination.CallResult{})
+		choice, _ := core.Pick(later, coordination.PickRequest{Service: service, Prefix: 42})
+		core.Done(later, choice, coordination.CallResult{})
 		seen[choice.Target] = true
 	}
 	require.Greater(t, len(seen), 3)
 }
 
 func TestExcludedTargetsAreNotPicked(t *testing.T) {
-	targets := listed(3, here)
+	targets := listedTargets(3, localDomain)
 	core := newTestCore(Options{}, targets...)
 	exclude := []protocol.TargetID{targets[0].ID, targets[2].ID}
 	for range 10 {
@@ -267,15 +269,16 @@
 	require.False(t, ok)
 }
 
-// TestCoreInvariants lets lists, reports, picks and ends come in any order and
-// checks after each step that nothing is counted wrongly, no leaving target is
-// picked and ejections stay within their share.
+// TestCoreInvariants applies lists, reports, picks and ends of calls in random
+// order. It checks that the calls in flight are counted correctly, that no
+// leaving target is picked, and that the share of ejected targets stays within
+// its limit.
 func TestCoreInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := append(listed(6, here), listed(6, there)...)
+		all := append(listedTargets(6, localDomain), listedTargets(6, remoteDomain)...)
 		core := newTestCore(Options{}, all...)
 		now := start
-		var open []Choice
+		var inFlight []Choice
 		leaving := map[protocol.TargetID]bool{}
 		t.Repeat(map[string]func(*rapid.T){
 			"wait": func(t *rapid.T) {
@@ -287,53 +290,53 @@
 					return
 				}
 				require.False(t, leaving[choice.Target], "picked a leaving target")
-				open = append(open, choice)
+				inFlight = append(inFlight, choice)
 			},
 			"done": func(t *rapid.T) {
-				if len(open) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
 				result := coordination.CallResult{Failed: rapid.Bool().Draw(t, "failed"), FirstByte: time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond}
-				core.Done(now, open[0], result)
-				open = open[1:]
+				core.Done(now, inFlight[0], result)
+				inFlight = inFlight[1:]
 			},
 			"list": func(t *rapid.T) {
-				some := append([]external.ListedTarget(nil), all[:rapid.IntRange(0, len(all)).Draw(t, "n")]...)
+				partial := append([]external.ListedTarget(nil), all[:rapid.IntRange(0, len(all)).Draw(t, "n")]...)
 				leaving = map[protocol.TargetID]bool{}
-				if len(some) > 0 {
-					i := rapid.IntRange(0, len(some)-1).Draw(t, "leaving")
-					some[i].Leaving = true
-					leaving[some[i].ID] = true
+				if len(partial) > 0 {
+					i := rapid.IntRange(0, len(partial)-1).Draw(t, "leaving")
+					partial[i].Leaving = true
+					leaving[partial[i].ID] = true
 				}
-				core.ApplyListing(now, external.Listing{Targets: some})
-				if len(some) == 0 {
-					for _, one := range core.Targets(now) {
-						leaving[one.Target] = one.Leaving
+				core.ApplyListing(now, external.Listing{Targets: partial})
+				if len(partial) == 0 {
+					for _, status := range core.Targets(now) {
+						leaving[status.Target] = status.Leaving
 					}
 				}
 			},
 			"report": func(t *rapid.T) {
 				core.ApplyReport(now, external.Load{Target: all[rapid.IntRange(0, len(all)-1).Draw(t, "i")].ID, Running: rapid.IntRange(0, 50).Draw(t, "running"), AgeMS: int64(rapid.IntRange(0, 3000).Draw(t, "age"))})
 			},
-			"": func(t *rapid.T) { checkCore(t, core, now, len(open)) },
+			"": func(t *rapid.T) { requireInvariants(t, core, now, len(inFlight)) },
 		})
 	})
 }
 
-func checkCore(t *rapid.T, core *Core, now time.Time, open int) {
+func requireInvariants(t *rapid.T, core *Core, now time.Time, inFlight int) {
 	counted := 0
 	ejected := 0
 	targets := core.Targets(now)
-	for _, one := range targets {
-		require.GreaterOrEqual(t, one.Online, 0)
-		require.GreaterOrEqual(t, one.Batch, 0)
-		require.GreaterOrEqual(t, one.PeerStreams, 0.0)
-		counted += one.Online + one.Batch
-		if one.Ejected {
+	for _, status := range targets {
+		require.GreaterOrEqual(t, status.Online, 0)
+		require.GreaterOrEqual(t, status.Batch, 0)
+		require.GreaterOrEqual(t, status.PeerStreams, 0.0)
+		counted += status.Online + status.Batch
+		if status.Ejected {
 			ejected++
 		}
 	}
-	require.Equal(t, open, counted)
+	require.Equal(t, inFlight, counted)
 	require.LessOrEqual(t, ejected, 6)
 }
 
@@ -341,7 +344,7 @@
 	for _, n := range []int{10, 100, 850} {
 		for _, affinity := range []float64{0, 0.5} {
 			b.Run(fmt.Sprintf("targets=%d/affinity=%g", n, affinity), func(b *testing.B) {
-				core := newTestCore(Options{AffinityMargin: affinity}, append(listed(n/4+1, here), listed(n-n/4-1, there)...)...)
+				core := newTestCore(Options{AffinityMargin: affinity}, append(listedTargets(n/4+1, localDomain), listedTargets(n-n/4-1, remoteDomain)...)...)
 				now := start
 				for id := range core.targets {
 					core.ApplyReport(now, external.Load{Target: id})
--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -15,30 +15,32 @@
 	"merlintiller/internal/wait"
 )
 
-// published counts what the duties met.
-var published = expvar.NewMap("routing")
+// metrics holds the counters of the pollers.
+var metrics = expvar.NewMap("routing")
 
-// PollOptions set up the duties that keep a Router informed.
+// PollOptions configures the background services that update a Router.
 type PollOptions struct {
 	Router *Router
 	List   external.InstanceList
 	Loads  external.LoadReports
-	// Fleet gives the configuration in force.
+	// Fleet returns the current configuration.
 	Fleet  func() *protocol.Fleet
 	Logger log.Logger
 	// ListInterval is the time between reads of the platform's list. Default 1 s,
-	// so that a leaving target gets no new work after about a second.
+	// so that a leaving target gets no new calls after about a second.
 	ListInterval time.Duration
-	// LoadsPerSecond bounds the load reports read a second. Default 20: each
-	// of ten targets twice a second, and at hundreds of targets a round of
-	// them within the control budget.
+	// LoadsPerSecond is the maximum number of load reports read per second.
+	// Default 20. That is two reads per second for each of ten targets. With
+	// hundreds of targets, the reads stay within the control budget.
 	LoadsPerSecond float64
-	// LoadInterval is the least time between two reads of one target's load.
+	// LoadInterval is the minimum time between two reads of one target's load.
 	// Default 1 s, the lag of the reports.
 	LoadInterval time.Duration
-	// Domain is read first and more often than the others.
+	// Domain is the local failure domain. Its targets are read more often than
+	// those of other domains.
 	Domain protocol.Domain
-	// OnListing is told each listing too, for other users of the list. May be nil.
+	// OnListing is called with each listing, for other users of the list. May be
+	// nil.
 	OnListing func(external.Listing)
 }
 
@@ -52,20 +54,21 @@
 	return o
 }
 
-// Pollers returns the duties that read the platform's list and the targets'
-// load reports.
+// Pollers returns the background services that read the platform's list and the
+// targets' load reports.
 func Pollers(opts PollOptions) []suture.Service {
 	opts = opts.withDefaults()
-	return []suture.Service{&listPoller{opts: opts}, &loadPoller{opts: opts, read: map[protocol.TargetID]time.Time{}}}
+	return []suture.Service{&listPoller{opts: opts}, &loadPoller{opts: opts, lastRead: map[protocol.TargetID]time.Time{}}}
 }
 
-// listPoller keeps the router informed of who may exist.
+// listPoller periodically passes the platform's list to the router.
 type listPoller struct {
 	opts PollOptions
-	down bool
+	// unreadable says that the last read of the list failed.
+	unreadable bool
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (l *listPoller) String() string { return "target list" }
 
 // Serve implements suture.Service.
@@ -78,22 +81,22 @@
 	}
 }
 
-// poll reads the list once. While it can't be read the last one stays in use.
+// poll reads the list once. If the read fails, the last list stays in use.
 func (l *listPoller) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.ListInterval*2)
 	defer cancel()
 	listing, err := l.opts.List.List(ctx)
 	if err != nil {
-		if !l.down {
+		if !l.unreadable {
 			_ = l.opts.Logger.Log("event", "target_list_unreadable", "err", err)
 		}
-		l.down = true
+		l.unreadable = true
 		return
 	}
-	if l.down {
+	if l.unreadable {
 		_ = l.opts.Logger.Log("event", "target_list_readable")
 	}
-	l.down = false
+	l.unreadable = false
 	l.opts.Router.SetServices(l.opts.Fleet().Services)
 	l.opts.Router.ApplyListing(listing)
 	if l.opts.OnListing != nil {
@@ -101,17 +104,17 @@
 	}
 }
 
-// loadPoller reads the load of one target after the other. A frozen target
-// costs its own timeout and stops nobody else's report for longer.
+// loadPoller reads the load of one target after another. A target that hangs
+// delays the reports of the others only by the timeout of its own read.
 type loadPoller struct {
-	opts PollOptions
-	read map[protocol.TargetID]time.Time
-	// round holds the targets of the current round, those due first at its
-	// end.
+	opts     PollOptions
+	lastRead map[protocol.TargetID]time.Time
+	// round holds the remaining targets of the current round. The most overdue
+	// target is the last one.
 	round []Status
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (l *loadPoller) String() string { return "load reports" }
 
 // Serve implements suture.Service.
@@ -125,38 +128,41 @@
 	}
 }
 
-// pollSteps is how many steps one read may take: a frozen target delays the
-// others by as much.
-const pollSteps = 4
+// readTimeoutSteps is the timeout of one read, as a multiple of the time between
+// two reads. A target that hangs delays the others by this timeout.
+const readTimeoutSteps = 4
 
 func (l *loadPoller) poll(ctx context.Context, now time.Time, step time.Duration) {
-	next, ok := l.next(now)
+	next, ok := l.nextTarget(now)
 	if !ok {
 		return
 	}
-	l.read[next.Target] = now
-	ctx, cancel := context.WithTimeout(ctx, pollSteps*step)
+	l.lastRead[next.Target] = now
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutSteps*step)
 	defer cancel()
 	load, err := l.opts.Loads.Load(ctx, next.Address)
 	if err != nil {
 		return
 	}
 	if load.Target != "" && load.Target != next.Target {
-		// Another process has taken over the address; the list will say so.
-		published.Add("load_of_another_target", 1)
+		// Another process now uses the address. The next list will show it.
+		metrics.Add("load_of_another_target", 1)
 		return
 	}
 	load.Target = next.Target
 	l.opts.Router.ApplyReport(load)
 }
 
-// remoteEvery is how many times rarer targets of other domains are read.
-const remoteEvery = 4
+// remoteIntervalFactor is the factor by which the read interval of targets in
+// other domains is longer.
+const remoteIntervalFactor = 4
 
-// next is the most overdue target of the round.
-func (l *loadPoller) next(now time.Time) (Status, bool) {
+// nextTarget removes the most overdue target from the round and returns it. It
+// starts a new round if the current one is empty, and returns false if no target
+// is due.
+func (l *loadPoller) nextTarget(now time.Time) (Status, bool) {
 	if len(l.round) == 0 {
-		l.begin(now)
+		l.startRound(now)
 	}
 	if len(l.round) == 0 {
 		return Status{}, false
@@ -167,23 +173,23 @@
 	return next, true
 }
 
-// begin starts a round with all targets whose report is due.
-func (l *loadPoller) begin(now time.Time) {
-	known := make(map[protocol.TargetID]time.Time, len(l.read))
+// startRound starts a round of all targets whose read interval has passed.
+func (l *loadPoller) startRound(now time.Time) {
+	kept := make(map[protocol.TargetID]time.Time, len(l.lastRead))
 	for _, t := range l.opts.Router.Targets() {
-		known[t.Target] = l.read[t.Target]
-		if now.Sub(l.read[t.Target]) >= l.due(t) {
+		kept[t.Target] = l.lastRead[t.Target]
+		if now.Sub(l.lastRead[t.Target]) >= l.readInterval(t) {
 			l.round = append(l.round, t)
 		}
 	}
-	// Targets that are gone are forgotten with the old map.
-	l.read = known
-	slices.SortFunc(l.round, func(a, b Status) int { return known[b.Target].Compare(known[a.Target]) })
+	// The new map no longer contains targets that were removed.
+	l.lastRead = kept
+	slices.SortFunc(l.round, func(a, b Status) int { return kept[b.Target].Compare(kept[a.Target]) })
 }
 
-func (l *loadPoller) due(t Status) time.Duration {
+func (l *loadPoller) readInterval(t Status) time.Duration {
 	if t.Domain != l.opts.Domain {
-		return remoteEvery * l.opts.LoadInterval
+		return remoteIntervalFactor * l.opts.LoadInterval
 	}
 	return l.opts.LoadInterval
 }
--- a/internal/coordination/routing/pollers_test.go
+++ b/internal/coordination/routing/pollers_test.go
@@ -20,16 +20,20 @@
 type fakePlatform struct {
 	mu      sync.Mutex
 	listing external.Listing
-	down    bool
-	frozen  string
-	wrong   bool
-	reads   map[string]int
+	// unavailable makes reads of the list fail.
+	unavailable bool
+	// frozenAddress is the address of a target whose load is never answered.
+	frozenAddress string
+	// wrongTarget makes load reports name another target.
+	wrongTarget bool
+	// reads counts the reads of the load by address.
+	reads map[string]int
 }
 
 func (f *fakePlatform) List(context.Context) (external.Listing, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.down {
+	if f.unavailable {
 		return external.Listing{}, external.ErrUnavailable
 	}
 	return f.listing, nil
@@ -37,37 +41,37 @@
 
 func (f *fakePlatform) Load(ctx context.Context, address string) (external.Load, error) {
 	f.mu.Lock()
-	frozen := f.frozen == address
+	frozen := f.frozenAddress == address
 	f.reads[address]++
-	wrong := f.wrong
+	wrongTarget := f.wrongTarget
 	f.mu.Unlock()
 	if frozen {
 		<-ctx.Done()
 		return external.Load{}, errors.New("no answer")
 	}
-	if wrong {
-		return external.Load{Target: "somebody", Running: 9}, nil
+	if wrongTarget {
+		return external.Load{Target: "another-target", Running: 9}, nil
 	}
 	return external.Load{Running: 3}, nil
 }
 
-func (f *fakePlatform) set(change func()) {
+func (f *fakePlatform) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// polled runs the duties in a bubble with a virtual clock.
-func polled(t *testing.T, run func(f *fakePlatform, router *Router)) {
+// runPollers runs the pollers in a synctest bubble, which has a virtual clock.
+func runPollers(t *testing.T, run func(f *fakePlatform, router *Router)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakePlatform{reads: map[string]int{}}
-		near, far := listed(2, here), listed(1, there)
-		near[0].Address, near[1].Address, far[0].Address = "n0", "n1", "f0"
-		f.listing.Targets = append(near, far...)
-		router := NewRouter(Options{Domain: here})
+		local, remote := listedTargets(2, localDomain), listedTargets(1, remoteDomain)
+		local[0].Address, local[1].Address, remote[0].Address = "local-0", "local-1", "remote-0"
+		f.listing.Targets = append(local, remote...)
+		router := NewRouter(Options{Domain: localDomain})
 		supervisor := suture.NewSimple("test")
 		for _, service := range Pollers(PollOptions{
-			Router: router, List: f, Loads: f, Domain: here,
+			Router: router, List: f, Loads: f, Domain: localDomain,
 			Fleet: func() *protocol.Fleet { return &protocol.Fleet{} },
 		}) {
 			supervisor.Add(service)
@@ -81,25 +85,25 @@
 }
 
 func TestPollersReadListAndLoads(t *testing.T) {
-	polled(t, func(f *fakePlatform, router *Router) {
+	runPollers(t, func(f *fakePlatform, router *Router) {
 		<-time.After(20 * time.Second)
-		for _, one := range router.Targets() {
-			require.InDelta(t, 3, one.PeerStreams, 0.1)
+		for _, status := range router.Targets() {
+			require.InDelta(t, 3, status.PeerStreams, 0.1)
 		}
-		f.set(func() {
-			require.InDelta(t, 20, f.reads["n0"], 2, "each second")
-			require.InDelta(t, 5, f.reads["f0"], 1, "another domain's target every fourth")
+		f.withLock(func() {
+			require.InDelta(t, 20, f.reads["local-0"], 2, "a local target is read every second")
+			require.InDelta(t, 5, f.reads["remote-0"], 1, "a target of another domain is read every four seconds")
 		})
 	})
 }
 
-// A target is marked as leaving in the platform's list. It gets no new work
-// after a few seconds.
+// The platform's list marks a target as leaving. The target gets no new calls
+// after the next read of the list, which is about a second later.
 func TestLeavingTargetIsNoticedWithinSeconds(t *testing.T) {
-	polled(t, func(f *fakePlatform, router *Router) {
+	runPollers(t, func(f *fakePlatform, router *Router) {
 		<-time.After(2 * time.Second)
-		f.set(func() {
-			f.listing.Targets = append([]external.ListedTarget{{ID: "ploiesti-00", Service: service, Domain: here, Address: "n0", Leaving: true}}, f.listing.Targets[1:]...)
+		f.withLock(func() {
+			f.listing.Targets = append([]external.ListedTarget{{ID: "ploiesti-00", Service: service, Domain: localDomain, Address: "local-0", Leaving: true}}, f.listing.Targets[1:]...)
 		})
 		<-time.After(1100 * time.Millisecond)
 		for range 20 {
@@ -110,40 +114,40 @@
 	})
 }
 
-// The platform's list can't be read for an hour. The last targets stay in use.
-func TestListOutageKeepsTargets(t *testing.T) {
-	polled(t, func(f *fakePlatform, router *Router) {
+// The platform's list cannot be read for an hour. The last targets stay in use.
+func TestListOutageKeepsLastTargets(t *testing.T) {
+	runPollers(t, func(f *fakePlatform, router *Router) {
 		<-time.After(2 * time.Second)
-		f.set(func() { f.down = true })
+		f.withLock(func() { f.unavailable = true })
 		<-time.After(time.Hour)
 		_, _, ok := router.Pick(coordination.PickRequest{Service: service})
 		require.True(t, ok)
 	})
 }
 
-// One target is frozen and never answers a look at its load. The reports of the
-// others go on coming.
-func TestFrozenTargetDoesNotStopTheReports(t *testing.T) {
-	polled(t, func(f *fakePlatform, router *Router) {
-		f.set(func() { f.frozen = "n0" })
+// One target hangs and never answers a read of its load. The loads of the other
+// targets are still read.
+func TestFrozenTargetDoesNotStopReports(t *testing.T) {
+	runPollers(t, func(f *fakePlatform, router *Router) {
+		f.withLock(func() { f.frozenAddress = "local-0" })
 		<-time.After(20 * time.Second)
-		f.set(func() { require.Greater(t, f.reads["n1"], 15) })
+		f.withLock(func() { require.Greater(t, f.reads["local-1"], 15) })
 	})
 }
 
-// A restarted machine gives a target's address to another process. Its load
-// must not be taken for the target's.
+// After a restart, another process has a target's address. The load of that
+// process must not be recorded as the target's load.
 func TestLoadOfAnotherTargetIsDropped(t *testing.T) {
-	polled(t, func(f *fakePlatform, router *Router) {
-		f.set(func() { f.wrong = true })
+	runPollers(t, func(f *fakePlatform, router *Router) {
+		f.withLock(func() { f.wrongTarget = true })
 		<-time.After(5 * time.Second)
-		for _, one := range router.Targets() {
-			require.Zero(t, one.PeerStreams)
+		for _, status := range router.Targets() {
+			require.Zero(t, status.PeerStreams)
 		}
 	})
 }
 
-func TestBudgetAllowsAShareOfRetries(t *testing.T) {
+func TestRetryBudgetLimitsShareOfRetries(t *testing.T) {
 	budget := NewRetryBudget(0.1, 0, 2)
 	now := start
 	require.True(t, budget.TakeRetry(now))
--- a/internal/coordination/routing/pool.go
+++ b/internal/coordination/routing/pool.go
@@ -6,47 +6,52 @@
 	"merlintiller/internal/protocol"
 )
 
-// pool is the targets of one service.
+// pool holds the targets of one service.
 type pool struct {
 	service protocol.ServiceName
-	slots   float64
-	all     []*target
-	// local and remote are the usable targets of the own and of the other
-	// failure domains, as of the last rebuild.
+	// slots is the number of slots of each target.
+	slots float64
+	all   []*target
+	// local and remote are the usable targets of the local failure domain and
+	// of the other domains, as of the last rebuild.
 	local, remote []*target
-	// recheck is when the next ejection ends; zero if there is none.
-	recheck time.Time
-	// own counts own calls in flight at all targets.
-	own int
-	// sumOthers and reports keep meanOthers up to date at each report.
-	sumOthers  float64
-	reports    int
-	meanOthers float64
+	// rebuildAt is the earliest time at which an ejection or a leaving timeout
+	// ends. It is zero if there is none.
+	rebuildAt time.Time
+	// ownOnline is the number of this instance's online calls in flight at all
+	// targets.
+	ownOnline int
+	// peerStreamsMean is the mean number of other instances' streams over the
+	// reportedTargets targets that have sent a report. peerStreamsSum is the
+	// sum from which each report updates the mean.
+	peerStreamsSum  float64
+	reportedTargets int
+	peerStreamsMean float64
 }
 
-// rebuild sorts the targets into the usable ones. If the list names none of
-// the service any more, the last known ones stay in use: the list lags and is
-// no proof of death.
+// rebuild collects the usable targets into local and remote. If the list no
+// longer names any target of the service, the last known targets stay in use:
+// the list lags, so a missing entry does not prove that a target is down.
 func (p *pool) rebuild(now time.Time, o *Options) {
 	p.local = p.local[:0]
 	p.remote = p.remote[:0]
-	p.recheck = time.Time{}
+	p.rebuildAt = time.Time{}
 	anyListed := p.anyListed()
 	for _, t := range p.all {
 		if anyListed && !t.listed {
 			continue
 		}
-		p.place(t, now, o)
+		p.addIfUsable(t, now, o)
 	}
 }
 
-func (p *pool) place(t *target, now time.Time, o *Options) {
+func (p *pool) addIfUsable(t *target, now time.Time, o *Options) {
 	switch {
-	case t.health.ejected(now):
-		p.recheckAt(t.health.until)
+	case t.health.isEjected(now):
+		p.scheduleRebuild(t.health.ejectedUntil)
 	case t.listedLeaving:
-	case t.leaving(now, o):
-		p.recheckAt(t.saidLeaving.Add(o.LeavingFor))
+	case t.isLeaving(now, o):
+		p.scheduleRebuild(t.leavingReportedAt.Add(o.LeavingTimeout))
 	case t.domain == o.Domain:
 		p.local = append(p.local, t)
 	default:
@@ -54,9 +59,9 @@
 	}
 }
 
-func (p *pool) recheckAt(when time.Time) {
-	if p.recheck.IsZero() || when.Before(p.recheck) {
-		p.recheck = when
+func (p *pool) scheduleRebuild(when time.Time) {
+	if p.rebuildAt.IsZero() || when.Before(p.rebuildAt) {
+		p.rebuildAt = when
 	}
 }
 
@@ -73,45 +78,46 @@
 func (p *pool) mayEject(now time.Time, o *Options) bool {
 	ejected := 0
 	for _, t := range p.all {
-		if t.health.ejected(now) {
+		if t.health.isEjected(now) {
 			ejected++
 		}
 	}
-	most := int(o.MaxEjectedShare * float64(len(p.all)))
+	limit := int(o.MaxEjectedShare * float64(len(p.all)))
 	if len(p.all) > 1 {
-		most = max(1, most)
+		limit = max(1, limit)
 	}
-	return ejected < most
+	return ejected < limit
 }
 
-// owner is the target of the own domain with the highest rendezvous hash for a
-// prefix.
-func (p *pool) owner(prefix uint64) *target {
+// prefixOwner returns the usable target of the local domain with the highest
+// rendezvous hash for a prefix, or nil if there is none.
+func (p *pool) prefixOwner(prefix uint64) *target {
 	var owner *target
 	var highest uint64
 	for _, t := range p.local {
-		if score := mix(t.hash ^ prefix); score >= highest {
+		if score := mixBits(t.hash ^ prefix); score >= highest {
 			owner, highest = t, score
 		}
 	}
 	return owner
 }
 
-// meanLoad is the mean number of streams per slot.
+// meanLoad returns the mean number of online streams per slot.
 func (p *pool) meanLoad() float64 {
 	if len(p.all) == 0 {
 		return 0
 	}
 	n := float64(len(p.all))
-	return (float64(p.own)/n + p.meanOthers) / p.slots
+	return (float64(p.ownOnline)/n + p.peerStreamsMean) / p.slots
 }
 
-// othersMean is the mean time to the first byte of the other targets that
-// have samples enough, and whether there is any.
-func (p *pool) othersMean(one *target, o *Options) (float64, bool) {
+// meanFirstByteExcept returns the mean time to the first byte, in seconds, of
+// the targets other than excluded that have SlowMinSamples samples. It returns
+// false if there is no such target.
+func (p *pool) meanFirstByteExcept(excluded *target, o *Options) (float64, bool) {
 	sum, count := 0.0, 0
 	for _, t := range p.all {
-		if t == one || t.health.samples < o.SlowSamples {
+		if t == excluded || t.health.samples < o.SlowMinSamples {
 			continue
 		}
 		sum += t.health.firstByte
@@ -123,24 +129,27 @@
 	return sum / float64(count), true
 }
 
-// replaceReport updates the mean of what other instances send.
-func (p *pool) replaceReport(first bool, before, after float64) {
-	p.sumOthers += after - before
+// updateReport updates the mean number of other instances' streams after a
+// report changed a target's number from before to after. first says that it is
+// the target's first report.
+func (p *pool) updateReport(first bool, before, after float64) {
+	p.peerStreamsSum += after - before
 	if first {
-		p.reports++
+		p.reportedTargets++
 	}
-	p.meanOthers = p.sumOthers / float64(p.reports)
+	p.peerStreamsMean = p.peerStreamsSum / float64(p.reportedTargets)
 }
 
-// forgetReport takes a target that is gone out of the mean.
-func (p *pool) forgetReport(t *target) {
+// removeReport removes a target from the mean number of other instances'
+// streams.
+func (p *pool) removeReport(t *target) {
 	if t.reportedAt.IsZero() {
 		return
 	}
-	p.sumOthers -= t.others
-	p.reports--
-	p.meanOthers = 0
-	if p.reports > 0 {
-		p.meanOthers = p.sumOthers / float64(p.reports)
+	p.peerStreamsSum -= t.peerStreams
+	p.reportedTargets--
+	p.peerStreamsMean = 0
+	if p.reportedTargets > 0 {
+		p.peerStreamsMean = p.peerStreamsSum / float64(p.reportedTargets)
 	}
 }
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -10,18 +10,19 @@
 	"merlintiller/internal/protocol"
 )
 
-// Router is a Core behind a lock and the process's clock. It implements
+// Router adds a lock and the system clock to a Core. It implements
 // coordination.Router.
 type Router struct {
 	mu   sync.Mutex
 	core *Core
-	// batchElsewhere is asked without the lock held, since it takes its own.
-	batchElsewhere func(protocol.TargetID, time.Time) int
+	// peerBatchItems is called without mu held, because it takes a lock of its
+	// own.
+	peerBatchItems func(protocol.TargetID, time.Time) int
 }
 
-// NewRouter returns a router that knows no target.
+// NewRouter returns a router without any targets.
 func NewRouter(opts Options) *Router {
-	return &Router{core: NewCore(opts), batchElsewhere: opts.PeerBatchItems}
+	return &Router{core: NewCore(opts), peerBatchItems: opts.PeerBatchItems}
 }
 
 // Pick implements coordination.Router.
@@ -44,63 +45,64 @@
 	return choice.Pick, done, true
 }
 
-// BatchStarted counts a batch call that headroom placed at a target.
+// BatchStarted counts a batch call that package headroom placed at a target.
 func (r *Router) BatchStarted(id protocol.TargetID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.BatchStarted(time.Now(), id)
 }
 
-// BatchDone ends such a call.
+// BatchDone records the end of a call that BatchStarted counted.
 func (r *Router) BatchDone(id protocol.TargetID, result coordination.CallResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.BatchDone(time.Now(), id, result)
 }
 
-// OnlineInFlight counts the own online calls at a target.
+// OnlineInFlight returns the number of this instance's online calls in flight at
+// a target.
 func (r *Router) OnlineInFlight(id protocol.TargetID) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.OnlineInFlight(id)
 }
 
-// Capacity is what a service's usable targets hold and what other instances
-// have in flight there.
-func (r *Router) Capacity(service protocol.ServiceName) (slots int, others float64) {
+// Capacity returns the number of slots of a service's usable targets and the
+// estimated number of streams that other instances have there.
+func (r *Router) Capacity(service protocol.ServiceName) (slots int, peerStreams float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.Capacity(time.Now(), service)
 }
 
-// Targets lists all known targets, by id.
+// Targets returns the status of all targets, sorted by target ID.
 func (r *Router) Targets() []Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.core.Targets(time.Now())
 }
 
-// ApplyListing takes in the platform's list.
+// ApplyListing updates the targets from the platform's list.
 func (r *Router) ApplyListing(listing external.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.core.ApplyListing(time.Now(), listing)
 }
 
-// ApplyReport takes in a load report.
+// ApplyReport updates a target from its load report.
 func (r *Router) ApplyReport(load external.Load) {
 	now := time.Now()
-	elsewhere := 0
-	if r.batchElsewhere != nil {
-		elsewhere = r.batchElsewhere(load.Target, now.Add(-time.Duration(load.AgeMS)*time.Millisecond))
+	peerItems := 0
+	if r.peerBatchItems != nil {
+		peerItems = r.peerBatchItems(load.Target, now.Add(-time.Duration(load.AgeMS)*time.Millisecond))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.core.SetPeerBatchItems(load.Target, elsewhere)
+	r.core.SetPeerBatchItems(load.Target, peerItems)
 	r.core.ApplyReport(now, load)
 }
 
-// SetServices takes in the configured services.
+// SetServices sets the configured services.
 func (r *Router) SetServices(services map[protocol.ServiceName]protocol.Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/routing/target.go
+++ b/internal/coordination/routing/target.go
@@ -7,7 +7,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// target is what the core knows of one target.
+// target is the state of one target in Core.
 type target struct {
 	id      protocol.TargetID
 	address string
@@ -16,85 +16,94 @@
 	pool    *pool
 	slots   float64
 
-	// online and batch count own calls in flight.
+	// online and batch are the numbers of this instance's calls in flight.
 	online, batch int
-	// batchElsewhere counts the batch items that another instance has there.
-	batchElsewhere int
-	// reported is the target's last report, as of reportedAt; others is the
-	// part of it that other instances sent.
-	reportedAt time.Time
-	reported   int
-	others     float64
-	history    flightHistory
+	// peerBatchItems is the number of batch items that other instances have at
+	// the target.
+	peerBatchItems int
+	// reportedStreams is the number of streams in the last report, and
+	// reportedAt the time for which the report is valid. peerStreams is the
+	// number of online streams of other instances among them.
+	reportedAt      time.Time
+	reportedStreams int
+	peerStreams     float64
+	history         inFlightHistory
 
 	// listed says that the platform's list names the target.
 	listed bool
-	// listedLeaving is the platform's word, saidLeaving the target's own.
+	// listedLeaving says that the platform's list marks the target as leaving.
 	listedLeaving bool
-	saidLeaving   time.Time
+	// leavingReportedAt is when the target itself last reported that it is
+	// leaving.
+	leavingReportedAt time.Time
 
 	health health
 }
 
-func (t *target) leaving(now time.Time, o *Options) bool {
+func (t *target) isLeaving(now time.Time, o *Options) bool {
 	if t.listedLeaving {
 		return true
 	}
-	return !t.saidLeaving.IsZero() && now.Sub(t.saidLeaving) < o.LeavingFor
+	return !t.leavingReportedAt.IsZero() && now.Sub(t.leavingReportedAt) < o.LeavingTimeout
 }
 
-// load is the estimated number of online streams per slot at the target. Batch
-// items fill what online calls leave free and yield to them: counted in, they
-// would make all targets look alike, and online calls would gather at some.
+// load returns the estimated number of online streams per slot at the target.
+// Batch items are not counted. They fill the slots that online calls leave free
+// and yield to online calls, so with them all targets would look equally loaded
+// and online calls would be spread unevenly.
 func (t *target) load(now time.Time, o *Options) float64 {
-	return (float64(t.online) + t.othersNow(now, o)) / t.slots
+	return (float64(t.online) + t.estimatedPeerStreams(now, o)) / t.slots
 }
 
-// freshly reports whether the last report is young enough to bound what a
-// prefix draws to the target.
+// hasFreshReport reports whether the last load report is recent enough for
+// prefix affinity to the target.
 //
-// What goes wrong without it: each of hundreds of instances has hardly one call
-// of a popular prefix at the target, so own counts show nothing; without the
-// reports the target gets them all and their tail grows.
-func (t *target) freshly(now time.Time, o *Options) bool {
-	return !t.reportedAt.IsZero() && now.Sub(t.reportedAt) <= o.AffinityFresh
+// With hundreds of instances, each instance has at most about one call of a
+// popular prefix at the target, so its own count does not show the target's
+// load. Without a recent report, the target would get all calls with the prefix
+// and their tail latency would grow.
+func (t *target) hasFreshReport(now time.Time, o *Options) bool {
+	return !t.reportedAt.IsZero() && now.Sub(t.reportedAt) <= o.AffinityReportMaxAge
 }
 
-// othersNow blends the target's report with the mean over the pool by the age
-// of the report: fresh news counts for itself, old news is only as good as an
-// average.
-func (t *target) othersNow(now time.Time, o *Options) float64 {
-	mean := t.pool.meanOthers
+// estimatedPeerStreams returns the estimated number of online streams that other
+// instances have at the target. It is a weighted mean of the target's report and
+// the mean over the pool. The weight of the report falls with its age, because an
+// old report says little more about the target than the mean does.
+func (t *target) estimatedPeerStreams(now time.Time, o *Options) float64 {
+	mean := t.pool.peerStreamsMean
 	if t.reportedAt.IsZero() {
 		return mean
 	}
 	age := now.Sub(t.reportedAt)
 	if age <= 0 {
-		return t.others
+		return t.peerStreams
 	}
 	weight := float64(o.ReportHalfLife) / float64(o.ReportHalfLife+age)
-	return weight*t.others + (1-weight)*mean
+	return weight*t.peerStreams + (1-weight)*mean
 }
 
-// report takes in a load report. The own calls that the report counted are
-// taken out, as of the time that the report speaks of.
-func (t *target) report(now time.Time, load external.Load) {
+// applyReport updates the target from a load report. It subtracts the calls that
+// this instance had in flight at the time for which the report is valid, and the
+// batch items of other instances. It ignores a report that is older than the
+// last one.
+func (t *target) applyReport(now time.Time, load external.Load) {
 	at := now.Add(-time.Duration(load.AgeMS) * time.Millisecond)
 	if at.Before(t.reportedAt) {
 		return
 	}
-	own := t.history.at(at)
+	own := t.history.countAt(at)
 	t.reportedAt = at
-	t.reported = load.Running + load.Waiting
-	t.others = max(0, float64(load.Running+load.Waiting-own-t.batchElsewhere))
+	t.reportedStreams = load.Running + load.Waiting
+	t.peerStreams = max(0, float64(load.Running+load.Waiting-own-t.peerBatchItems))
 	if load.Leaving {
-		t.saidLeaving = now
+		t.leavingReportedAt = now
 	}
 }
 
-// flightHistory remembers the own calls in flight of the last seconds, so that
-// a report from then can be corrected for them.
-type flightHistory struct {
+// inFlightHistory holds the number of this instance's calls in flight over the
+// last seconds, so that they can be subtracted from a report that lags.
+type inFlightHistory struct {
 	times  [historyLength]time.Time
 	counts [historyLength]int
 	next   int
@@ -102,14 +111,14 @@
 
 const (
 	historyLength = 32
-	// historyStep is the least time between two entries: a report is matched
-	// to own calls no finer than this.
-	historyStep = 125 * time.Millisecond
+	// minHistoryInterval is the minimum time between two entries. It limits the
+	// precision with which a report is matched to this instance's calls.
+	minHistoryInterval = 125 * time.Millisecond
 )
 
-func (h *flightHistory) note(now time.Time, count int) {
+func (h *inFlightHistory) record(now time.Time, count int) {
 	last := (h.next + historyLength - 1) % historyLength
-	if now.Sub(h.times[last]) < historyStep {
+	if now.Sub(h.times[last]) < minHistoryInterval {
 		h.counts[last] = count
 		return
 	}
@@ -118,14 +127,15 @@
 	h.next = (h.next + 1) % historyLength
 }
 
-// at is the count as of a time: the last one noted at or before it.
-func (h *flightHistory) at(when time.Time) int {
+// countAt returns the count at a time: the last one recorded at or before it. If
+// all entries are later, it returns the oldest one.
+func (h *inFlightHistory) countAt(at time.Time) int {
 	for i := 1; i <= historyLength; i++ {
 		k := (h.next + historyLength - i) % historyLength
 		if h.times[k].IsZero() {
 			return 0
 		}
-		if !h.times[k].After(when) {
+		if !h.times[k].After(at) {
 			return h.counts[k]
 		}
 	}
