--- a/internal/coordination/headroom/core.go
+++ b/internal/coordination/headroom/core.go
@@ -7,81 +7,92 @@
 	"merlintiller/internal/protocol"
 )
 
-// Target is a target as the instance sees it now.
+// Target is the current state of a target as seen by this instance.
 type Target struct {
 	ID      protocol.TargetID
 	Service protocol.ServiceName
 	Domain  protocol.Domain
 	Address string
-	// Slots is the number of streams it runs well at the same time.
+	// Slots is the number of concurrent streams that the target serves well.
 	Slots int
-	// Usable is false for a leaving, dead or ejected target.
+	// Usable is false if the target is leaving, dead or ejected.
 	Usable bool
-	// Reported is the number of streams in the target's last report, from all
-	// instances and of all kinds, and ReportedAt the time it stood for.
+	// Reported is the number of online and batch streams of all instances in
+	// the target's last report. ReportedAt is the time for which the report is
+	// valid.
 	Reported   int
 	ReportedAt time.Time
 }
 
-// SlotID names a batch slot.
+// SlotID identifies a batch slot.
 type SlotID uint64
 
-// placed is a batch item at a target.
-type placed struct {
-	id SlotID
-	at time.Time
+// placedItem is a batch item that this instance placed at a target.
+type placedItem struct {
+	id       SlotID
+	placedAt time.Time
 }
 
-// window is the state of one fed target.
+// window is the batch window of a target that this instance feeds: the limit on
+// its batch items, and the load from which the limit follows.
 type window struct {
 	target Target
-	// online is the number of online calls in flight that are known of at
-	// once: own ones, and those of instances that send notices.
+	// online is the number of known online calls in flight: those of this
+	// instance and those of instances that send notices.
 	online int
-	// size is how many batch items may be placed now.
+	// size is the maximum number of batch items.
 	size float64
-	// slots are the placed items, oldest first.
-	slots    []placed
-	placedAt time.Time
-	// startedAt is when the last known online call started.
-	startedAt time.Time
-	// reading is the mean time in which the target reads a batch prompt, 0 if
-	// no item has shown it.
-	reading  time.Duration
+	// items are the placed items, oldest first.
+	items          []placedItem
+	lastBatchStart time.Time
+	// lastOnlineStart is when the last known online call started.
+	lastOnlineStart time.Time
+	// prefillMean is the moving mean of the time that the target needs for the
+	// prefill of a batch prompt. It is 0 until the first measurement.
+	prefillMean time.Duration
+	// grownAt is when the window last grew, and shrunkAt when items were last
+	// revoked because it shrank.
 	grownAt  time.Time
 	shrunkAt time.Time
-	known    history
-	// others is the load beyond the known one by the last report: instances
-	// that can't send notices, and batch items of a second feeder.
-	others     int
-	reportedAt time.Time
+	// knownLoad is the history of the number of online calls and batch items
+	// that this instance knows of.
+	knownLoad history
+	// unknownLoad is the number of streams in the last report beyond the known
+	// load. They are calls of instances whose notices do not arrive, or batch
+	// items of a second feeder.
+	unknownLoad int
+	reportedAt  time.Time
 }
 
-// Core decides the batch windows of the targets that one instance feeds. It has
-// no clock, no I/O and no goroutine, and is not safe for concurrent use.
+// Core decides the sizes of the batch windows of the targets that this instance
+// feeds. It has no clock, no I/O and no goroutines, and is not safe for
+// concurrent use.
 type Core struct {
 	settings Settings
-	windows  map[protocol.TargetID]*window
-	owners   map[SlotID]protocol.TargetID
-	nextID   SlotID
-	traffics map[protocol.TargetID]*traffic
-	outbox   *outbox
+	// windows holds a window for each target that this instance feeds.
+	windows map[protocol.TargetID]*window
+	// slotTargets maps each slot in use to its target.
+	slotTargets     map[SlotID]protocol.TargetID
+	nextID          SlotID
+	trafficByTarget map[protocol.TargetID]*traffic
+	noticeQueue     *noticeQueue
 }
 
-// NewCore returns the state without any target.
+// NewCore returns a core without any targets.
 func NewCore(settings Settings) *Core {
 	return &Core{
-		settings: settings,
-		windows:  map[protocol.TargetID]*window{},
-		owners:   map[SlotID]protocol.TargetID{},
-		traffics: map[protocol.TargetID]*traffic{},
-		outbox:   newOutbox(settings),
+		settings:        settings,
+		windows:         map[protocol.TargetID]*window{},
+		slotTargets:     map[SlotID]protocol.TargetID{},
+		trafficByTarget: map[protocol.TargetID]*traffic{},
+		noticeQueue:     newNoticeQueue(settings),
 	}
 }
 
-// Observe takes in what is known of the fed targets and returns the slots to
-// revoke, newest first. A target that is no longer fed, or not usable, loses
-// all its slots.
+// Observe updates the windows from the current state of the targets that this
+// instance feeds. It returns the slots to revoke, newest first for each target.
+// All slots of a target that is no longer fed by this instance, or that is not
+// usable, are revoked.
 func (c *Core) Observe(now time.Time, fed []Target) []SlotID {
 	var revoked []SlotID
 	seen := make(map[protocol.TargetID]bool, len(fed))
@@ -93,69 +104,73 @@
 			c.windows[t.ID] = w
 		}
 		w.target = t
-		revoked = append(revoked, c.follow(now, w)...)
+		revoked = append(revoked, c.updateWindow(now, w)...)
 	}
 	for id, w := range c.windows {
 		if seen[id] {
 			continue
 		}
 		w.target.Usable = false
-		revoked = append(revoked, c.follow(now, w)...)
-		if len(w.slots) == 0 {
+		revoked = append(revoked, c.updateWindow(now, w)...)
+		if len(w.items) == 0 {
 			delete(c.windows, id)
 		}
 	}
 	return revoked
 }
 
-// followTarget brings the window of one target to the load.
-func (c *Core) followTarget(now time.Time, id protocol.TargetID) []SlotID {
+// updateTargetWindow updates the window of a target, if this instance feeds it,
+// and returns the slots to revoke.
+func (c *Core) updateTargetWindow(now time.Time, id protocol.TargetID) []SlotID {
 	w, ok := c.windows[id]
 	if !ok {
 		return nil
 	}
-	return c.follow(now, w)
+	return c.updateWindow(now, w)
 }
 
-// follow brings a window to the load and returns the slots to revoke.
-func (c *Core) follow(now time.Time, w *window) []SlotID {
-	w.online = c.traffic(w.target.ID).sum(now, c.settings.NoticeLife)
-	w.learn(now, c.settings)
-	w.remember(now)
-	room := w.room()
-	if room < w.size {
-		w.size = room
+// updateWindow adapts the size of a window to the online load and returns the
+// slots to revoke.
+func (c *Core) updateWindow(now time.Time, w *window) []SlotID {
+	w.online = c.trafficOf(w.target.ID).onlineCalls(now, c.settings.NoticeMaxAge)
+	w.updateUnknownLoad(now, c.settings)
+	w.recordKnownLoad(now)
+	free := w.freeSlots()
+	if free < w.size {
+		w.size = free
 	} else {
-		c.grow(now, w, room)
+		c.grow(now, w, free)
 	}
-	return c.revoke(now, w)
+	return c.revokeExcess(now, w)
 }
 
-// room is what online traffic leaves free.
-func (w *window) room() float64 {
+// freeSlots returns the number of slots that are free apart from this instance's
+// batch items. It is 0 if the target is not usable.
+func (w *window) freeSlots() float64 {
 	if !w.target.Usable {
 		return 0
 	}
-	return float64(max(0, w.target.Slots-w.online-w.others))
+	return float64(max(0, w.target.Slots-w.online-w.unknownLoad))
 }
 
-// grow widens a window step by step, and leaves some slots free.
-func (c *Core) grow(now time.Time, w *window, room float64) {
-	if now.Sub(w.shrunkAt) < c.settings.CalmAfter || now.Sub(w.grownAt) < c.settings.GrowEvery {
+// grow increases the size of a window by at most one step, up to the free slots
+// less the spare ones.
+func (c *Core) grow(now time.Time, w *window, free float64) {
+	if now.Sub(w.shrunkAt) < c.settings.GrowPause || now.Sub(w.grownAt) < c.settings.GrowInterval {
 		return
 	}
 	spare := math.Ceil(c.settings.SpareShare * float64(w.target.Slots))
 	step := math.Max(1, math.Floor(c.settings.GrowStep*float64(w.target.Slots)))
-	if aim := room - spare; aim > w.size {
-		w.size = min(aim, w.size+step)
+	if limit := free - spare; limit > w.size {
+		w.size = min(limit, w.size+step)
 		w.grownAt = now
 	}
 }
 
-// revoke takes back what the window does not hold any more, newest first.
-func (c *Core) revoke(now time.Time, w *window) []SlotID {
+// revokeExcess revokes the newest items until the rest fit into the window.
+func (c *Core) revokeExcess(now time.Time, w *window) []SlotID {
 	var revoked []SlotID
-	for len(w.slots) > int(w.size) {
+	for len(w.items) > int(w.size) {
 		revoked = append(revoked, c.revokeNewest(w))
 		w.shrunkAt = now
 	}
@@ -163,130 +178,136 @@
 }
 
 func (c *Core) revokeNewest(w *window) SlotID {
-	last := len(w.slots) - 1
-	id := w.slots[last].id
-	delete(c.owners, id)
-	w.slots = w.slots[:last]
+	last := len(w.items) - 1
+	id := w.items[last].id
+	delete(c.slotTargets, id)
+	w.items = w.items[:last]
 	return id
 }
 
-// revokeYoung takes back the items that the target probably still reads the
-// prompt of. Prompts share the processor in the order they come, so an online
-// call would wait for its first token behind them. An item that was taken back
-// so has made nothing yet.
-func (c *Core) revokeYoung(now time.Time, w *window) []SlotID {
+// revokePrefilling revokes the items whose prompts are probably still in prefill
+// at the target. The target processes prompts in the order of their arrival, so
+// an online call would wait behind them for its first token. The revoked items
+// lose no output, because they have generated none yet.
+func (c *Core) revokePrefilling(now time.Time, w *window) []SlotID {
 	var revoked []SlotID
-	for n := len(w.slots); n > 0 && now.Sub(w.slots[n-1].at) < w.reads(c.settings.Young); n-- {
+	for n := len(w.items); n > 0 && now.Sub(w.items[n-1].placedAt) < w.prefillEstimate(c.settings.PrefillTime); n-- {
 		revoked = append(revoked, c.revokeNewest(w))
 	}
 	return revoked
 }
 
-// started notes that online calls started at a target and makes room for them.
-func (c *Core) started(now time.Time, id protocol.TargetID) []SlotID {
+// onlineStarted records that online calls started at a target and returns the
+// slots to revoke for them.
+func (c *Core) onlineStarted(now time.Time, id protocol.TargetID) []SlotID {
 	w, ok := c.windows[id]
 	if !ok {
 		return nil
 	}
-	w.startedAt = now
-	return append(c.revokeYoung(now, w), c.follow(now, w)...)
+	w.lastOnlineStart = now
+	return append(c.revokePrefilling(now, w), c.updateWindow(now, w)...)
 }
 
-// learn takes the others' load out of a new report: what it counts beyond the
-// known load at the time it stood for.
-func (w *window) learn(now time.Time, settings Settings) {
+// updateUnknownLoad sets the unknown load from a new report. It is the reported
+// load less the known load at the time for which the report is valid.
+func (w *window) updateUnknownLoad(now time.Time, settings Settings) {
 	t := &w.target
 	if t.ReportedAt.IsZero() || !t.ReportedAt.After(w.reportedAt) || now.Sub(t.ReportedAt) > settings.ReportMaxAge {
 		return
 	}
 	w.reportedAt = t.ReportedAt
-	w.others = max(0, t.Reported-w.known.at(t.ReportedAt))
+	w.unknownLoad = max(0, t.Reported-w.knownLoad.countAt(t.ReportedAt))
 }
 
-// remember notes the known load.
-func (w *window) remember(now time.Time) {
-	w.known.note(now, w.online+len(w.slots))
+// recordKnownLoad adds the current known load to its history.
+func (w *window) recordKnownLoad(now time.Time) {
+	w.knownLoad.record(now, w.online+len(w.items))
 }
 
-// Place gives a batch slot at the target of the service with the most room. ok
-// is false if there is none.
+// Place takes a batch slot at the target of the service whose window has the
+// most free slots. Targets that probably still process a prompt are skipped. ok
+// is false if no target has a slot.
 func (c *Core) Place(now time.Time, service protocol.ServiceName) (id SlotID, target Target, ok bool) {
 	var best *window
-	bestRoom := 0.0
+	bestFree := 0.0
 	for _, w := range c.windows {
 		if w.target.Service != service || !w.target.Usable {
 			continue
 		}
-		room := math.Floor(w.size) - float64(len(w.slots))
-		if w.startsTooSoon(now, c.settings) {
+		free := math.Floor(w.size) - float64(len(w.items))
+		if w.isPrefilling(now, c.settings) {
 			continue
 		}
-		if room < 1 || room < bestRoom || (room == bestRoom && best != nil && w.target.ID > best.target.ID) {
+		if free < 1 || free < bestFree || (free == bestFree && best != nil && w.target.ID > best.target.ID) {
 			continue
 		}
-		best, bestRoom = w, room
+		best, bestFree = w, free
 	}
 	if best == nil {
 		return 0, Target{}, false
 	}
 	c.nextID++
-	best.slots = append(best.slots, placed{id: c.nextID, at: now})
-	best.placedAt = now
-	c.owners[c.nextID] = best.target.ID
-	best.remember(now)
+	best.items = append(best.items, placedItem{id: c.nextID, placedAt: now})
+	best.lastBatchStart = now
+	c.slotTargets[c.nextID] = best.target.ID
+	best.recordKnownLoad(now)
 	return c.nextID, best.target, true
 }
 
-// startsTooSoon reports whether the target probably reads a prompt now.
-func (w *window) startsTooSoon(now time.Time, settings Settings) bool {
-	return w.startableAt(settings).After(now)
+// isPrefilling reports whether a prompt is probably still in prefill at the
+// target.
+func (w *window) isPrefilling(now time.Time, settings Settings) bool {
+	return w.prefilledAt(settings).After(now)
 }
 
-// startableAt is when the target has probably read the prompts it was sent.
-func (w *window) startableAt(settings Settings) time.Time {
-	afterBatch := w.placedAt.Add(w.reads(settings.StartGap))
-	afterOnline := w.startedAt.Add(w.reads(settings.QuietBefore))
+// prefilledAt returns the time at which the target has probably finished the
+// prefill of the prompts sent to it.
+func (w *window) prefilledAt(settings Settings) time.Time {
+	afterBatch := w.lastBatchStart.Add(w.prefillEstimate(settings.BatchStartGap))
+	afterOnline := w.lastOnlineStart.Add(w.prefillEstimate(settings.OnlineStartGap))
 	if afterBatch.After(afterOnline) {
 		return afterBatch
 	}
 	return afterOnline
 }
 
-// NextStart is the time until a target of the service that has room may start
-// a batch item; ok is false if none has room.
+// NextStart returns the time until a batch item may start at a target of the
+// service with a free slot. ok is false if no target has a free slot.
 func (c *Core) NextStart(now time.Time, service protocol.ServiceName) (wait time.Duration, ok bool) {
 	for _, w := range c.windows {
-		hasRoom := math.Floor(w.size)-float64(len(w.slots)) >= 1
-		if w.target.Service != service || !w.target.Usable || !hasRoom {
+		hasSlot := math.Floor(w.size)-float64(len(w.items)) >= 1
+		if w.target.Service != service || !w.target.Usable || !hasSlot {
 			continue
 		}
-		left := max(0, w.startableAt(c.settings).Sub(now))
-		if !ok || left < wait {
-			wait, ok = left, true
+		remaining := max(0, w.prefilledAt(c.settings).Sub(now))
+		if !ok || remaining < wait {
+			wait, ok = remaining, true
 		}
 	}
 	return wait, ok
 }
 
-// Release gives a slot back. It is idempotent.
+// Release frees a slot. It does nothing if the slot was already freed or
+// revoked.
 func (c *Core) Release(now time.Time, id SlotID) {
-	target, ok := c.owners[id]
+	target, ok := c.slotTargets[id]
 	if !ok {
 		return
 	}
-	delete(c.owners, id)
+	delete(c.slotTargets, id)
 	w := c.windows[target]
-	for i := range w.slots {
-		if w.slots[i].id == id {
-			w.slots = append(w.slots[:i], w.slots[i+1:]...)
+	for i := range w.items {
+		if w.items[i].id == id {
+			w.items = append(w.items[:i], w.items[i+1:]...)
 			break
 		}
 	}
-	w.remember(now)
+	w.recordKnownLoad(now)
 }
 
-// Places is the number of batch items of a service that fit at this instance
-// now, placed ones included: how much work is worth claiming.
+// Places returns the number of batch slots that this instance has for a service,
+// including those in use. It limits how much batch work the instance should
+// claim.
 func (c *Core) Places(service protocol.ServiceName) int {
 	sum := 0
 	for _, w := range c.windows {
--- a/internal/coordination/headroom/doc.go
+++ b/internal/coordination/headroom/doc.go
@@ -1,11 +1,13 @@
-// Package headroom hands out places for batch items beside the online traffic,
-// and takes them back at once when online traffic needs them.
+// Package headroom assigns slots for batch items next to the online traffic, and
+// revokes them as soon as online traffic needs them.
 //
-// Engines know no priorities and admit requests as they come, so how much batch
-// is let in is all the priority there is. Each target has one instance that
-// feeds it batch items (Feeder), and that instance keeps a window for it: the
-// slots less the online calls in flight. Its own online calls count at once,
-// those of other instances when the target's lagging report shows them. When
-// the window shrinks below what is placed, the newest items are revoked: they
-// have the least to lose, and their partial output is kept for a resume.
+// Engines have no priorities and accept requests in the order of arrival, so
+// limiting the number of batch items is the only way to prefer online calls. Each
+// target has a feeder: the one instance that sends batch items to it. The feeder
+// keeps a batch window for the target, whose size is the number of slots less the
+// online calls in flight. The feeder counts its own online calls at once and
+// those of other instances as soon as it receives their notices. The target's
+// load report, which lags, shows the rest. When the window becomes smaller than
+// the number of placed items, the newest items are revoked: they lose the least
+// work, and their partial output is kept so that they can be resumed.
 package headroom
--- a/internal/coordination/headroom/feeder.go
+++ b/internal/coordination/headroom/feeder.go
@@ -14,11 +14,13 @@
 	Domain   protocol.Domain
 }
 
-// Feeders says which instance feeds which target with batch items: one of the
-// target's own failure domain by rendezvous hash, with even loads, or of any
-// domain if its own has none. It is a soft choice: while two instances disagree
-// on who exists, a target may have two feeders, which costs speed only, for the
-// reported load shows each the other's items.
+// Feeders assigns a feeder to each target: the instance that sends batch items to
+// it. The feeder is chosen by rendezvous hashing, with an even number of targets
+// per instance, among the instances of the target's failure domain. If the domain
+// has no instance, the feeder is chosen among all instances. The assignment is not
+// exclusive. While two instances have different lists of members, a target may
+// have two feeders. This only costs speed, because the target's load reports show
+// each feeder the items of the other one.
 func Feeders(targets []Target, members []Member) map[protocol.TargetID]protocol.InstanceID {
 	byDomain := make(map[protocol.Domain][]protocol.InstanceID)
 	var all []protocol.InstanceID
@@ -26,39 +28,45 @@
 		byDomain[m.Domain] = append(byDomain[m.Domain], m.Instance)
 		all = append(all, m.Instance)
 	}
-	count := make(map[protocol.Domain]int)
+	targetCounts := make(map[protocol.Domain]int)
 	for _, t := range targets {
-		count[t.Domain]++
+		targetCounts[t.Domain]++
 	}
 	feeders := make(map[protocol.TargetID]protocol.InstanceID, len(targets))
-	load := make(map[protocol.InstanceID]int)
-	adopted := make(map[protocol.InstanceID]int)
+	localCounts := make(map[protocol.InstanceID]int)
+	remoteCounts := make(map[protocol.InstanceID]int)
 	for _, t := range targets {
-		candidates, taken := byDomain[t.Domain], load
-		limit := evenShare(count[t.Domain], len(candidates))
+		candidates, counts := byDomain[t.Domain], localCounts
+		limit := maxTargetsEach(targetCounts[t.Domain], len(candidates))
 		if len(candidates) == 0 {
-			candidates, taken, limit = all, adopted, len(targets)
+			// Targets of a domain without instances must not use up the limits
+			// of the instances that feed their own domain.
+			candidates, counts, limit = all, remoteCounts, len(targets)
 		}
-		if best := rendezvous(t.ID, candidates, taken, limit); best != "" {
+		if best := rendezvousChoice(t.ID, candidates, counts, limit); best != "" {
 			feeders[t.ID] = best
-			taken[best]++
+			counts[best]++
 		}
 	}
 	return feeders
 }
 
-func evenShare(targets, instances int) int {
+// maxTargetsEach returns the limit of targets per instance with which all targets
+// get a feeder.
+func maxTargetsEach(targets, instances int) int {
 	if instances == 0 {
 		return 0
 	}
 	return (targets + instances - 1) / instances
 }
 
-func rendezvous(target protocol.TargetID, candidates []protocol.InstanceID, load map[protocol.InstanceID]int, limit int) protocol.InstanceID {
+// rendezvousChoice returns the candidate with the highest rendezvous hash for a
+// target among those that have fewer targets than limit, or "" if there is none.
+func rendezvousChoice(target protocol.TargetID, candidates []protocol.InstanceID, counts map[protocol.InstanceID]int, limit int) protocol.InstanceID {
 	var best protocol.InstanceID
 	var bestScore uint64
 	for _, id := range candidates {
-		if load[id] >= limit {
+		if counts[id] >= limit {
 			continue
 		}
 		score := xxhash.Sum64String(strconv.Quote(string(target)) + string(id))
--- a/internal/coordination/headroom/feeder_test.go
+++ b/internal/coordination/headroom/feeder_test.go
@@ -8,11 +8,12 @@
 	"merlintiller/internal/protocol"
 )
 
-// All instances of a failure domain are lost, so those of the others feed its
-// targets too. If the targets of the lost domain stand first on the list and
-// use up the even loads, the other targets have no feeder: they stay idle, and
-// a job stops for as long as the domain is away.
-func TestTargetsOfALostDomainLeaveTheOthersTheirFeeders(t *testing.T) {
+// All instances of a failure domain are lost, so instances of the other domains
+// feed its targets too. The targets of the lost domain are first on the list. If
+// they used up the limits of targets per instance, the targets of the other
+// domains would have no feeder. They would stay idle, and a job would stop until
+// the domain is back.
+func TestTargetsOfLostDomainDoNotUseUpFeeders(t *testing.T) {
 	targets := []Target{
 		{ID: "filing-0", Service: "filing", Domain: "sea"},
 		{ID: "reports-0", Service: "reports", Domain: "sea"},
--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -20,59 +20,64 @@
 // ReceiverName is the name under which the Endpoint is registered with net/rpc.
 const ReceiverName = "Headroom"
 
-// Source shows the targets and the instances as they are known now.
+// Source provides the currently known targets and instances.
 type Source interface {
-	// Targets are all targets.
+	// Targets returns all targets.
 	Targets() []Target
-	// Members are the instances with an open session, the own one included.
+	// Members returns the instances with an open session, including this one.
 	Members() []Member
 }
 
-// Config wires a Headroom.
+// Config holds the dependencies and settings of a Headroom.
 type Config struct {
 	Self     protocol.InstanceID
 	Source   Source
 	Peers    coordination.Peers
 	Settings Settings
-	// OnBatchStarted tells the router of a batch call at a target; may be nil.
+	// OnBatchStarted is called when a batch call is placed at a target, so that
+	// the router counts it. May be nil.
 	OnBatchStarted func(protocol.TargetID)
-	// OnBatchDone tells the router how a batch call went; may be nil.
+	// OnBatchDone is called with the result of a batch call, for the router. May
+	// be nil.
 	OnBatchDone func(protocol.TargetID, coordination.CallResult)
 }
 
-// Headroom implements coordination.BatchSlots around the pure Core.
+// Headroom implements coordination.BatchSlots. It adds a lock, the system clock
+// and the calls between instances to a Core.
 type Headroom struct {
 	Config
 
 	mu    sync.Mutex
 	core  *Core
 	slots map[SlotID]*slot
-	// feeders says who feeds which target.
+	// feeders maps each target to the instance that feeds it. It was last
+	// updated at refreshedAt.
 	feeders     map[protocol.TargetID]protocol.InstanceID
 	refreshedAt time.Time
-	// lookedAt is used by the windowService alone.
-	lookedAt time.Time
-	// changed is closed when a place may have become free.
-	changed chan struct{}
+	// polledAt is when the targets were last polled. Only windowService uses it.
+	polledAt time.Time
+	// slotFreed is closed and replaced when a slot may have become free.
+	slotFreed chan struct{}
+	// notices holds the notices to send, one entry for each tick.
 	notices *ring.Ring[map[protocol.InstanceID][]TargetCount]
 }
 
-// noticeCapacity bounds the ticks whose notices wait. A drop is repaired by the
-// next repeat.
-const noticeCapacity = 16
+// noticeRingCapacity is the maximum number of ticks whose notices are queued. If
+// the ring is full, notices are dropped, and the next repetition replaces them.
+const noticeRingCapacity = 16
 
-// New returns a Headroom without any target. Its Services must run.
+// New returns a Headroom without any targets. The caller must run its Services.
 func New(config Config) *Headroom {
 	return &Headroom{
-		Config:  config,
-		core:    NewCore(config.Settings),
-		slots:   map[SlotID]*slot{},
-		changed: make(chan struct{}),
-		notices: ring.New[map[protocol.InstanceID][]TargetCount]("headroom.notices", noticeCapacity),
+		Config:    config,
+		core:      NewCore(config.Settings),
+		slots:     map[SlotID]*slot{},
+		slotFreed: make(chan struct{}),
+		notices:   ring.New[map[protocol.InstanceID][]TargetCount]("headroom.notices", noticeRingCapacity),
 	}
 }
 
-// Services are the duties, for the supervisor.
+// Services returns the background services, for the supervisor.
 func (h *Headroom) Services() []suture.Service {
 	return []suture.Service{&windowService{headroom: h}, &noticeService{headroom: h}}
 }
@@ -80,32 +85,33 @@
 // Acquire implements coordination.BatchSlots.
 func (h *Headroom) Acquire(ctx context.Context, service protocol.ServiceName) (coordination.BatchSlot, error) {
 	for {
-		s, changed := h.tryAcquire(service)
+		s, slotFreed := h.tryAcquire(service)
 		if s != nil {
 			return s, nil
 		}
-		if err := h.awaitRoom(ctx, service, changed); err != nil {
+		if err := h.waitForSlot(ctx, service, slotFreed); err != nil {
 			return nil, fmt.Errorf("waiting for a batch slot of %s: %w", service, err)
 		}
 	}
 }
 
-// noRoomWait bounds the wait for room, which shows as a change.
-const noRoomWait = time.Second
+// maxSlotWait is the maximum time that waitForSlot waits while no target has a
+// free slot. Usually slotFreed ends the wait earlier.
+const maxSlotWait = time.Second
 
-// awaitRoom waits until a place may have become free, or until a target with
-// room has read the prompts it was sent.
-func (h *Headroom) awaitRoom(ctx context.Context, service protocol.ServiceName, changed <-chan struct{}) error {
+// waitForSlot waits until a slot may have become free, or until a target with a
+// free slot has finished the prefill of the prompts sent to it.
+func (h *Headroom) waitForSlot(ctx context.Context, service protocol.ServiceName, slotFreed <-chan struct{}) error {
 	h.mu.Lock()
-	wait, hasRoom := h.core.NextStart(time.Now(), service)
+	wait, hasSlot := h.core.NextStart(time.Now(), service)
 	h.mu.Unlock()
-	if !hasRoom {
-		wait = noRoomWait
+	if !hasSlot {
+		wait = maxSlotWait
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case <-changed:
+	case <-slotFreed:
 		return nil
 	case <-timer.C:
 		return nil
@@ -114,12 +120,14 @@
 	}
 }
 
+// tryAcquire takes a slot at a target of the service. If there is none, it
+// returns nil and the channel that is closed when a slot may have become free.
 func (h *Headroom) tryAcquire(service protocol.ServiceName) (*slot, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, target, ok := h.core.Place(time.Now(), service)
 	if !ok {
-		return nil, h.changed
+		return nil, h.slotFreed
 	}
 	s := &slot{
 		headroom: h,
@@ -135,15 +143,14 @@
 	return s, nil
 }
 
-// Places is how many batch items of a service fit at this instance now, placed
-// ones included.
+// Places implements coordination.BatchSlots.
 func (h *Headroom) Places(service protocol.ServiceName) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Places(service)
 }
 
-// revoke tells the holders. The caller holds the lock.
+// revoke closes the Revoked channels of the slots. The caller holds mu.
 func (h *Headroom) revoke(ids []SlotID) {
 	for _, id := range ids {
 		if s, ok := h.slots[id]; ok {
@@ -154,24 +161,26 @@
 	}
 }
 
-// tick returns the notices to send, and looks at the targets when it is time.
+// tick polls the targets if PollInterval has passed, and returns the notices to
+// send.
 func (h *Headroom) tick(now time.Time) map[protocol.InstanceID][]TargetCount {
-	if now.Sub(h.lookedAt) >= h.Settings.PollInterval {
-		h.lookedAt = now
-		h.look(now)
+	if now.Sub(h.polledAt) >= h.Settings.PollInterval {
+		h.polledAt = now
+		h.pollTargets(now)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.DueNotices(now, h.feeders, h.Self)
 }
 
-// look follows the targets and who feeds them.
-func (h *Headroom) look(now time.Time) {
+// pollTargets updates the windows of the targets that this instance feeds. It
+// also updates the feeders if FeederRefreshInterval has passed.
+func (h *Headroom) pollTargets(now time.Time) {
 	targets := h.Source.Targets()
 	members := h.Source.Members()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Sub(h.refreshedAt) >= h.Settings.Refresh {
+	if now.Sub(h.refreshedAt) >= h.Settings.FeederRefreshInterval {
 		h.refreshedAt = now
 		h.feeders = Feeders(targets, members)
 		h.core.SyncTargets(targets)
@@ -183,13 +192,13 @@
 		}
 	}
 	h.revoke(h.core.Observe(now, fed))
-	h.wake()
+	h.wakeWaiters()
 }
 
-// wake lets waiting batch items look again. The caller holds the lock.
-func (h *Headroom) wake() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+// wakeWaiters makes waiting callers of Acquire try again. The caller holds mu.
+func (h *Headroom) wakeWaiters() {
+	close(h.slotFreed)
+	h.slotFreed = make(chan struct{})
 }
 
 // slot implements coordination.BatchSlot.
@@ -215,19 +224,19 @@
 func (h *Headroom) release(s *slot, result coordination.CallResult) {
 	h.mu.Lock()
 	h.core.Release(time.Now(), s.id)
-	h.core.FirstByte(s.pick.Target, result.FirstByte)
+	h.core.RecordFirstByte(s.pick.Target, result.FirstByte)
 	delete(h.slots, s.id)
-	h.wake()
+	h.wakeWaiters()
 	h.mu.Unlock()
 	if h.OnBatchDone != nil {
 		h.OnBatchDone(s.pick.Target, result)
 	}
 }
 
-// windowService follows the load at a steady pace.
+// windowService updates the windows and queues the notices once per tick.
 type windowService struct{ headroom *Headroom }
 
-// String names the service for the supervisor.
+// String returns the service's name for the supervisor.
 func (s *windowService) String() string { return "headroom-windows" }
 
 // Serve implements suture.Service.
--- a/internal/coordination/headroom/history.go
+++ b/internal/coordination/headroom/history.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// sample is a count at a time.
+// sample is a count and the time from which it applies.
 type sample struct {
 	at    time.Time
 	count int
 }
 
-// historyLength bounds the remembered counts: some seconds of a busy target.
+// historyLength is the maximum number of samples. It covers some seconds of a
+// busy target.
 const historyLength = 256
 
-// history remembers a count that changes, so that a report that lags can be
-// compared with what was known at its time.
+// history holds the recent values of a count, so that a report that lags can be
+// compared with the count at the time for which the report is valid.
 type history struct {
 	samples []sample
 }
 
-// note adds a count if it changed.
-func (h *history) note(now time.Time, count int) {
+// record adds a sample if the count has changed.
+func (h *history) record(now time.Time, count int) {
 	if n := len(h.samples); n > 0 && h.samples[n-1].count == count {
 		return
 	}
@@ -29,10 +30,11 @@
 	h.samples = append(h.samples, sample{at: now, count: count})
 }
 
-// at is the count as of a time; before the first sample it is the first one.
-func (h *history) at(when time.Time) int {
+// countAt returns the count at a given time. If the time is before the first
+// sample, it returns the count of the first sample, or 0 if there is none.
+func (h *history) countAt(at time.Time) int {
 	for i := len(h.samples) - 1; i >= 0; i-- {
-		if !h.samples[i].at.After(when) {
+		if !h.samples[i].at.After(at) {
 			return h.samples[i].count
 		}
 	}
--- a/internal/coordination/headroom/notices.go
+++ b/internal/coordination/headroom/notices.go
@@ -9,29 +9,33 @@
 	"merlintiller/internal/protocol"
 )
 
-// NoticeArgs tells the feeder of targets how many online calls an instance has
-// in flight there.
+// NoticeArgs reports the number of online calls that an instance has in flight at
+// targets. It is sent to the feeder of the targets.
 type NoticeArgs struct {
-	From   protocol.InstanceID
+	// From is the instance that sends the notice.
+	From protocol.InstanceID
+	// Counts holds the number of online calls of From by target.
 	Counts []TargetCount
 }
 
-// NoticeReply tells the batch items that the feeder has placed at the targets.
-// Reports count them with the online calls, but they yield, so whoever decides
-// on online calls takes them off.
+// NoticeReply reports the number of batch items that the feeder has at the
+// targets. Load reports include batch items, but batch items yield to online
+// calls, so the router of the sender subtracts them.
 type NoticeReply struct {
+	// Batch holds the number of batch items of the feeder by target.
 	Batch []TargetCount
 }
 
-// Endpoint is the net/rpc receiver, to be registered under ReceiverName.
+// Endpoint is the net/rpc receiver. It is registered under ReceiverName.
 type Endpoint struct {
 	headroom *Headroom
 }
 
-// Endpoint returns the receiver for other instances.
+// Endpoint returns the net/rpc receiver for calls of other instances.
 func (h *Headroom) Endpoint() *Endpoint { return &Endpoint{headroom: h} }
 
-// Notice takes in the online calls of another instance, and makes room at once.
+// Notice records the online calls of another instance and immediately revokes the
+// slots that they need.
 func (e *Endpoint) Notice(args *NoticeArgs, reply *NoticeReply) error {
 	h := e.headroom
 	h.mu.Lock()
@@ -42,14 +46,14 @@
 	return nil
 }
 
-// noticeTimeout bounds one notice, so that a feeder that hangs delays the others
-// for a moment only.
+// noticeTimeout limits the call for one notice, so that a feeder that hangs delays
+// the notices to other feeders by at most this time.
 const noticeTimeout = 50 * time.Millisecond
 
-// noticeService tells the feeders of other targets.
+// noticeService sends the queued notices to the feeders.
 type noticeService struct{ headroom *Headroom }
 
-// String names the service for the supervisor.
+// String returns the service's name for the supervisor.
 func (s *noticeService) String() string { return "headroom-notices" }
 
 // Serve implements suture.Service.
@@ -60,12 +64,12 @@
 			return ctx.Err()
 		}
 		for feeder, counts := range notices {
-			s.headroom.tell(ctx, feeder, counts)
+			s.headroom.sendNotice(ctx, feeder, counts)
 		}
 	}
 }
 
-func (h *Headroom) tell(ctx context.Context, feeder protocol.InstanceID, counts []TargetCount) {
+func (h *Headroom) sendNotice(ctx context.Context, feeder protocol.InstanceID, counts []TargetCount) {
 	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
 	args := &NoticeArgs{From: h.Self, Counts: counts}
@@ -80,27 +84,28 @@
 	h.core.RecordPeerBatchItems(time.Now(), reply.Batch)
 }
 
-// PeerBatchItems is the number of batch items that another instance had at a
-// target at a time, as far as it is known here.
+// PeerBatchItems returns the number of batch items that the target's feeder had
+// there at a given time, as far as this instance knows. It is 0 if this instance
+// feeds the target.
 func (h *Headroom) PeerBatchItems(target protocol.TargetID, at time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.PeerBatchItems(target, at)
 }
 
-// WrapRouter returns a router that tells of every online call it routes, so that
-// batch yields before the call reaches the target.
+// WrapRouter returns a router that counts every online call that it routes, so
+// that batch items yield before the call reaches the target.
 func (h *Headroom) WrapRouter(router coordination.Router) coordination.Router {
-	return &watchedRouter{headroom: h, router: router}
+	return &observedRouter{headroom: h, router: router}
 }
 
-type watchedRouter struct {
+type observedRouter struct {
 	headroom *Headroom
 	router   coordination.Router
 }
 
 // Pick implements coordination.Router.
-func (w *watchedRouter) Pick(req coordination.PickRequest) (coordination.Pick, func(coordination.CallResult), bool) {
+func (w *observedRouter) Pick(req coordination.PickRequest) (coordination.Pick, func(coordination.CallResult), bool) {
 	pick, done, ok := w.router.Pick(req)
 	if !ok || req.Batch {
 		return pick, done, ok
--- a/internal/coordination/headroom/settings.go
+++ b/internal/coordination/headroom/settings.go
@@ -4,66 +4,77 @@
 
 // Settings are the policy constants of the batch windows.
 type Settings struct {
-	// NoticeInterval is how often notices leave. It bounds how long the
-	// feeder of a target does not know of an online call that started at
-	// another instance.
+	// NoticeInterval is the time between two rounds of notices. The feeder of a
+	// target does not know of an online call that started on another instance
+	// until the next round.
 	NoticeInterval time.Duration `yaml:"tick"`
-	// NoticeCalm is how long the end of an online call may wait before the
-	// target's feeder is told. A start is told with the next tick.
-	NoticeCalm time.Duration `yaml:"notice_calm"`
-	// NoticeRepeat is how often counts are told again, in case one got lost.
-	NoticeRepeat time.Duration `yaml:"notice_repeat"`
-	// NoticeAll is how often counts are told of all targets, also without own
-	// calls, to learn of their batch items from the answer.
-	NoticeAll time.Duration `yaml:"notice_all"`
-	// NoticeLife is the age from which a count is not believed; then only the
-	// target's report shows the instance's calls.
-	NoticeLife time.Duration `yaml:"notice_life"`
-	// PollInterval is how often the targets and their reports are looked at.
+	// EndNoticeInterval is the maximum time until the feeder of a target is
+	// notified of the end of an online call. The start of a call is sent in the
+	// next round of notices.
+	EndNoticeInterval time.Duration `yaml:"notice_calm"`
+	// RepeatNoticeInterval is the time after which the counts of online calls
+	// are sent again, in case a notice was lost.
+	RepeatNoticeInterval time.Duration `yaml:"notice_repeat"`
+	// FullNoticeInterval is the time after which the counts for all targets are
+	// sent, also for those without online calls of this instance, because the
+	// replies contain the targets' batch items.
+	FullNoticeInterval time.Duration `yaml:"notice_all"`
+	// NoticeMaxAge is the age from which the counts of a notice are ignored.
+	// Then only the target's load report shows the calls of that instance.
+	NoticeMaxAge time.Duration `yaml:"notice_life"`
+	// PollInterval is the time between two updates of the windows from the
+	// targets' states and load reports.
 	PollInterval time.Duration `yaml:"look"`
-	// Refresh is how often the feeders are chosen anew.
-	Refresh time.Duration `yaml:"refresh"`
-	// GrowEvery is how often a window may grow by one step. Growing slowly
-	// keeps short dips of the online load from placing batch items that the
-	// next second takes back.
-	GrowEvery time.Duration `yaml:"grow_every"`
-	// GrowStep is the step, as a part of the target's slots; at least one.
+	// FeederRefreshInterval is the time after which the feeders are chosen
+	// again.
+	FeederRefreshInterval time.Duration `yaml:"refresh"`
+	// GrowInterval is the minimum time between two growth steps of a window.
+	// Slow growth avoids that batch items are placed in a short dip of the
+	// online load and revoked within the next second.
+	GrowInterval time.Duration `yaml:"grow_every"`
+	// GrowStep is the size of a growth step, as a share of the target's slots.
+	// A step is at least one slot.
 	GrowStep float64 `yaml:"grow_part"`
-	// CalmAfter is how long a window does not grow after a revocation.
-	CalmAfter time.Duration `yaml:"calm_after"`
-	// SpareShare is the part of the slots that growth leaves free, so that the
-	// usual jitter of online traffic fits without taking batch items back.
+	// GrowPause is how long a window does not grow after a revocation.
+	GrowPause time.Duration `yaml:"calm_after"`
+	// SpareShare is the share of a target's slots that growth leaves free, so
+	// that the usual jitter of online traffic revokes no batch items.
 	SpareShare float64 `yaml:"spare"`
-	// Young is the age up to which a batch item is taken back when an online
-	// call starts: the time in which a target usually reads a prompt.
-	Young time.Duration `yaml:"young"`
-	// StartGap is the least time between batch starts at one target, so that
-	// at most about one batch prompt is read at a time.
-	StartGap time.Duration `yaml:"start_gap"`
-	// QuietBefore is how long a batch start waits after an online start.
-	QuietBefore time.Duration `yaml:"quiet_before"`
-	// ReportMaxAge is the age from which a load report is not believed; the
-	// others' load then counts as what the last report said.
+	// PrefillTime is the time that a target usually needs for the prefill of a
+	// prompt. When an online call starts at a target, the batch items that were
+	// placed there within this time are revoked. The time is shorter if the
+	// measured prefill time is.
+	PrefillTime time.Duration `yaml:"young"`
+	// BatchStartGap is the minimum time between two starts of batch items at a
+	// target, so that usually at most one batch prompt is in prefill. It is
+	// shorter if the measured prefill time is.
+	BatchStartGap time.Duration `yaml:"start_gap"`
+	// OnlineStartGap is the minimum time between the start of an online call and
+	// that of a batch item at a target. It is shorter if the measured prefill
+	// time is.
+	OnlineStartGap time.Duration `yaml:"quiet_before"`
+	// ReportMaxAge is the age from which a load report is ignored. The load that
+	// only reports show then stays at the value of the last accepted report.
 	ReportMaxAge time.Duration `yaml:"report_max_age"`
 }
 
 // Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
-		NoticeInterval: 10 * time.Millisecond,
-		NoticeCalm:     100 * time.Millisecond,
-		NoticeRepeat:   2 * time.Second,
-		NoticeAll:      10 * time.Second,
-		NoticeLife:     5 * time.Second,
-		PollInterval:   50 * time.Millisecond,
-		Refresh:        time.Second,
-		GrowEvery:      100 * time.Millisecond,
-		GrowStep:       0.125,
-		CalmAfter:      500 * time.Millisecond,
-		SpareShare:     0.05,
-		Young:          80 * time.Millisecond,
-		StartGap:       80 * time.Millisecond,
-		QuietBefore:    50 * time.Millisecond,
-		ReportMaxAge:   5 * time.Second,
+		NoticeInterval:        10 * time.Millisecond,
+		EndNoticeInterval:     100 * time.Millisecond,
+		RepeatNoticeInterval:  2 * time.Second,
+		FullNoticeInterval:    10 * time.Second,
+		NoticeMaxAge:          5 * time.Second,
+		PollInterval:          50 * time.Millisecond,
+		FeederRefreshInterval: time.Second,
+		GrowInterval:          100 * time.Millisecond,
+		GrowStep:              0.125,
+		GrowPause:             500 * time.Millisecond,
+		SpareShare:            0.05,
+		PrefillTime:           80 * time.Millisecond,
+		BatchStartGap:         80 * time.Millisecond,
+		OnlineStartGap:        50 * time.Millisecond,
+		ReportMaxAge:          5 * time.Second,
 	}
 }
