--- a/internal/coordination/routing/core_test.go
+++ b/internal/coordination/routing/core_test.go
@@ -85,7 +85,7 @@
 	pickCounts(t, core, start, 3)
 	later := start.Add(time.Second)
 	core.ApplyReport(later, external.Load{Target: listedTargets(1, localDomain)[0].ID, Running: 5, AgeMS: 500})
-	require.InDelta(t, 2, core.Targets(later)[0].PeerStreams, 0.01, "5 running, 3 of them own")
+	require.InDelta(t, 2, core.Targets(later)[0].PeerStreams, 0.01, "5 streams run, 3 of them from this instance")
 }
 
 // A target reports that it is leaving before the list does. It gets no new calls
--- a/internal/coordination/routing/pollers.go
+++ b/internal/coordination/routing/pollers.go
@@ -31,7 +31,7 @@
 	ListInterval time.Duration
 	// LoadsPerSecond is the maximum number of load reports read per second.
 	// Default 20. That is two reads per second for each of ten targets. With
-	// hundreds of targets, the reads stay within the control budget.
+	// hundreds of targets, the reads stay within the budget for control traffic.
 	LoadsPerSecond float64
 	// LoadInterval is the minimum time between two reads of one target's load.
 	// Default 1 s, the lag of the reports.
--- a/internal/coordination/routing/pool.go
+++ b/internal/coordination/routing/pool.go
@@ -45,6 +45,8 @@
 	}
 }
 
+// addIfUsable adds a target to local or remote if it is usable. If an ejection or
+// a leaving timeout prevents that, it schedules a rebuild for the end of it.
 func (p *pool) addIfUsable(t *target, now time.Time, o *Options) {
 	switch {
 	case t.health.isEjected(now):
