--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -30,11 +30,11 @@
 	// target in one of them, and waits for a slot for a limited time.
 	Domains() []string
 	PlaceItem(ctx context.Context, domain string, item broker.Item) (placement.Choice, bool)
-	// Runs records that a target runs an item under an id.
-	Runs(choice placement.Choice, id string)
+	// SetRunID records the id under which a target runs an item.
+	SetRunID(choice placement.Choice, id string)
 	Done(placement.Choice, placement.Result)
-	Told(choice placement.Choice, load *exchange.Load)
-	Heard(id string)
+	ReportLoad(choice placement.Choice, load *exchange.Load)
+	DataReceived(id string)
 }
 
 // Options are the settings and dependencies of JobService, PartitionOwner and Runner.
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -53,7 +53,7 @@
 		Peers:    d.agreement.heartbeats,
 		Orders:   d.outside.control,
 		Logger:   d.logger,
-		Policy:   orders.Policy{Hold: s.Timings.Hold},
+		Policy:   orders.Policy{HoldTime: s.Timings.Hold},
 	})
 	polls := pollOptions(s)
 	polls.Router = f.router
@@ -61,7 +61,7 @@
 	polls.Loads = d.outside.control
 	polls.Fleet = j.Fleet
 	polls.Logger = d.logger
-	polls.OnListing = f.orders.Listing
+	polls.OnListing = f.orders.SetListing
 	f.pollers = routing.Pollers(polls)
 	f.limits = limiter.New(limiter.Config{
 		Self: s.Instance, Domain: s.Domain, Address: s.Listen.Peers,
--- a/internal/policybench/slots/brokered.go
+++ b/internal/policybench/slots/brokered.go
@@ -35,7 +35,7 @@
 type desk struct {
 	*brokered
 	domain   string
-	allotter *broker.Allotter
+	allotter *broker.SlotAllocator
 	asked    map[*broker.Waiter]func(grant broker.Grant, ok bool)
 	looking  bool
 }
@@ -47,8 +47,8 @@
 	b := &brokered{day: p, way: way, desks: map[string]*desk{}, yields: map[uint64]func() bool{}, seeking: map[seeker]bool{}}
 	for _, name := range b.domains() {
 		core := placement.New(placement.Options{Domain: name, Random: rand.New(rand.NewPCG(p.random.Uint64(), 1))})
-		d := &desk{brokered: b, domain: name, allotter: broker.NewAllotter(core), asked: map[*broker.Waiter]func(broker.Grant, bool){}}
-		d.allotter.CalmAfter, d.allotter.SpareFor = way.Calm, way.SpareFor
+		d := &desk{brokered: b, domain: name, allotter: broker.NewSlotAllocator(core), asked: map[*broker.Waiter]func(broker.Grant, bool){}}
+		d.allotter.PauseAfterYield, d.allotter.ReserveAfterYield = way.Calm, way.SpareFor
 		b.desks[name] = d
 	}
 	return b
@@ -110,7 +110,7 @@
 		left, wait = b.order(n)[:1], waitChunk
 	}
 	d := b.desks[left[0]]
-	ask := broker.Ask{Want: onlineWant(), OnTimeIn: arrived.Add(objective - answerTime).Sub(b.clock.Now()), Age: b.clock.Now().Sub(arrived)}
+	ask := broker.PlaceRequest{Want: onlineWant(), OnTimeIn: arrived.Add(objective - answerTime).Sub(b.clock.Now()), Age: b.clock.Now().Sub(arrived)}
 	if b.way.InOrder {
 		ask.OnTimeIn = time.Hour - ask.Age
 	}
@@ -129,7 +129,7 @@
 }
 
 // ask sends an ask to a broker and brings its answer back.
-func (b *brokered) ask(n *node, d *desk, ask broker.Ask, wait time.Duration, answer func(slot, bool)) {
+func (b *brokered) ask(n *node, d *desk, ask broker.PlaceRequest, wait time.Duration, answer func(slot, bool)) {
 	hop := b.messageTime(n, d)
 	b.number++
 	ask.Number, ask.Instance = b.number, n.name()
@@ -150,7 +150,7 @@
 		release: func() {
 			delete(b.yields, number)
 			b.clock.After(b.messageTime(n, d), func() {
-				d.allotter.Tell(b.clock.Now(), broker.Told{Instance: n.name(), Released: []uint64{number}})
+				d.allotter.ApplyReport(b.clock.Now(), broker.HoldReport{Instance: n.name(), Released: []uint64{number}})
 				d.serve()
 			})
 		},
@@ -172,7 +172,7 @@
 		return
 	}
 	b.seeking[key] = true
-	ask := broker.Ask{
+	ask := broker.PlaceRequest{
 		Want: itemWant(), Due: it.due.UnixMilli(), OnTimeIn: it.beginBy().Sub(b.clock.Now()), Lasts: usualItem,
 	}
 	b.ask(n, b.desks[name], ask, itemWait, func(s slot, ok bool) {
@@ -185,15 +185,15 @@
 }
 
 // enter puts an ask into the line for as long as it waits.
-func (d *desk) enter(ask broker.Ask, wait time.Duration, answer func(broker.Grant, bool)) {
-	w := d.allotter.Enter(d.clock.Now(), &ask)
+func (d *desk) enter(ask broker.PlaceRequest, wait time.Duration, answer func(broker.Grant, bool)) {
+	w := d.allotter.Enqueue(d.clock.Now(), &ask)
 	d.asked[w] = answer
 	d.serve()
 	d.clock.After(wait, func() {
 		if d.asked[w] == nil {
 			return
 		}
-		d.allotter.Withdraw(w)
+		d.allotter.Dequeue(w)
 		delete(d.asked, w)
 		answer(broker.Grant{}, false)
 	})
@@ -201,11 +201,11 @@
 
 // serve gives slots to those who wait.
 func (d *desk) serve() {
-	for _, a := range d.allotter.Allot(d.clock.Now()) {
+	for _, a := range d.allotter.Allocate(d.clock.Now()) {
 		answer := d.asked[a.Waiter]
 		delete(d.asked, a.Waiter)
 		answer(a.Grant, true)
-		if a.Yields {
+		if a.MustYield {
 			d.clock.After(d.yieldTime(), func() {
 				if yield := d.yields[a.Yield.Number]; yield != nil {
 					yield()
--- a/internal/policybench/slots/counted.go
+++ b/internal/policybench/slots/counted.go
@@ -45,7 +45,7 @@
 
 func (c *counted) tell() {
 	for i, from := range c.cores {
-		held := from.Held()
+		held := from.InFlight()
 		c.clock.After(farHop, func() {
 			for j, to := range c.cores {
 				if i != j {
@@ -64,7 +64,7 @@
 	choice, ok := c.cores[n.number].Pick(c.clock.Now(), onlineWant())
 	switch {
 	case ok:
-		if choice.Crowded {
+		if choice.MustPreempt {
 			c.takeBack(n, choice.ID)
 		}
 		granted(c.slot(n, choice), true)
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -31,11 +31,11 @@
 		return
 	}
 	sink := &sink{w: v.w, control: http.NewResponseController(v.w)}
-	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.Job{
+	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.RoutedRequest{
 		Request: &v.request, Route: v.route, Service: service, Organisation: organisation,
-		Began: v.began, Deadline: v.began.Add(v.patience()),
+		ReceivedAt: v.began, Deadline: v.began.Add(v.patience()),
 	}, sink)
-	if outcome.Runs == 0 {
+	if outcome.PossibleRuns == 0 {
 		v.opts.Quota.GiveBack(organisation)
 	}
 	v.end(&outcome)
@@ -57,28 +57,28 @@
 // end tells the caller how its request ended, unless its answer told it.
 func (v *visit) end(o *relay.Outcome) {
 	if o.Attempts > 0 {
-		waited.Update(o.Waited.Seconds())
+		waited.Update(o.PlacementTime.Seconds())
 	}
-	if o.Begun() {
-		firstByte.Update(o.FirstByte.Seconds())
+	if o.AnswerStarted() {
+		firstByte.Update(o.TimeToFirstByte.Seconds())
 	}
 	outcome := "refused"
 	switch {
-	case o.Finished():
+	case o.Completed():
 		outcome = "answered"
-	case o.Begun():
+	case o.AnswerStarted():
 		outcome = "cut_off"
-	case o.Reason == relay.CallerLeft:
+	case o.Reason == relay.CallerDisconnected:
 		outcome = "caller_left"
-	case o.Runs > 0:
+	case o.PossibleRuns > 0:
 		outcome = "failed"
 	}
-	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.Runs,
-		"waited_ms", o.Waited.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
-		"first_byte_ms", o.FirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
+	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
+		"waited_ms", o.PlacementTime.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
+		"first_byte_ms", o.TimeToFirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
-	case o.Finished():
-	case o.Begun(), o.Reason == relay.CallerLeft:
+	case o.Completed():
+	case o.AnswerStarted(), o.Reason == relay.CallerDisconnected:
 		// An answer that ends early must not look whole.
 		panic(http.ErrAbortHandler)
 	default:
@@ -95,8 +95,8 @@
 	control *http.ResponseController
 }
 
-// Begin implements relay.Sink.
-func (s *sink) Begin(reply *exchange.Reply) {
+// SendHead implements relay.Sink.
+func (s *sink) SendHead(reply *exchange.Reply) {
 	header := s.w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
@@ -108,8 +108,8 @@
 	s.w.WriteHeader(reply.Status)
 }
 
-// Pass implements relay.Sink.
-func (s *sink) Pass(part []byte) error {
+// SendBody implements relay.Sink.
+func (s *sink) SendBody(part []byte) error {
 	if err := s.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("write deadline: %w", err)
 	}
