--- a/internal/coordination/batch/keeper.go
+++ b/internal/coordination/batch/keeper.go
@@ -12,21 +12,21 @@
 	"merlintiller/internal/state/replica"
 )
 
-// Keeper is the duty that ends jobs at their deadline and drops those whose
+// JobReaper is the duty that ends jobs at their deadline and drops those whose
 // results are past their readable time.
-type Keeper struct {
+type JobReaper struct {
 	journal coordination.Journal
 	opts    Options
 	logger  log.Logger
 }
 
 // NewKeeper returns a Keeper.
-func NewKeeper(journal coordination.Journal, opts Options, logger log.Logger) *Keeper {
-	return &Keeper{journal: journal, opts: opts.withDefaults(), logger: logger}
+func NewKeeper(journal coordination.Journal, opts Options, logger log.Logger) *JobReaper {
+	return &JobReaper{journal: journal, opts: opts.withDefaults(), logger: logger}
 }
 
 // String names the duty.
-func (k *Keeper) String() string { return "batch keeper" }
+func (k *JobReaper) String() string { return "batch keeper" }
 
 // rankDelay is how long each instance leaves a duty to the one before it.
 const rankDelay = 10 * time.Second
@@ -40,7 +40,7 @@
 const forgetEvery = time.Minute
 
 // Serve passes over the jobs until ctx ends.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *JobReaper) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(k.opts.KeepEvery)
 	defer ticker.Stop()
 	forget := time.NewTicker(forgetEvery)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (k *Keeper) pass(ctx context.Context, list func(*ledger.Ledger) []ledger.JobView) {
+func (k *JobReaper) pass(ctx context.Context, list func(*ledger.Ledger) []ledger.JobView) {
 	session := k.journal.Session()
 	if session == 0 || !k.journal.LogUp() {
 		return
@@ -83,14 +83,14 @@
 }
 
 // dueAt is when something must be done about a job.
-func (k *Keeper) dueAt(job ledger.JobView) time.Time {
+func (k *JobReaper) dueAt(job ledger.JobView) time.Time {
 	if job.Status == ledger.InProgress {
 		return job.Deadline.Add(expireGrace)
 	}
 	return readableUntil(job, k.opts.ResultsReadable)
 }
 
-func (k *Keeper) end(ctx context.Context, job ledger.JobView) {
+func (k *JobReaper) end(ctx context.Context, job ledger.JobView) {
 	record := protocol.Record{JobForget: &protocol.JobForget{Job: job.ID}}
 	event := "job_forgotten"
 	if job.Status == ledger.InProgress {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -15,7 +15,7 @@
 type batchWork struct {
 	service  *batch.Service
 	executor *batch.Executor
-	keeper   *batch.Keeper
+	keeper   *batch.JobReaper
 	carrier  *batch.Carrier
 	once     *oncecall.Caller
 	notices  *batch.CancelNotices
