--- a/internal/coordination/batch/keeper.go
+++ b/internal/coordination/batch/keeper.go
@@ -20,8 +20,8 @@
 	logger  log.Logger
 }
 
-// NewKeeper returns a Keeper.
-func NewKeeper(journal coordination.Journal, opts Options, logger log.Logger) *JobReaper {
+// NewJobReaper returns a Keeper.
+func NewJobReaper(journal coordination.Journal, opts Options, logger log.Logger) *JobReaper {
 	return &JobReaper{journal: journal, opts: opts.withDefaults(), logger: logger}
 }
 
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -216,7 +216,7 @@
 	n.carrier = batch.NewCarrier(n.seen, w.opts, logger)
 	w.nodes = append(w.nodes, n)
 	duties := append(n.Services(), n.executor.Services()...)
-	duties = append(duties, batch.NewKeeper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Forgetter())
+	duties = append(duties, batch.NewJobReaper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Forgetter())
 	for _, duty := range duties {
 		n.done.Go(func() { _ = duty.Serve(n.ctx) })
 	}
