--- a/internal/coordination/batch/carry.go
+++ b/internal/coordination/batch/carry.go
@@ -19,12 +19,12 @@
 	"merlintiller/internal/wait"
 )
 
-// Carrier is the duty that appends live data anew before the platform drops
+// DataRefresher is the duty that appends live data anew before the platform drops
 // it. Without it, a job or result older than the retention time would vanish;
 // one would notice by chunk_input_lost in the logs and by refusals with code
 // gone when results are read. Carrying at a fraction of the retention time
 // leaves the rest for an outage.
-type Carrier struct {
+type DataRefresher struct {
 	journal coordination.Journal
 	opts    Options
 	logger  log.Logger
@@ -36,8 +36,8 @@
 const carryPace = 5
 
 // NewCarrier returns a Carrier.
-func NewCarrier(journal coordination.Journal, opts Options, logger log.Logger) *Carrier {
-	return &Carrier{
+func NewCarrier(journal coordination.Journal, opts Options, logger log.Logger) *DataRefresher {
+	return &DataRefresher{
 		journal: journal,
 		opts:    opts.withDefaults(),
 		logger:  logger,
@@ -46,10 +46,10 @@
 }
 
 // String names the duty.
-func (c *Carrier) String() string { return "batch carrier" }
+func (c *DataRefresher) String() string { return "batch carrier" }
 
 // Serve looks for old data until ctx ends.
-func (c *Carrier) Serve(ctx context.Context) error {
+func (c *DataRefresher) Serve(ctx context.Context) error {
 	return wait.Every(ctx, c.opts.CarryEvery, func() {
 		if err := c.pass(ctx); err != nil {
 			_ = c.logger.Log("event", "carry_stopped", "err", err)
@@ -57,7 +57,7 @@
 	})
 }
 
-func (c *Carrier) pass(ctx context.Context) error {
+func (c *DataRefresher) pass(ctx context.Context) error {
 	session := c.journal.Session()
 	if session == 0 || !c.journal.LogUp() {
 		return nil
@@ -80,7 +80,7 @@
 
 // ownJobs lists the jobs whose data this session carries, and the position
 // after the newest entry that they use.
-func (c *Carrier) ownJobs(session protocol.SessionID) (jobs []protocol.JobID, end protocol.Offset) {
+func (c *DataRefresher) ownJobs(session protocol.SessionID) (jobs []protocol.JobID, end protocol.Offset) {
 	c.journal.View(func(state *replica.State) {
 		open := openIDs(state)
 		for _, job := range state.Ledger.All() {
@@ -100,7 +100,7 @@
 
 // firstSince finds the first entry of DataStream written since a time, by
 // bisection: the log knows no times, so the entries carry them.
-func (c *Carrier) firstSince(ctx context.Context, since time.Time, end protocol.Offset) (protocol.Offset, error) {
+func (c *DataRefresher) firstSince(ctx context.Context, since time.Time, end protocol.Offset) (protocol.Offset, error) {
 	low, high := protocol.Offset(0), end
 	for low < high {
 		middle := low + (high-low)/2
@@ -119,7 +119,7 @@
 
 // olderThan says whether an entry was written before a time. An entry that has
 // gone is old, and so is one that can't be read: carrying too much is harmless.
-func (c *Carrier) olderThan(ctx context.Context, at protocol.Offset, since time.Time) (bool, error) {
+func (c *DataRefresher) olderThan(ctx context.Context, at protocol.Offset, since time.Time) (bool, error) {
 	entry, err := newEntryReader(c.journal).read(ctx, at)
 	if isLost(err) {
 		return true, nil
@@ -130,7 +130,7 @@
 	return entry.At < since.Unix(), nil
 }
 
-func (c *Carrier) carryJob(ctx context.Context, job protocol.JobID, cut protocol.Offset) error {
+func (c *DataRefresher) carryJob(ctx context.Context, job protocol.JobID, cut protocol.Offset) error {
 	chunksAt := map[protocol.Offset][]ledger.ChunkID{}
 	var order []protocol.Offset
 	c.journal.View(func(state *replica.State) {
@@ -157,7 +157,7 @@
 
 // move appends an entry anew and points its chunks to it. A crash in between
 // leaves an unused copy.
-func (c *Carrier) move(ctx context.Context, from protocol.Offset, chunks []ledger.ChunkID) error {
+func (c *DataRefresher) move(ctx context.Context, from protocol.Offset, chunks []ledger.ChunkID) error {
 	if err := c.pace.Wait(ctx); err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -178,7 +178,7 @@
 	service  *batch.Service
 	executor *batch.Executor
 	caller   online.OnceCaller
-	carrier  *batch.Carrier
+	carrier  *batch.DataRefresher
 	slots    *slots
 	// delivering marks reads of results for a caller.
 	delivering atomic.Bool
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -16,7 +16,7 @@
 	service  *batch.Service
 	executor *batch.Executor
 	keeper   *batch.JobReaper
-	carrier  *batch.Carrier
+	carrier  *batch.DataRefresher
 	once     *oncecall.Caller
 	notices  *batch.CancelNotices
 }
