--- a/internal/coordination/batch/carry.go
+++ b/internal/coordination/batch/carry.go
@@ -35,8 +35,8 @@
 // second: a small part of the several hundred that the log takes.
 const carryPace = 5
 
-// NewCarrier returns a Carrier.
-func NewCarrier(journal coordination.Journal, opts Options, logger log.Logger) *DataRefresher {
+// NewDataRefresher returns a Carrier.
+func NewDataRefresher(journal coordination.Journal, opts Options, logger log.Logger) *DataRefresher {
 	return &DataRefresher{
 		journal: journal,
 		opts:    opts.withDefaults(),
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -213,7 +213,7 @@
 	if w.variant.caller != nil {
 		n.caller = w.variant.caller(calls)
 	}
-	n.carrier = batch.NewCarrier(n.seen, w.opts, logger)
+	n.carrier = batch.NewDataRefresher(n.seen, w.opts, logger)
 	w.nodes = append(w.nodes, n)
 	duties := append(n.Services(), n.executor.Services()...)
 	duties = append(duties, batch.NewJobReaper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Forgetter())
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -39,7 +39,7 @@
 		service:  batch.NewService(j, opts, d.logger),
 		executor: batch.NewExecutor("batch.results", j, d.fleet.headroom, runner, opts, d.logger),
 		keeper:   batch.NewJobReaper(j, opts, d.logger),
-		carrier:  batch.NewCarrier(j, opts, d.logger),
+		carrier:  batch.NewDataRefresher(j, opts, d.logger),
 		once: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
 			Remember:       d.settings.Calls.Remember,
