--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -66,27 +66,27 @@
 	}
 }
 
-// CancelNotices is the duty that tells other instances of cancels that were
+// CancelNotifier is the duty that tells other instances of cancels that were
 // accepted here.
-type CancelNotices struct {
+type CancelNotifier struct {
 	peers   coordination.Peers
 	timeout time.Duration
 	waiting *ring.Ring[protocol.JobID]
 }
 
 // NewCancelNotices returns the duty. name publishes its ring in expvar.
-func NewCancelNotices(name string, peers coordination.Peers, timeout time.Duration) *CancelNotices {
-	return &CancelNotices{peers: peers, timeout: timeout, waiting: ring.New[protocol.JobID](name, noticeCapacity)}
+func NewCancelNotices(name string, peers coordination.Peers, timeout time.Duration) *CancelNotifier {
+	return &CancelNotifier{peers: peers, timeout: timeout, waiting: ring.New[protocol.JobID](name, noticeCapacity)}
 }
 
 // Tell queues a notice.
-func (n *CancelNotices) Tell(job protocol.JobID) { n.waiting.Offer(job) }
+func (n *CancelNotifier) Tell(job protocol.JobID) { n.waiting.Offer(job) }
 
 // String names the duty.
-func (n *CancelNotices) String() string { return "batch cancel notices" }
+func (n *CancelNotifier) String() string { return "batch cancel notices" }
 
 // Serve tells of cancels until ctx ends.
-func (n *CancelNotices) Serve(ctx context.Context) error {
+func (n *CancelNotifier) Serve(ctx context.Context) error {
 	for {
 		job, err := n.waiting.Take(ctx)
 		if err != nil {
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -18,7 +18,7 @@
 	keeper   *batch.JobReaper
 	carrier  *batch.DataRefresher
 	once     *oncecall.Caller
-	notices  *batch.CancelNotices
+	notices  *batch.CancelNotifier
 }
 
 func (b *batchWork) services() []suture.Service {
