--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -74,8 +74,8 @@
 	waiting *ring.Ring[protocol.JobID]
 }
 
-// NewCancelNotices returns the duty. name publishes its ring in expvar.
-func NewCancelNotices(name string, peers coordination.Peers, timeout time.Duration) *CancelNotifier {
+// NewCancelNotifier returns the duty. name publishes its ring in expvar.
+func NewCancelNotifier(name string, peers coordination.Peers, timeout time.Duration) *CancelNotifier {
 	return &CancelNotifier{peers: peers, timeout: timeout, waiting: ring.New[protocol.JobID](name, noticeCapacity)}
 }
 
--- a/internal/coordination/batch/cancelnotice_test.go
+++ b/internal/coordination/batch/cancelnotice_test.go
@@ -74,7 +74,7 @@
 func TestCancelNoticeReachesTheOtherInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &onePeer{receiver: &Receiver{Executor: NewExecutor("", nil, nil, nil, Options{}, log.NewNopLogger())}, heard: make(chan protocol.JobID, 1)}
-		notices := NewCancelNotices("", peer, time.Second)
+		notices := NewCancelNotifier("", peer, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = notices.Serve(ctx) }()
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -44,7 +44,7 @@
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
 			Remember:       d.settings.Calls.Remember,
 		}, d.logger),
-		notices: batch.NewCancelNotices("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
+		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
 	d.batch.service.Cancelled = d.batch.notices.Tell
 }
