--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -79,8 +79,8 @@
 	return &CancelNotifier{peers: peers, timeout: timeout, waiting: ring.New[protocol.JobID](name, noticeCapacity)}
 }
 
-// Tell queues a notice.
-func (n *CancelNotifier) Tell(job protocol.JobID) { n.waiting.Offer(job) }
+// Notify queues a notice.
+func (n *CancelNotifier) Notify(job protocol.JobID) { n.waiting.Offer(job) }
 
 // String names the duty.
 func (n *CancelNotifier) String() string { return "batch cancel notices" }
--- a/internal/coordination/batch/cancelnotice_test.go
+++ b/internal/coordination/batch/cancelnotice_test.go
@@ -78,7 +78,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = notices.Serve(ctx) }()
-		notices.Tell("j")
+		notices.Notify("j")
 		require.Equal(t, protocol.JobID("j"), <-peer.heard)
 	})
 }
