--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -292,8 +292,8 @@
 	if outcome.Verdict != protocol.Accepted && outcome.Verdict != protocol.AlreadyEnded {
 		return Job{}, protocol.Refuse(protocol.CodeInternal, s.opts.RetryAfter, "the cancel was not accepted: %s", outcome.Verdict)
 	}
-	if s.Cancelled != nil {
-		s.Cancelled(id)
+	if s.OnCancel != nil {
+		s.OnCancel(id)
 	}
 	return s.GetBatch(ctx, org, id)
 }
--- a/internal/coordination/batch/service.go
+++ b/internal/coordination/batch/service.go
@@ -21,9 +21,9 @@
 	journal coordination.Journal
 	opts    Options
 	logger  log.Logger
-	// Cancelled is told of each cancel that replay accepted. May be nil; it
+	// OnCancel is told of each cancel that replay accepted. May be nil; it
 	// must not block.
-	Cancelled func(protocol.JobID)
+	OnCancel func(protocol.JobID)
 }
 
 // NewService returns a Service over an instance's journal.
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -202,7 +202,7 @@
 	}
 	logger := log.NewNopLogger()
 	n.service = batch.NewService(n.seen, w.opts, logger)
-	n.service.Cancelled = func(job protocol.JobID) { w.tell(n, job) }
+	n.service.OnCancel = func(job protocol.JobID) { w.tell(n, job) }
 	executing := n.seen
 	if w.variant.executor != nil {
 		executing = w.variant.executor(n.seen)
--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -46,5 +46,5 @@
 		}, d.logger),
 		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
-	d.batch.service.Cancelled = d.batch.notices.Notify
+	d.batch.service.OnCancel = d.batch.notices.Notify
 }
