--- a/internal/coordination/batch/carry.go
+++ b/internal/coordination/batch/carry.go
@@ -66,7 +66,7 @@
 	if len(jobs) == 0 {
 		return nil
 	}
-	cut, err := c.firstSince(ctx, time.Now().Add(-c.opts.CarryAge), newest)
+	cut, err := c.firstSince(ctx, time.Now().Add(-c.opts.RefreshAge), newest)
 	if err != nil {
 		return trace.Wrap(err)
 	}
--- a/internal/coordination/batch/options.go
+++ b/internal/coordination/batch/options.go
@@ -101,9 +101,9 @@
 
 	// KeepEvery is the time between two passes of the Keeper. Default 1 s.
 	KeepEvery time.Duration
-	// CarryAge is the age at which live data is appended anew. Default 24 h.
+	// RefreshAge is the age at which live data is appended anew. Default 24 h.
 	// A quarter of the retention time or less leaves room for an outage.
-	CarryAge time.Duration
+	RefreshAge time.Duration
 	// CarryEvery is the time between two looks for old data. Default 10 min.
 	CarryEvery time.Duration
 }
@@ -138,7 +138,7 @@
 	defaults.Set(&o.DeadlineMargin, 30*time.Second)
 	defaults.Set(&o.DrainTimeout, 30*time.Second)
 	defaults.Set(&o.KeepEvery, time.Second)
-	defaults.Set(&o.CarryAge, 24*time.Hour)
+	defaults.Set(&o.RefreshAge, 24*time.Hour)
 	defaults.Set(&o.CarryEvery, 10*time.Minute)
 	o.MaxLineBytes = min(o.MaxLineBytes, bulk.MaxPayload/2)
 	o.MaxResultBytes = min(o.MaxResultBytes, bulk.MaxPayload/2)
--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -148,7 +148,7 @@
 			w.places = 2
 			w.targets.itemTime = 10 * time.Second
 			w.opts.FlushAfter = time.Minute
-			w.opts.CarryAge = 5 * time.Minute
+			w.opts.RefreshAge = 5 * time.Minute
 			w.opts.CarryEvery = time.Minute
 		})
 		<-time.After(90 * time.Minute)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -55,7 +55,7 @@
 		BackoffMax:      s.Batch.LongestBackoff,
 		FlushAfter:      s.Batch.ResultFlush,
 		BufferBytes:     s.Batch.ResultBufferBytes,
-		CarryAge:        s.Batch.CarryAge,
+		RefreshAge:        s.Batch.CarryAge,
 	}
 }
 
