--- a/internal/coordination/batch/carry.go
+++ b/internal/coordination/batch/carry.go
@@ -50,7 +50,7 @@
 
 // Serve looks for old data until ctx ends.
 func (c *DataRefresher) Serve(ctx context.Context) error {
-	return wait.Every(ctx, c.opts.CarryEvery, func() {
+	return wait.Every(ctx, c.opts.RefreshInterval, func() {
 		if err := c.pass(ctx); err != nil {
 			_ = c.logger.Log("event", "carry_stopped", "err", err)
 		}
--- a/internal/coordination/batch/options.go
+++ b/internal/coordination/batch/options.go
@@ -104,8 +104,8 @@
 	// RefreshAge is the age at which live data is appended anew. Default 24 h.
 	// A quarter of the retention time or less leaves room for an outage.
 	RefreshAge time.Duration
-	// CarryEvery is the time between two looks for old data. Default 10 min.
-	CarryEvery time.Duration
+	// RefreshInterval is the time between two looks for old data. Default 10 min.
+	RefreshInterval time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -139,7 +139,7 @@
 	defaults.Set(&o.DrainTimeout, 30*time.Second)
 	defaults.Set(&o.KeepEvery, time.Second)
 	defaults.Set(&o.RefreshAge, 24*time.Hour)
-	defaults.Set(&o.CarryEvery, 10*time.Minute)
+	defaults.Set(&o.RefreshInterval, 10*time.Minute)
 	o.MaxLineBytes = min(o.MaxLineBytes, bulk.MaxPayload/2)
 	o.MaxResultBytes = min(o.MaxResultBytes, bulk.MaxPayload/2)
 	return o
--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -149,7 +149,7 @@
 			w.targets.itemTime = 10 * time.Second
 			w.opts.FlushAfter = time.Minute
 			w.opts.RefreshAge = 5 * time.Minute
-			w.opts.CarryEvery = time.Minute
+			w.opts.RefreshInterval = time.Minute
 		})
 		<-time.After(90 * time.Minute)
 		good, _, _ := w.requireEnd(c, job.ID, time.Minute, 600)
