--- a/internal/coordination/batch/files.go
+++ b/internal/coordination/batch/files.go
@@ -127,7 +127,7 @@
 		Bytes:   file.Bytes,
 		Purpose: PurposeBatch,
 		Created: file.Created,
-		Expires: file.Created.Add(s.opts.FileKept),
+		Expires: file.Created.Add(s.opts.FileTTL),
 	}
 }
 
--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -96,8 +96,8 @@
 		return nil, protocol.Refuse(protocol.CodeNotFound, 0, "file %q has no content", req.InputFile)
 	}
 	now := time.Now().UTC().Truncate(time.Second)
-	if now.Sub(file.Created) > s.opts.FileKept {
-		return nil, protocol.Refuse(protocol.CodeGone, 0, "file %q was kept for %s only; upload it again", req.InputFile, s.opts.FileKept)
+	if now.Sub(file.Created) > s.opts.FileTTL {
+		return nil, protocol.Refuse(protocol.CodeGone, 0, "file %q was kept for %s only; upload it again", req.InputFile, s.opts.FileTTL)
 	}
 	if req.Endpoint != file.Endpoint {
 		return nil, badRequest("endpoint", "the lines of the file ask for %s", file.Endpoint)
--- a/internal/coordination/batch/options.go
+++ b/internal/coordination/batch/options.go
@@ -24,10 +24,10 @@
 	// MaxJobs bounds the jobs in progress of one organisation. Default 1,000:
 	// half of all jobs foreseen in a day.
 	MaxJobs int
-	// FileKept is how long after its upload a file can be used for a job.
+	// FileTTL is how long after its upload a file can be used for a job.
 	// Default 24 h. Retention must be longer by a margin, because an uploaded
 	// file is not carried forward until a job needs it.
-	FileKept time.Duration
+	FileTTL time.Duration
 	// MaxWindow bounds the completion window of a job. Default 7 days.
 	MaxWindow time.Duration
 	// ResultsReadable is how long results stay readable after a job ended.
@@ -114,7 +114,7 @@
 	defaults.Set(&o.MaxFileItems, 1_000_000)
 	defaults.Set(&o.MaxResultBytes, 512<<10)
 	defaults.Set(&o.MaxJobs, 1000)
-	defaults.Set(&o.FileKept, 24*time.Hour)
+	defaults.Set(&o.FileTTL, 24*time.Hour)
 	defaults.Set(&o.MaxWindow, 7*24*time.Hour)
 	defaults.Set(&o.ResultsReadable, 7*24*time.Hour)
 	defaults.Set(&o.SubmitTimeout, 10*time.Second)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -44,7 +44,7 @@
 		MaxFileBytes:    s.Limits.FileBytes,
 		MaxFileItems:    s.Batch.FileItems,
 		MaxResultBytes:  s.Batch.ResultBytes,
-		FileKept:        s.Batch.FileKept,
+		FileTTL:        s.Batch.FileKept,
 		MaxWindow:       s.Batch.LongestWindow,
 		ResultsReadable: s.Batch.ResultsReadable,
 		MaxHeldChunks:   s.Batch.HeldChunks,
