--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -184,7 +184,7 @@
 func (s *Service) job(view ledger.JobView) Job {
 	job := Job{JobView: view}
 	if view.Status != ledger.InProgress {
-		job.ResultsUntil = readableUntil(view, s.opts.ResultsReadable)
+		job.ResultsUntil = readableUntil(view, s.opts.ResultTTL)
 	}
 	return job
 }
--- a/internal/coordination/batch/keeper.go
+++ b/internal/coordination/batch/keeper.go
@@ -87,7 +87,7 @@
 	if job.Status == ledger.InProgress {
 		return job.Deadline.Add(expireGrace)
 	}
-	return readableUntil(job, k.opts.ResultsReadable)
+	return readableUntil(job, k.opts.ResultTTL)
 }
 
 func (k *JobReaper) end(ctx context.Context, job ledger.JobView) {
--- a/internal/coordination/batch/options.go
+++ b/internal/coordination/batch/options.go
@@ -30,9 +30,9 @@
 	FileTTL time.Duration
 	// MaxWindow bounds the completion window of a job. Default 7 days.
 	MaxWindow time.Duration
-	// ResultsReadable is how long results stay readable after a job ended.
+	// ResultTTL is how long results stay readable after a job ended.
 	// Default 7 days.
-	ResultsReadable time.Duration
+	ResultTTL time.Duration
 	// SubmitTimeout bounds the wait for a manifest to be read back. Default
 	// 10 s: a caller would rather resend than hang.
 	SubmitTimeout time.Duration
@@ -116,7 +116,7 @@
 	defaults.Set(&o.MaxJobs, 1000)
 	defaults.Set(&o.FileTTL, 24*time.Hour)
 	defaults.Set(&o.MaxWindow, 7*24*time.Hour)
-	defaults.Set(&o.ResultsReadable, 7*24*time.Hour)
+	defaults.Set(&o.ResultTTL, 7*24*time.Hour)
 	defaults.Set(&o.SubmitTimeout, 10*time.Second)
 	defaults.Set(&o.ReadLag, 300*time.Millisecond)
 	defaults.Set(&o.RetryAfter, 5*time.Second)
--- a/internal/coordination/batch/results.go
+++ b/internal/coordination/batch/results.go
@@ -28,7 +28,7 @@
 		Name:    string(id) + "_output.jsonl",
 		Purpose: PurposeOutput,
 		Created: time.Unix(view.EndedAt, 0).UTC(),
-		Expires: readableUntil(view, s.opts.ResultsReadable),
+		Expires: readableUntil(view, s.opts.ResultTTL),
 	}
 	if failed {
 		file.ID = ErrorFileID(id)
--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -162,7 +162,7 @@
 // memory with it.
 func TestJobIsForgottenAfterItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, c, job := submitted(t, 2, 10, "1h", func(w *world) { w.opts.ResultsReadable = time.Minute })
+		w, c, job := submitted(t, 2, 10, "1h", func(w *world) { w.opts.ResultTTL = time.Minute })
 		w.requireEnd(c, job.ID, time.Minute, 10)
 		got, refusal := w.nodes[1].service.GetBatch(w.ctx, cascadia, job.ID)
 		require.Nil(t, refusal)
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -46,7 +46,7 @@
 		MaxResultBytes:  s.Batch.ResultBytes,
 		FileTTL:        s.Batch.FileKept,
 		MaxWindow:       s.Batch.LongestWindow,
-		ResultsReadable: s.Batch.ResultsReadable,
+		ResultTTL: s.Batch.ResultsReadable,
 		MaxHeldChunks:   s.Batch.HeldChunks,
 		MaxInFlight:     s.Batch.InFlight,
 		UrgentLaxity:    s.Batch.UrgentLaxity,
