--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -32,8 +32,8 @@
 // Job is a job as callers see it.
 type Job struct {
 	ledger.JobView
-	// ResultsUntil is when the results may be gone; zero while in progress.
-	ResultsUntil time.Time
+	// ResultsExpireAt is when the results may be gone; zero while in progress.
+	ResultsExpireAt time.Time
 }
 
 // CreateBatch submits a job. It is acknowledged once its manifest is read back
@@ -184,7 +184,7 @@
 func (s *Service) job(view ledger.JobView) Job {
 	job := Job{JobView: view}
 	if view.Status != ledger.InProgress {
-		job.ResultsUntil = readableUntil(view, s.opts.ResultTTL)
+		job.ResultsExpireAt = readableUntil(view, s.opts.ResultTTL)
 	}
 	return job
 }
--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -166,7 +166,7 @@
 		w.requireEnd(c, job.ID, time.Minute, 10)
 		got, refusal := w.nodes[1].service.GetBatch(w.ctx, cascadia, job.ID)
 		require.Nil(t, refusal)
-		require.Equal(t, time.Unix(got.EndedAt, 0).UTC().Add(time.Minute), got.ResultsUntil)
+		require.Equal(t, time.Unix(got.EndedAt, 0).UTC().Add(time.Minute), got.ResultsExpireAt)
 		<-time.After(2 * time.Minute)
 		_, refusal = w.nodes[1].service.GetBatch(w.ctx, cascadia, job.ID)
 		require.Equal(t, protocol.CodeNotFound, refusal.Code)
--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -49,7 +49,7 @@
 		CreatedAt:        unix(job.Created),
 		InProgressAt:     unix(job.Created),
 		ExpiresAt:        unix(job.Deadline),
-		ResultsUntil:     unix(job.ResultsUntil),
+		ResultsUntil:     unix(job.ResultsExpireAt),
 		RequestCounts:    requestCounts{Total: job.Total, Completed: job.Completed, Failed: job.Failed},
 		Metadata:         job.Metadata,
 	}
