--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -14,8 +14,8 @@
 type JobRequest struct {
 	InputFile string
 	Endpoint  string
-	// Window is the completion window, such as "24h" or "90m".
-	Window   string
+	// CompletionWindow is the completion window, such as "24h" or "90m".
+	CompletionWindow   string
 	Metadata map[string]string
 }
 
@@ -135,7 +135,7 @@
 }
 
 func (s *Service) checkRequest(req JobRequest, key string) (time.Duration, *protocol.Refusal) {
-	window, err := time.ParseDuration(req.Window)
+	window, err := time.ParseDuration(req.CompletionWindow)
 	if err != nil || window <= 0 || window > s.opts.MaxWindow {
 		return 0, badRequest("completion_window", "must be a duration up to %s, such as 24h", s.opts.MaxWindow)
 	}
--- a/internal/coordination/faulttest/client_test.go
+++ b/internal/coordination/faulttest/client_test.go
@@ -108,7 +108,7 @@
 		request := batch.JobRequest{
 			InputFile: file.ID,
 			Endpoint:  path,
-			Window:    window,
+			CompletionWindow:    window,
 			Metadata:  map[string]string{"try": fmt.Sprint(try)},
 		}
 		answer, ok := ask(n, func(ctx context.Context) jobAnswer {
--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -285,7 +285,7 @@
 		long := strings.ReplaceAll(string(input(60)), "}]}}", "}]"+padding)
 		file, refusal := w.nodes[0].service.UploadFile(w.ctx, cascadia, "long", strings.NewReader(long))
 		require.Nil(t, refusal)
-		job, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, batch.JobRequest{InputFile: file.ID, Endpoint: path, Window: "1h"}, "long")
+		job, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, batch.JobRequest{InputFile: file.ID, Endpoint: path, CompletionWindow: "1h"}, "long")
 		require.Nil(t, refusal)
 		most := 0
 		for !w.ended(job.ID) {
--- a/internal/coordination/faulttest/service_test.go
+++ b/internal/coordination/faulttest/service_test.go
@@ -32,7 +32,7 @@
 			require.Equal(t, protocol.CodeNotFound, refusal.Code, id)
 			require.Empty(t, out.String())
 		}
-		_, refusal = service.CreateBatch(w.ctx, "dobrescu", batch.JobRequest{InputFile: job.InputFile, Endpoint: path, Window: "1h"}, "")
+		_, refusal = service.CreateBatch(w.ctx, "dobrescu", batch.JobRequest{InputFile: job.InputFile, Endpoint: path, CompletionWindow: "1h"}, "")
 		require.Equal(t, protocol.CodeNotFound, refusal.Code)
 	})
 }
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, c, first := submitted(t, 1, 10, "1h", func(*world) {})
 		other := c.upload(w.nodes[0], 11)
-		request := batch.JobRequest{InputFile: other.ID, Endpoint: path, Window: "1h"}
+		request := batch.JobRequest{InputFile: other.ID, Endpoint: path, CompletionWindow: "1h"}
 		_, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, request, "key")
 		require.Equal(t, protocol.CodeConflict, refusal.Code)
 		// The same input uploaded anew is a resend.
@@ -92,7 +92,7 @@
 			w.opts.MaxJobs = 2
 			w.targets.itemTime = time.Hour
 		})
-		request := batch.JobRequest{InputFile: c.upload(w.nodes[0], 11).ID, Endpoint: path, Window: "1h"}
+		request := batch.JobRequest{InputFile: c.upload(w.nodes[0], 11).ID, Endpoint: path, CompletionWindow: "1h"}
 		second, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, request, "2")
 		require.Nil(t, refusal)
 		_, refusal = w.nodes[0].service.CreateBatch(w.ctx, cascadia, request, "3")
--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -107,7 +107,7 @@
 	request := batch.JobRequest{
 		InputFile: body.InputFileID,
 		Endpoint:  body.Endpoint,
-		Window:    body.CompletionWindow,
+		CompletionWindow:    body.CompletionWindow,
 		Metadata:  body.Metadata,
 	}
 	job, refusal := a.service.CreateBatch(r.Context(), a.organisation(r), request, r.Header.Get(idempotencyHeader))
