--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -233,7 +233,7 @@
 // JobPage is a part of the list of an organisation's jobs, newest first.
 type JobPage struct {
 	Jobs []Job
-	More bool
+	HasMore bool
 }
 
 // Bounds of a page.
@@ -260,7 +260,7 @@
 		}
 	}
 	end := min(len(views), start+limit)
-	page := JobPage{More: end < len(views)}
+	page := JobPage{HasMore: end < len(views)}
 	for _, view := range views[start:end] {
 		page.Jobs = append(page.Jobs, s.job(view))
 	}
--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -161,7 +161,7 @@
 }
 
 func newBatchList(page batch.JobPage) batchList {
-	list := batchList{Object: "list", Data: make([]batchObject, 0, len(page.Jobs)), HasMore: page.More}
+	list := batchList{Object: "list", Data: make([]batchObject, 0, len(page.Jobs)), HasMore: page.HasMore}
 	for _, job := range page.Jobs {
 		list.Data = append(list.Data, newBatchObject(job))
 	}
