--- a/internal/coordination/bulk/bulk.go
+++ b/internal/coordination/bulk/bulk.go
@@ -1,9 +1,9 @@
-// Package bulk holds the form of the entries of DataStream: batch input, batch
+// Package bulk defines the format of the entries of DataStream: batch input, batch
 // results, descriptions of uploaded files and stored answers.
 //
-// Control records point at these entries by offset. An entry that no record
-// points at, left behind by a lost answer or a refused upload, has no effect
-// and goes away with retention.
+// Control records refer to these entries by offset. A lost answer or a rejected
+// upload may leave an entry to which no record refers. Such an entry has no effect
+// and is removed by retention.
 package bulk
 
 import (
@@ -13,14 +13,14 @@
 	"merlintiller/internal/protocol"
 )
 
-// MaxPayload is the room for content in one entry; the rest of MaxEntryBytes
-// is left to the encoding.
+// MaxPayload is the maximum size of the content of one entry in bytes. The rest of
+// MaxEntryBytes is reserved for the encoding.
 const MaxPayload = protocol.MaxEntryBytes - 64<<10
 
 // Entry is one entry of DataStream. Exactly one field besides At is set.
 type Entry struct {
-	// At is the writer's wall clock in Unix seconds. The log gives no times, so
-	// this is how a reader finds what will leave retention soon.
+	// At is the wall-clock time of the writer in Unix seconds. The log stores no
+	// times, so readers use it to find entries that retention will remove soon.
 	At      int64     `cbor:"1,keyasint"`
 	Items   []Item    `cbor:"2,keyasint,omitempty"`
 	Results []Section `cbor:"3,keyasint,omitempty"`
@@ -33,12 +33,12 @@
 	_        struct{} `cbor:",toarray"`
 	CustomID string
 	Model    protocol.ModelName
-	// Body is the request's JSON as it came.
+	// Body is the JSON of the request as uploaded.
 	Body []byte
 }
 
-// Section holds results of some items of one chunk. Several chunks share an
-// entry, which saves appends.
+// Section contains results of items of one chunk. An entry may have sections of
+// several chunks, which saves appends.
 type Section struct {
 	Job     protocol.JobID `cbor:"1,keyasint"`
 	Chunk   int            `cbor:"2,keyasint"`
@@ -51,17 +51,18 @@
 	// Item is the number of the item in its chunk.
 	Item     int
 	CustomID string
-	// Status is the target's HTTP status, 0 if no answer came.
+	// Status is the HTTP status of the target's response, 0 if there was none.
 	Status int
-	// RequestID is the id of the call that gave the answer.
+	// RequestID is the id of the call that produced the answer.
 	RequestID string
 	Body      []byte
-	// Code and Message say why the item failed; both empty if it did not.
+	// Code and Message describe the failure of the item. Both are empty if the item
+	// did not fail.
 	Code    protocol.Code
 	Message string
 }
 
-// Failed says that the item ended as a failed result.
+// Failed reports whether the item failed.
 func (r *Result) Failed() bool { return r.Code != "" }
 
 // File describes an uploaded file.
@@ -70,24 +71,24 @@
 	Name         string                  `cbor:"2,keyasint"`
 	Bytes        int64                   `cbor:"3,keyasint"`
 	Items        int                     `cbor:"4,keyasint"`
-	// Hash is the xxhash of the file's bytes.
+	// Hash is the xxhash of the content of the file.
 	Hash     uint64              `cbor:"5,keyasint"`
 	Endpoint string              `cbor:"6,keyasint"`
 	Chunks   []protocol.ChunkRef `cbor:"7,keyasint"`
-	// Models are the models that the items ask for.
+	// Models are the models that the items use.
 	Models  []protocol.ModelName `cbor:"8,keyasint"`
 	Created time.Time            `cbor:"9,keyasint"`
 }
 
-// Answer is the stored answer of a call that may not be repeated.
+// Answer is the stored answer of a call that is not idempotent.
 type Answer struct {
 	Status int                 `cbor:"1,keyasint"`
 	Header map[string][]string `cbor:"2,keyasint,omitempty"`
 	Body   []byte              `cbor:"3,keyasint,omitempty"`
 }
 
-// Encode gives the payload of an entry. It fails with
-// protocol.ErrFrameTooLarge if the entry does not fit.
+// Encode encodes an entry. The error wraps protocol.ErrFrameTooLarge if the result
+// exceeds protocol.MaxEntryBytes.
 func Encode(entry Entry) ([]byte, error) {
 	data, err := protocol.Marshal(entry)
 	if err != nil {
@@ -99,11 +100,12 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote. Its error wraps protocol.ErrMalformed.
+// Decode decodes an entry encoded by Encode. The error wraps
+// protocol.ErrMalformed.
 func Decode(data []byte) (Entry, error) {
 	var entry Entry
 	if err := protocol.Unmarshal(data, &entry); err != nil {
-		return Entry{}, fmt.Errorf("data entry: %w", err)
+		return Entry{}, fmt.Errorf("decode data entry: %w", err)
 	}
 	return entry, nil
 }
--- a/internal/coordination/bulk/bulk_test.go
+++ b/internal/coordination/bulk/bulk_test.go
@@ -21,9 +21,9 @@
 	require.True(t, back.Results[0].Results[1].Failed())
 }
 
-// An entry that does not fit would be refused by the platform after the work
-// was done. It is refused before.
-func TestLargeEntryIsRefused(t *testing.T) {
+// The platform rejects an entry that is too large. Encode must report this before
+// the entry is appended.
+func TestLargeEntryIsRejected(t *testing.T) {
 	_, err := Encode(Entry{Answer: &Answer{Body: make([]byte, protocol.MaxEntryBytes)}})
 	require.ErrorIs(t, err, protocol.ErrFrameTooLarge)
 }
