--- a/internal/coordination/itemrun/doc.go
+++ b/internal/coordination/itemrun/doc.go
@@ -1,6 +1,7 @@
 // Package itemrun runs one batch item at a target.
 //
-// It always asks for a stream, although batch results are whole: what has come
-// when online traffic takes the place back is kept, and the next run resumes
-// there. Without that, each preemption would throw the tokens away.
+// It requests a stream for completions, although the result of a batch item is not
+// streamed. When online traffic preempts the item, the partial output is kept and
+// the next run resumes after it. Without a stream, each preemption would discard
+// the generated tokens.
 package itemrun
--- a/internal/coordination/itemrun/partial.go
+++ b/internal/coordination/itemrun/partial.go
@@ -9,24 +9,26 @@
 	"merlintiller/internal/protocol/sse"
 )
 
-// errNotResumed: a target started from the beginning although it was asked to
-// resume. Joining the two would repeat the beginning in the result.
-var errNotResumed = errors.New("the target did not resume where the stream broke off")
+// errNotResumed is returned if a target starts from the beginning although it was
+// asked to resume. Joining the two outputs would repeat the beginning in the
+// result.
+var errNotResumed = errors.New("the target did not resume at the requested position")
 
-// partial is the answer of an item so far.
-type partial struct {
-	// Position is how many events have come.
-	Position int             `cbor:"1,keyasint"`
-	ID       string          `cbor:"2,keyasint"`
-	Model    string          `cbor:"3,keyasint"`
-	Created  int64           `cbor:"4,keyasint"`
-	Text     []byte          `cbor:"5,keyasint"`
-	Finish   string          `cbor:"6,keyasint"`
-	Usage    json.RawMessage `cbor:"7,keyasint,omitempty"`
+// partialAnswer is the answer of an item as received so far.
+type partialAnswer struct {
+	// Position is the number of received events.
+	Position int `cbor:"1,keyasint"`
+	// The other fields contain the corresponding values of the answer.
+	ID      string          `cbor:"2,keyasint"`
+	Model   string          `cbor:"3,keyasint"`
+	Created int64           `cbor:"4,keyasint"`
+	Text    []byte          `cbor:"5,keyasint"`
+	Finish  string          `cbor:"6,keyasint"`
+	Usage   json.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// chunk is what a result takes from an event.
-type chunk struct {
+// completionEvent contains the fields of a stream event that a result needs.
+type completionEvent struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Created int64  `json:"created"`
@@ -42,7 +44,7 @@
 
 var dataField = []byte("data:")
 
-// payload is the data of an event, which OpenAI's streams put on one line.
+// payload returns the data of an event, which is on one line in OpenAI's streams.
 func payload(raw []byte) []byte {
 	for line := range bytes.Lines(raw) {
 		if rest, ok := bytes.CutPrefix(line, dataField); ok {
@@ -52,12 +54,14 @@
 	return nil
 }
 
-// add takes one event. A stream without positions counts its events.
-func (p *partial) add(event sse.Event, resumed bool) error {
+// addEvent appends one event. Events without a position are counted. resumed
+// reports whether this is the first event of a resumed stream, whose position must
+// follow the partial output.
+func (p *partialAnswer) addEvent(event sse.Event, resumed bool) error {
 	if resumed && event.Position != p.Position+1 {
 		return errNotResumed
 	}
-	var c chunk
+	var c completionEvent
 	if err := json.Unmarshal(payload(event.Raw), &c); err != nil {
 		return err
 	}
@@ -76,48 +80,52 @@
 	return nil
 }
 
-type wholeMessage struct {
+// completionMessage is the message of a chat completion.
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	Text         *string       `json:"text,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+// completionChoice is one choice of a completion. Message is set in chat
+// completions, Text in text completions.
+type completionChoice struct {
+	Index        int                `json:"index"`
+	Message      *completionMessage `json:"message,omitempty"`
+	Text         *string            `json:"text,omitempty"`
+	FinishReason string             `json:"finish_reason"`
 }
 
-type whole struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage,omitempty"`
+// completion is the response body of a call that was not streamed.
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   json.RawMessage    `json:"usage,omitempty"`
 }
 
-// body is the answer as if it had not been streamed.
-func (p *partial) body(chat bool) ([]byte, error) {
+// body returns the response body that the target would have sent without a stream.
+func (p *partialAnswer) body(chat bool) ([]byte, error) {
 	text := string(p.Text)
-	choice := wholeChoice{FinishReason: p.Finish}
+	choice := completionChoice{FinishReason: p.Finish}
 	object := "text_completion"
 	if chat {
 		object = "chat.completion"
-		choice.Message = &wholeMessage{Role: "assistant", Content: text}
+		choice.Message = &completionMessage{Role: "assistant", Content: text}
 	} else {
 		choice.Text = &text
 	}
-	return json.Marshal(whole{
+	return json.Marshal(completion{
 		ID: p.ID, Object: object, Created: p.Created, Model: p.Model,
-		Choices: []wholeChoice{choice}, Usage: p.Usage,
+		Choices: []completionChoice{choice}, Usage: p.Usage,
 	})
 }
 
-// encode and decodePartial carry the partial answer through batch.Resume.
-func (p *partial) encode() ([]byte, error) { return protocol.Marshal(p) }
+// encode encodes the partial answer for batch.Resume; decodePartial decodes it.
+func (p *partialAnswer) encode() ([]byte, error) { return protocol.Marshal(p) }
 
-func decodePartial(data []byte) (*partial, error) {
-	p := &partial{}
+func decodePartial(data []byte) (*partialAnswer, error) {
+	p := &partialAnswer{}
 	return p, protocol.Unmarshal(data, p)
 }
--- a/internal/coordination/itemrun/request.go
+++ b/internal/coordination/itemrun/request.go
@@ -12,12 +12,13 @@
 	includeUsage = json.RawMessage(`{"include_usage":true}`)
 )
 
-// isChat tells chat completions from text completions by the path.
+// isChat reports whether a path is that of chat completions.
 func isChat(endpoint string) bool { return strings.HasSuffix(endpoint, "/chat/completions") }
 
-// streamable turns a request's body into one that asks for a stream. ok is
-// false if the answer would have several choices, whose events can't be
-// resumed by position: such an item runs whole.
+// streamable returns the body of a request, changed to request a stream. If ok is
+// false, the body is unchanged and the item runs without a stream: its endpoint
+// has no streams, its body is not a JSON object, or its answer may have several
+// choices, whose events can't be resumed by position.
 func streamable(endpoint string, body []byte) (out []byte, ok bool) {
 	if !strings.HasSuffix(endpoint, "/completions") {
 		return body, false
--- a/internal/coordination/itemrun/runner.go
+++ b/internal/coordination/itemrun/runner.go
@@ -17,24 +17,25 @@
 	"merlintiller/internal/protocol/sse"
 )
 
-// Options set up a Runner. Zero fields take their defaults.
+// Options configure a Runner. A field with its zero value takes its default.
 type Options struct {
-	// Target sends calls over connections that online calls don't use.
+	// Target sends calls over connections that are not shared with online calls.
 	Target external.Target
-	// MaxAnswer bounds a whole answer in bytes. Default 512 KiB, the largest
-	// result that the ledger keeps.
-	MaxAnswer int64
-	// Timeout bounds one run. Default 10 min: longer than the longest answer
-	// at the slowest pace, so that only a frozen target meets it.
+	// MaxAnswerBytes limits the size of an answer. Default 512 KiB, the maximum
+	// size of a batch result.
+	MaxAnswerBytes int64
+	// Timeout limits the duration of one run. Default 10 min: longer than the
+	// longest answer at the lowest token rate, so that only a hung target
+	// reaches it.
 	Timeout time.Duration
-	// CancelTimeout bounds the cancel of a run that was interrupted. Default
-	// 500 ms; a target that was not told finds its connection closed.
+	// CancelTimeout limits the cancel call for an interrupted run. Default 500 ms.
+	// A target that does not receive the cancel sees the closed connection.
 	CancelTimeout time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	if o.MaxAnswer <= 0 {
-		o.MaxAnswer = 512 << 10
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = 512 << 10
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = 10 * time.Minute
@@ -45,7 +46,7 @@
 	return o
 }
 
-// Runner runs items. It is a batch.Runner.
+// Runner runs batch items at targets. It implements batch.Runner.
 type Runner struct{ opts Options }
 
 var _ batch.Runner = (*Runner)(nil)
@@ -53,75 +54,83 @@
 // New returns a Runner.
 func New(opts Options) *Runner { return &Runner{opts: opts.withDefaults()} }
 
-// run is one item at one target.
+// run is one run of one item at one target.
 type run struct {
-	opts    Options
-	item    batch.Item
-	pick    coordination.Pick
-	id      protocol.CallID
+	opts Options
+	item batch.Item
+	pick coordination.Pick
+	id   protocol.CallID
+	// stream reports whether the call requests a stream.
 	stream  bool
 	started time.Time
-	answer  partial
-	first   time.Duration
+	partial partialAnswer
+	// firstByte is the time from the start to the first event, 0 if none came.
+	firstByte time.Duration
 }
 
 // Run implements batch.Runner.
 func (r *Runner) Run(ctx context.Context, slot coordination.BatchSlot, item batch.Item) batch.ItemOutcome {
-	one := &run{
+	itemRun := &run{
 		opts: r.opts, item: item, pick: slot.Pick(),
 		id: newID(), started: time.Now(),
 	}
-	return one.do(ctx)
+	return itemRun.execute(ctx)
 }
 
 func newID() protocol.CallID { return protocol.CallID("item_" + rand.Text()) }
 
-func (r *run) do(ctx context.Context) batch.ItemOutcome {
+// execute runs the item, and runs it once more from the beginning if the target
+// does not resume.
+func (r *run) execute(ctx context.Context) batch.ItemOutcome {
 	limited, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
-	r.resume()
-	outcome, anew := r.attempt(limited, ctx)
-	if anew {
+	r.restorePartial()
+	outcome, restart := r.attempt(limited, ctx)
+	if restart {
 		outcome, _ = r.attempt(limited, ctx)
 	}
 	return outcome
 }
 
-// attempt sends one call. anew asks for another from the beginning: the target
-// can't resume, and the next one that the item meets may not either.
-func (r *run) attempt(limited, ctx context.Context) (outcome batch.ItemOutcome, anew bool) {
-	answer, err := r.opts.Target.Do(limited, r.pick.Address, r.call())
+// attempt sends one call. restart reports that the target did not resume and that
+// the item must run from the beginning. This happens at the same target, because
+// the next one may not be able to resume either. limited is ctx with the timeout
+// of the run.
+func (r *run) attempt(limited, ctx context.Context) (outcome batch.ItemOutcome, restart bool) {
+	answer, err := r.opts.Target.Do(limited, r.pick.Address, r.newCall())
 	if err != nil {
-		return r.broken(ctx, err), false
+		return r.failedOrInterrupted(ctx, err), false
 	}
 	defer answer.Body.Close()
 	if answer.Status != http.StatusOK {
-		return r.refused(ctx, answer), false
+		return r.errorStatus(ctx, answer), false
 	}
 	if !r.stream {
-		return r.readWhole(ctx, answer), false
+		return r.readBody(ctx, answer), false
 	}
 	outcome, err = r.readStream(ctx, answer)
 	if errors.Is(err, errNotResumed) {
-		r.answer = partial{}
+		r.partial = partialAnswer{}
 		r.id = newID()
 		return outcome, true
 	}
 	return outcome, false
 }
 
-// resume takes up what an interrupted run kept. What can't be decoded is
-// dropped: the item starts anew, which costs work and not correctness.
-func (r *run) resume() {
+// restorePartial restores the partial answer of an interrupted run. If the partial
+// answer can't be decoded, the item starts from the beginning, which repeats work
+// but is correct.
+func (r *run) restorePartial() {
 	if r.item.Resume == nil {
 		return
 	}
 	if kept, err := decodePartial(r.item.Resume.Output); err == nil {
-		r.answer = *kept
+		r.partial = *kept
 	}
 }
 
-func (r *run) call() external.Call {
+// newCall builds the call and sets r.stream.
+func (r *run) newCall() external.Call {
 	body, ok := streamable(r.item.Endpoint, r.item.Body)
 	r.stream = ok
 	return external.Call{
@@ -130,80 +139,86 @@
 		Path:     r.item.Endpoint,
 		Header:   http.Header{"Content-Type": {"application/json"}},
 		Body:     body,
-		ResumeAt: r.answer.Position,
+		ResumeAt: r.partial.Position,
 	}
 }
 
-// readStream reads until the end mark. Its error is errNotResumed or nil.
+// readStream reads events up to the end marker of the stream. The returned error is
+// only used to detect errNotResumed.
 func (r *run) readStream(ctx context.Context, answer *external.Answer) (batch.ItemOutcome, error) {
 	events := sse.NewReader(answer.Body)
-	resumed := r.answer.Position > 0
+	resumed := r.partial.Position > 0
 	for {
 		event, err := events.Next()
 		if err != nil {
-			return r.broken(ctx, err), nil
+			return r.failedOrInterrupted(ctx, err), nil
 		}
-		if r.first == 0 {
-			r.first = time.Since(r.started)
+		if r.firstByte == 0 {
+			r.firstByte = time.Since(r.started)
 		}
 		if event.Done {
-			return r.whole(answer.Status), nil
+			return r.streamCompleted(answer.Status), nil
 		}
-		if err := r.answer.add(event, resumed); err != nil {
-			return r.broken(ctx, err), err
+		if err := r.partial.addEvent(event, resumed); err != nil {
+			return r.failedOrInterrupted(ctx, err), err
 		}
-		if int64(len(r.answer.Text)) > r.opts.MaxAnswer {
-			return r.tooLong(), nil
+		if int64(len(r.partial.Text)) > r.opts.MaxAnswerBytes {
+			return r.answerTooLarge(), nil
 		}
 		resumed = false
 	}
 }
 
-func (r *run) whole(status int) batch.ItemOutcome {
-	body, err := r.answer.body(isChat(r.item.Endpoint))
+// streamCompleted returns the outcome of a stream that has reached its end marker.
+func (r *run) streamCompleted(status int) batch.ItemOutcome {
+	body, err := r.partial.body(isChat(r.item.Endpoint))
 	if err != nil {
 		return r.failed(protocol.CodeTargetFailed, err.Error())
 	}
 	return r.done(bulk.Result{Status: status, RequestID: string(r.id), Body: body})
 }
 
-func (r *run) readWhole(ctx context.Context, answer *external.Answer) batch.ItemOutcome {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, r.opts.MaxAnswer+1))
+// readBody reads an answer that is not a stream.
+func (r *run) readBody(ctx context.Context, answer *external.Answer) batch.ItemOutcome {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, r.opts.MaxAnswerBytes+1))
 	if err != nil {
-		return r.broken(ctx, err)
+		return r.failedOrInterrupted(ctx, err)
 	}
-	if int64(len(body)) > r.opts.MaxAnswer {
-		return r.tooLong()
+	if int64(len(body)) > r.opts.MaxAnswerBytes {
+		return r.answerTooLarge()
 	}
 	return r.done(bulk.Result{Status: answer.Status, RequestID: string(r.id), Body: body})
 }
 
-func (r *run) tooLong() batch.ItemOutcome {
-	return r.failed(protocol.CodeTooLarge, fmt.Sprintf("the answer exceeds %d bytes", r.opts.MaxAnswer))
+func (r *run) answerTooLarge() batch.ItemOutcome {
+	return r.failed(protocol.CodeTooLarge, fmt.Sprintf("the response exceeds %d bytes", r.opts.MaxAnswerBytes))
 }
 
+// result returns the outcome of the call for the router.
 func (r *run) result() coordination.CallResult {
-	return coordination.CallResult{FirstByte: r.first}
+	return coordination.CallResult{FirstByte: r.firstByte}
 }
 
 func (r *run) done(result bulk.Result) batch.ItemOutcome {
 	return batch.ItemOutcome{Kind: batch.Done, Result: result, Call: r.result()}
 }
 
+// failed returns the outcome of an item with a final failed result.
 func (r *run) failed(code protocol.Code, message string) batch.ItemOutcome {
 	return r.done(bulk.Result{RequestID: string(r.id), Code: code, Message: message})
 }
 
-// refused settles an answer that is not a success. The target's own no to the
-// request is final; trouble of its own is worth another attempt.
-func (r *run) refused(ctx context.Context, answer *external.Answer) batch.ItemOutcome {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, r.opts.MaxAnswer))
+// errorStatus returns the outcome of an answer with an error status. Statuses 5xx
+// and 429 lead to another attempt. All others are final, because the target
+// rejects the request itself.
+func (r *run) errorStatus(ctx context.Context, answer *external.Answer) batch.ItemOutcome {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, r.opts.MaxAnswerBytes))
 	if err != nil {
-		return r.broken(ctx, err)
+		return r.failedOrInterrupted(ctx, err)
 	}
 	outcome := r.done(bulk.Result{
 		Status: answer.Status, RequestID: string(r.id), Body: body,
-		Code: protocol.CodeTargetFailed, Message: fmt.Sprintf("the target answered %d", answer.Status),
+		Code: protocol.CodeTargetFailed, Message: fmt.Sprintf("the target responded with status %d", answer.Status),
 	})
 	if answer.Status >= http.StatusInternalServerError || answer.Status == http.StatusTooManyRequests {
 		outcome.Kind = batch.Retry
@@ -212,35 +227,37 @@
 	return outcome
 }
 
-// broken settles a run without a whole answer. If the run was interrupted from
-// here, the target is told to stop and what came is kept.
-func (r *run) broken(ctx context.Context, err error) batch.ItemOutcome {
+// failedOrInterrupted returns the outcome of a run without a complete answer. If
+// this instance interrupted the run, the call is cancelled at the target and the
+// partial answer is kept.
+func (r *run) failedOrInterrupted(ctx context.Context, err error) batch.ItemOutcome {
 	if ctx.Err() != nil {
 		return r.interrupted()
 	}
 	outcome := r.failed(protocol.CodeTargetFailed, err.Error())
 	outcome.Kind = batch.Retry
-	var failed *external.CallError
-	if errors.As(err, &failed) && failed.Run == protocol.NotRun {
-		// A dead target fails at once and so draws item after item. None of
-		// them was tried, so none may lose an attempt.
+	var callErr *external.CallError
+	if errors.As(err, &callErr) && callErr.Run == protocol.NotRun {
+		// Calls to a target that is down fail immediately, so many items may be
+		// sent to it in a row. None of them ran, so none may lose an attempt.
 		outcome.Kind = batch.NotStarted
 	}
 	outcome.Call.Failed = true
 	return outcome
 }
 
+// interrupted cancels the call at the target and returns the partial answer.
 func (r *run) interrupted() batch.ItemOutcome {
 	ctx, cancel := context.WithTimeout(context.Background(), r.opts.CancelTimeout)
 	defer cancel()
-	// A failed cancel does no harm: the closed connection ends the call too.
+	// A failed cancel is harmless, because the closed connection ends the call too.
 	_ = r.opts.Target.Cancel(ctx, r.pick.Address, r.id)
 	outcome := batch.ItemOutcome{Kind: batch.Interrupted, Call: r.result()}
-	if r.answer.Position == 0 {
+	if r.partial.Position == 0 {
 		return outcome
 	}
-	if kept, err := r.answer.encode(); err == nil {
-		outcome.Resume = &batch.Resume{Tokens: r.answer.Position, Output: kept, Target: r.pick.Target}
+	if kept, err := r.partial.encode(); err == nil {
+		outcome.Resume = &batch.Resume{Tokens: r.partial.Position, Output: kept, Target: r.pick.Target}
 	}
 	return outcome
 }
--- a/internal/coordination/itemrun/runner_test.go
+++ b/internal/coordination/itemrun/runner_test.go
@@ -49,7 +49,7 @@
 	return answer.Choices[0].Message.Content
 }
 
-func TestItemRunsWhole(t *testing.T) {
+func TestItemRunsToCompletion(t *testing.T) {
 	runner := New(Options{Target: targethttp.New(targethttp.Options{})})
 	outcome := runner.Run(t.Context(), start(t), item(body))
 	require.Equal(t, batch.Done, outcome.Kind)
@@ -57,14 +57,15 @@
 	require.Contains(t, string(outcome.Result.Body), `"total_tokens"`)
 }
 
-// cutting ends the run's context after some events, as a revoked place does.
-type cutting struct {
+// cancellingTarget cancels the context of the run after the given number of events,
+// as the revocation of its slot does.
+type cancellingTarget struct {
 	external.Target
 	events int
 	cancel context.CancelFunc
 }
 
-func (c *cutting) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
+func (c *cancellingTarget) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
 	answer, err := c.Target.Do(ctx, address, call)
 	if err != nil {
 		return nil, err
@@ -73,24 +74,24 @@
 	_ = answer.Body.Close()
 	parts := bytes.SplitAfterN(data, []byte("\n\n"), c.events+1)
 	head := bytes.Join(parts[:c.events], nil)
-	answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader(head), &canceller{c.cancel}))
+	answer.Body = io.NopCloser(io.MultiReader(bytes.NewReader(head), &cancelOnRead{c.cancel}))
 	return answer, nil
 }
 
-type canceller struct{ cancel context.CancelFunc }
+type cancelOnRead struct{ cancel context.CancelFunc }
 
-func (c *canceller) Read([]byte) (int, error) {
+func (c *cancelOnRead) Read([]byte) (int, error) {
 	c.cancel()
 	return 0, context.Canceled
 }
 
-// An online burst takes the item's place back in the middle of its answer. The
-// next run resumes there, at another target; the report reads as if nothing
-// had happened, and no token was made twice.
+// Online traffic preempts an item in the middle of its answer. The next run must
+// resume there at another target, so that no token is generated twice and the result
+// is the same as without the interruption.
 func TestInterruptedItemResumes(t *testing.T) {
 	client := targethttp.New(targethttp.Options{})
 	ctx, cancel := context.WithCancel(t.Context())
-	first := New(Options{Target: &cutting{Target: client, events: 3, cancel: cancel}})
+	first := New(Options{Target: &cancellingTarget{Target: client, events: 3, cancel: cancel}})
 	outcome := first.Run(ctx, start(t), item(body))
 	require.Equal(t, batch.Interrupted, outcome.Kind)
 	require.Equal(t, 3, outcome.Resume.Tokens)
@@ -101,32 +102,33 @@
 	require.Equal(t, target.Text(target.ChatText("valve"), 8), content(t, outcome.Result.Body))
 }
 
-// fixed answers every call with the same stream.
-type fixed string
+// fixedStream is a target that responds to every call with the same stream.
+type fixedStream string
 
-func (f fixed) Do(context.Context, string, external.Call) (*external.Answer, error) {
+func (f fixedStream) Do(context.Context, string, external.Call) (*external.Answer, error) {
 	return &external.Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(f)))}, nil
 }
 
-func (f fixed) Cancel(context.Context, string, protocol.CallID) error { return nil }
+func (f fixedStream) Cancel(context.Context, string, protocol.CallID) error { return nil }
 
-// A target that can't resume starts from the beginning. Joined to what was
-// kept, the report would say its first words twice; the item is run anew.
-func TestTargetThatDoesNotResumeIsNotJoined(t *testing.T) {
-	kept, err := (&partial{Position: 3, Text: []byte("abc")}).encode()
+// A target that can't resume starts from the beginning. If its output were appended
+// to the partial output, the result would repeat its beginning. The item must run
+// again from the beginning instead.
+func TestItemRestartsIfTargetDoesNotResume(t *testing.T) {
+	kept, err := (&partialAnswer{Position: 3, Text: []byte("abc")}).encode()
 	require.NoError(t, err)
 	again := item(body)
 	again.Resume = &batch.Resume{Tokens: 3, Output: kept}
-	stream := fixed("id: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n")
+	stream := fixedStream("id: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n")
 	outcome := New(Options{Target: stream}).Run(t.Context(), slot{}, again)
 	require.Equal(t, batch.Done, outcome.Kind)
 	require.Equal(t, "a", content(t, outcome.Result.Body))
 }
 
-// A stream ends without its end mark, because the target died. The text so far
-// reads like a whole report and must not be kept as one.
-func TestStreamWithoutEndMarkIsNoResult(t *testing.T) {
-	stream := fixed("id: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n")
+// A stream ends without its end marker, because the target failed. The text so far
+// looks like a complete answer but must not become a result.
+func TestStreamWithoutEndMarkerIsNoResult(t *testing.T) {
+	stream := fixedStream("id: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n")
 	outcome := New(Options{Target: stream}).Run(t.Context(), slot{}, item(body))
 	require.Equal(t, batch.Retry, outcome.Kind)
 }
@@ -134,8 +136,8 @@
 func FuzzPartial(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"text\":\"a\"}]}\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		p := &partial{}
-		if err := p.add(sseEvent(raw), false); err != nil {
+		p := &partialAnswer{}
+		if err := p.addEvent(sseEvent(raw), false); err != nil {
 			return
 		}
 		data, err := p.encode()
