--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -15,39 +15,42 @@
 
 const (
 	methodCancelled = ReceiverName + ".Cancelled"
-	// noticeWidth instances are told at the same time.
-	noticeWidth = 16
-	// noticeCapacity bounds the cancels that wait to be told. One that finds
-	// no room is learnt from the log.
-	noticeCapacity = 256
+	// noticeParallelism is the number of instances that are notified in parallel.
+	noticeParallelism = 16
+	// noticeQueueSize limits the queued notices. When the queue is full, the
+	// other instances learn of the cancel from the log only.
+	noticeQueueSize = 256
 )
 
-// Cancelled says that replay has accepted the cancel of a job.
-type Cancelled struct{ Job protocol.JobID }
+// CancelNotice informs another instance that replay has accepted the cancel of a
+// job.
+type CancelNotice struct{ Job protocol.JobID }
 
-// Heard confirms it.
-type Heard struct{}
+// CancelNoticeReply is the empty reply to a CancelNotice.
+type CancelNoticeReply struct{}
 
-// Receiver hears of cancels from other instances.
+// Receiver receives cancel notices from other instances by net/rpc.
 type Receiver struct{ Executor *Executor }
 
-// Cancelled stops the job at this instance.
-func (r *Receiver) Cancelled(args Cancelled, _ *Heard) error {
-	r.Executor.Stop(args.Job)
+// Cancelled stops the job on this instance. net/rpc calls it by this name.
+func (r *Receiver) Cancelled(args CancelNotice, _ *CancelNoticeReply) error {
+	r.Executor.StopJob(args.Job)
 	return nil
 }
 
-// Stop ends the runs of a job whose cancel this instance has not read yet, and
-// starts none any more.
+// StopJob cancels the runs of a job and starts no more of its items, although this
+// instance has not read the cancel from the log yet.
 //
-// What goes wrong without it: an instance that is cut off from the log goes on
-// with the chunks it holds and can't see a cancel. Its targets work on a job
-// that its owner has stopped, for as long as the cut lasts.
-func (e *Executor) Stop(job protocol.JobID) {
+// Without this, an instance that can't read the log would continue with the chunks
+// it holds without seeing the cancel. Its targets would work on the cancelled job
+// until the instance can read the log again.
+func (e *Executor) StopJob(job protocol.JobID) {
 	counters.Add("stopped_by_notice", 1)
 	e.update(func(w *workset) { w.stopJob(job) })
 }
 
+// stopJob cancels the runs of a job and marks it as cancelled if a chunk of it is
+// held.
 func (w *workset) stopJob(job protocol.JobID) {
 	holds := false
 	for id, c := range w.chunks {
@@ -62,38 +65,39 @@
 		}
 	}
 	if holds {
-		w.told[job] = true
+		w.cancelNoticed[job] = true
 	}
 }
 
-// CancelNotifier is the duty that tells other instances of cancels that were
-// accepted here.
+// CancelNotifier is the background service that notifies other instances of
+// cancels that were submitted on this instance.
 type CancelNotifier struct {
 	peers   coordination.Peers
 	timeout time.Duration
-	waiting *ring.Ring[protocol.JobID]
+	queue   *ring.Ring[protocol.JobID]
 }
 
-// NewCancelNotifier returns the duty. name publishes its ring in expvar.
+// NewCancelNotifier returns a CancelNotifier. Its ring is published in expvar under
+// name.
 func NewCancelNotifier(name string, peers coordination.Peers, timeout time.Duration) *CancelNotifier {
-	return &CancelNotifier{peers: peers, timeout: timeout, waiting: ring.New[protocol.JobID](name, noticeCapacity)}
+	return &CancelNotifier{peers: peers, timeout: timeout, queue: ring.New[protocol.JobID](name, noticeQueueSize)}
 }
 
-// Notify queues a notice.
-func (n *CancelNotifier) Notify(job protocol.JobID) { n.waiting.Offer(job) }
+// Notify queues a notice for the other instances.
+func (n *CancelNotifier) Notify(job protocol.JobID) { n.queue.Offer(job) }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (n *CancelNotifier) String() string { return "batch cancel notices" }
 
-// Serve tells of cancels until ctx ends.
+// Serve sends the queued notices until ctx ends.
 func (n *CancelNotifier) Serve(ctx context.Context) error {
 	for {
-		job, err := n.waiting.Take(ctx)
+		job, err := n.queue.Take(ctx)
 		if err != nil {
 			return ctx.Err()
 		}
-		question := fanout.Question{Method: methodCancelled, Args: Cancelled{Job: job}, Timeout: n.timeout, Width: noticeWidth}
-		unreached := fanout.Ask(ctx, n.peers, question, func(protocol.InstanceID, Heard) error { return nil })
+		question := fanout.Question{Method: methodCancelled, Args: CancelNotice{Job: job}, Timeout: n.timeout, Width: noticeParallelism}
+		unreached := fanout.Ask(ctx, n.peers, question, func(protocol.InstanceID, CancelNoticeReply) error { return nil })
 		counters.Add("cancel_notices_lost", int64(len(unreached)))
 	}
 }
--- a/internal/coordination/batch/cancelnotice_test.go
+++ b/internal/coordination/batch/cancelnotice_test.go
@@ -16,12 +16,12 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// A job is cancelled while this instance is cut off from the log. Told by
-// another instance, it must stop what runs and start nothing more of that job,
-// and still run the jobs of others.
-func TestNoticeOfACancelStopsTheJob(t *testing.T) {
+// A job is cancelled while this instance can't read the log. When it receives the
+// notice from another instance, it must stop the running items of the job, start
+// no more of them, and continue to run other jobs.
+func TestCancelNoticeStopsJob(t *testing.T) {
 	now := time.Unix(0, 0)
-	of := func(protocol.ModelName) (protocol.ServiceName, bool) { return "reports", true }
+	resolve := func(protocol.ModelName) (protocol.ServiceName, bool) { return "reports", true }
 	w := newWorkset(time.Minute, equalWeights)
 	for _, job := range []protocol.JobID{"cancelled", "other"} {
 		w.add(loadedChunk{
@@ -31,7 +31,7 @@
 	}
 	stopped := 0
 	for range 2 {
-		_, ok := w.start("reports", now, of, func(cause error) {
+		_, ok := w.start("reports", now, resolve, func(cause error) {
 			require.ErrorIs(t, cause, errJobEnded)
 			stopped++
 		})
@@ -41,44 +41,45 @@
 	w.stopJob("unknown")
 	require.Equal(t, 2, stopped)
 	for {
-		item, ok := w.start("reports", now, of, func(error) {})
+		item, ok := w.start("reports", now, resolve, func(error) {})
 		if !ok {
 			break
 		}
 		require.Equal(t, protocol.JobID("other"), item.Job)
 	}
-	require.Equal(t, map[protocol.JobID]bool{"cancelled": true}, w.told)
-	w.reconcile(ledger.ChunkID{Job: "cancelled"}, agreed{ended: true})
-	require.Empty(t, w.told, "once read, the notice is forgotten")
+	require.Equal(t, map[protocol.JobID]bool{"cancelled": true}, w.cancelNoticed)
+	w.reconcile(ledger.ChunkID{Job: "cancelled"}, claimStatus{ended: true})
+	require.Empty(t, w.cancelNoticed, "the notice must be removed after the cancel is read")
 }
 
-// onePeer is another instance that is reached directly.
-type onePeer struct {
+// directPeer implements coordination.Peers with one other instance, whose receiver
+// is called directly.
+type directPeer struct {
 	receiver *Receiver
-	heard    chan protocol.JobID
+	received chan protocol.JobID
 }
 
-func (p *onePeer) List() []coordination.Peer { return []coordination.Peer{{Instance: "b"}} }
+func (p *directPeer) List() []coordination.Peer { return []coordination.Peer{{Instance: "b"}} }
 
-func (p *onePeer) Call(_ context.Context, _ protocol.InstanceID, method string, args, reply any) error {
+func (p *directPeer) Call(_ context.Context, _ protocol.InstanceID, method string, args, reply any) error {
 	if method != methodCancelled {
 		return errors.New("no such method " + method)
 	}
-	notice := args.(Cancelled)
-	p.heard <- notice.Job
-	return p.receiver.Cancelled(notice, reply.(*Heard))
+	notice := args.(CancelNotice)
+	p.received <- notice.Job
+	return p.receiver.Cancelled(notice, reply.(*CancelNoticeReply))
 }
 
-// The instance that took a cancel tells the others. Were the notice lost on the
-// way to the receiver, a cut-off instance would go on with the job.
-func TestCancelNoticeReachesTheOtherInstance(t *testing.T) {
+// The instance that received a cancel notifies the others. If the notice did not
+// reach the receiver, an instance that can't read the log would continue the job.
+func TestCancelNoticeReachesOtherInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &onePeer{receiver: &Receiver{Executor: NewExecutor("", nil, nil, nil, Options{}, log.NewNopLogger())}, heard: make(chan protocol.JobID, 1)}
+		peer := &directPeer{receiver: &Receiver{Executor: NewExecutor("", nil, nil, nil, Options{}, log.NewNopLogger())}, received: make(chan protocol.JobID, 1)}
 		notices := NewCancelNotifier("", peer, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = notices.Serve(ctx) }()
 		notices.Notify("j")
-		require.Equal(t, protocol.JobID("j"), <-peer.heard)
+		require.Equal(t, protocol.JobID("j"), <-peer.received)
 	})
 }
--- a/internal/coordination/batch/claimer.go
+++ b/internal/coordination/batch/claimer.go
@@ -13,29 +13,30 @@
 	"merlintiller/internal/state/replica"
 )
 
-// claimer is the duty that claims chunks and loads their input.
+// claimer is the background service that claims chunks and loads their input.
 type claimer struct {
 	*Executor
-	pace    pace
-	entries *entryReader
-	// bodyBytes is the mean size of the bodies loaded last.
-	bodyBytes int
-	// idleSince is since when the instance wants chunks and none falls to it.
+	startRate startRate
+	entries   *entryReader
+	// meanBodyBytes is the mean size of the item bodies of the chunk loaded last.
+	meanBodyBytes int
+	// idleSince is the time since which the instance has wanted chunks and found
+	// no claimable chunk assigned to it. Zero if it has found one.
 	idleSince time.Time
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (c *claimer) String() string { return "batch claimer" }
 
-// Serve claims whenever there is room, until ctx ends.
+// Serve claims chunks while the instance has capacity, until ctx ends.
 func (c *claimer) Serve(ctx context.Context) error {
 	for {
-		changed := c.journal.Changed()
-		wake := c.wake()
-		c.adopt(ctx)
-		c.giveBack(ctx)
+		journalChanged := c.journal.Changed()
+		workChanged := c.workChanged()
+		c.loadClaimed(ctx)
+		c.releaseStalled(ctx)
 		c.claim(ctx)
-		timer := time.NewTimer(c.opts.PlanEvery)
+		timer := time.NewTimer(c.opts.PlanInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -43,42 +44,44 @@
 			return ctx.Err()
 		}
 		select {
-		case <-changed:
-		case <-wake:
-		case <-time.After(idlePlan):
+		case <-journalChanged:
+		case <-workChanged:
+		case <-time.After(maxPlanInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// idlePlan is the longest time between two plans. A session of a dead
-// instance that ends changes what is claimable without changing the work set.
-const idlePlan = 5 * time.Second
+// maxPlanInterval is the maximum time between two plans. When the session of a
+// crashed instance ends, chunks become claimable although the work set of this
+// instance has not changed.
+const maxPlanInterval = 5 * time.Second
 
+// claim plans and submits claims if the instance can take more chunks.
 func (c *claimer) claim(ctx context.Context) {
-	if !c.mayClaim() || !c.hasPlaces() {
+	if !c.mayClaim() || !c.hasSlots() {
 		return
 	}
-	var now load
+	var current load
 	started := 0
 	c.inspect(func(w *workset) {
-		now = w.load()
+		current = w.load()
 		started = c.started
 	})
-	room := c.room(now)
-	if room <= 0 {
+	capacity := c.claimCapacity(current)
+	if capacity <= 0 {
 		return
 	}
-	// With enough work at hand, only a job that is short of time or of an
-	// organisation that has nothing here is a reason to take more: its items go
-	// ahead of the others.
-	want := c.want(now, c.pace.update(started, time.Now()))
-	needyOnly := want <= 0
-	want = min(max(want, 1), room)
-	plans := c.plan(now, want, needyOnly, false)
+	// If the instance already holds enough work, it claims more only for an
+	// urgent job or for an organisation of which it holds no items. Such items
+	// start before the others.
+	want := c.wantedItems(current, c.startRate.update(started, time.Now()))
+	hasEnough := want <= 0
+	want = min(max(want, 1), capacity)
+	plans := c.plan(current, want, hasEnough, false)
 	if c.maySteal(len(plans) > 0) {
-		plans = c.plan(now, want, needyOnly, true)
+		plans = c.plan(current, want, hasEnough, true)
 	}
 	for _, plan := range plans {
 		body := &protocol.ChunkClaim{Job: plan.Job, Chunks: plan.Chunks}
@@ -88,41 +91,45 @@
 			continue
 		}
 		counters.Add("claims_won", 1)
-		c.adopt(ctx)
+		c.loadClaimed(ctx)
 	}
 }
 
-// maySteal says whether to take chunks that fall to others: after a while
-// without any of its own, so that those to whom they fall have had their turn.
-func (c *claimer) maySteal(hasOwn bool) bool {
-	if hasOwn {
+// maySteal reports whether the instance may claim chunks that are assigned to
+// other instances. It may after it has had no claimable chunk of its own for
+// StealAfter plus a delay that depends on its session, so that the other
+// instances can claim their chunks first.
+func (c *claimer) maySteal(hasAssigned bool) bool {
+	if hasAssigned {
 		c.idleSince = time.Time{}
 		return false
 	}
 	if c.idleSince.IsZero() {
 		c.idleSince = time.Now()
 	}
-	wait := c.opts.StealAfter + time.Duration(uint64(c.journal.Session())%stealStagger)*c.opts.PlanEvery
+	wait := c.opts.StealAfter + time.Duration(uint64(c.journal.Session())%stealStagger)*c.opts.PlanInterval
 	return time.Since(c.idleSince) >= wait
 }
 
-// stealStagger spreads the instances that steal over so many plans.
+// stealStagger is the number of different delays, in planning intervals, over
+// which the stealing instances are distributed.
 const stealStagger = 4
 
-func (c *claimer) plan(now load, want int, needyOnly, steal bool) []ClaimPlan {
+// plan runs the planner on the current ledger and configuration.
+func (c *claimer) plan(current load, want int, urgentOrUnservedOnly, steal bool) []ClaimPlan {
 	session := c.journal.Session()
 	fleet := c.journal.Fleet()
 	var plans []ClaimPlan
 	c.journal.View(func(state *replica.State) {
-		open := openIDs(state)
+		open := openSessions(state)
 		in := PlanInput{
-			Now:       time.Now(),
-			HeldBy:    now.byOrg,
-			Want:      want,
-			NeedyOnly: needyOnly,
-			Steal:     steal,
-			Instances: len(open),
-			Index:     max(0, slices.Index(open, session)),
+			Now:                  time.Now(),
+			HeldItems:            current.byOrg,
+			WantItems:            want,
+			UrgentOrUnservedOnly: urgentOrUnservedOnly,
+			Steal:                steal,
+			Instances:            len(open),
+			Index:                max(0, slices.Index(open, session)),
 			Claimable: func(job protocol.JobID, from, count, limit int) []int {
 				return state.Ledger.Claimable(job, state.Sessions, from, count, limit)
 			},
@@ -147,48 +154,50 @@
 	return plans
 }
 
-// adopt loads every chunk that the ledger says this session holds and the work
-// set does not have: the ones just claimed, and any whose claim was thought
-// lost with its answer.
-func (c *claimer) adopt(ctx context.Context) {
+// loadClaimed loads every chunk that this session holds according to the ledger
+// and that is not in the work set. These are the chunks just claimed, and chunks
+// whose claim was accepted although its outcome did not reach this instance.
+func (c *claimer) loadClaimed(ctx context.Context) {
 	session := c.journal.Session()
 	if session == 0 || c.isDraining() {
 		return
 	}
-	missing := c.missing(session)
-	// What was agreed while the input was read, such as a cancel, was agreed
-	// before the chunk was in the work set, and the watcher did not see it.
+	unloaded := c.unloadedChunks(session)
+	// The watcher only follows chunks in the work set. Records that were replayed
+	// while the input was being read, such as a cancel, must be applied now.
 	defer c.reconcile()
-	for _, chunk := range missing {
+	for _, chunk := range unloaded {
 		items, err := c.entries.items(ctx, chunk.input)
-		if err != nil && !isLost(err) {
+		if err != nil && !isUnrecoverable(err) {
 			_ = c.logger.Log("event", "chunk_load_failed", "job", chunk.id.Job, "chunk", chunk.id.Chunk, "err", err)
 			return
 		}
 		if err != nil {
-			c.giveUp(ctx, chunk)
+			c.failChunk(ctx, chunk)
 			continue
 		}
 		chunk.items = items
-		c.bodyBytes = meanBody(items)
+		c.meanBodyBytes = meanBodySize(items)
 		c.update(func(w *workset) { w.add(chunk.loadedChunk) })
 	}
 }
 
-// unloadedChunk is a held chunk whose input is not here yet.
+// unloadedChunk is a held chunk whose input has not been loaded yet.
 type unloadedChunk struct {
 	loadedChunk
 	input protocol.ChunkRef
 }
 
-func (c *claimer) missing(session protocol.SessionID) []unloadedChunk {
+// unloadedChunks returns the chunks that the session holds according to the
+// ledger and that are not in the work set.
+func (c *claimer) unloadedChunks(session protocol.SessionID) []unloadedChunk {
 	known := map[ledger.ChunkID]bool{}
 	c.inspect(func(w *workset) {
 		for id, held := range w.chunks {
 			known[id] = !held.lost
 		}
 	})
-	var missing []unloadedChunk
+	var unloaded []unloadedChunk
 	c.journal.View(func(state *replica.State) {
 		for _, id := range state.Ledger.HeldBy(session) {
 			if known[id] {
@@ -196,7 +205,7 @@
 			}
 			job, _ := state.Ledger.Job(id.Job)
 			view, _ := state.Ledger.Chunk(id)
-			missing = append(missing, unloadedChunk{
+			unloaded = append(unloaded, unloadedChunk{
 				loadedChunk: loadedChunk{
 					id:           id,
 					organisation: job.Organisation,
@@ -208,24 +217,25 @@
 			})
 		}
 	})
-	return missing
+	return unloaded
 }
 
-// isLost tells input that will never come back from input that can't be read
-// just now.
-func isLost(err error) bool {
+// isUnrecoverable reports whether a failed read can never succeed, as opposed to
+// a temporary failure.
+func isUnrecoverable(err error) bool {
 	return errors.Is(err, external.ErrTrimmed) || errors.Is(err, protocol.ErrMalformed)
 }
 
-// giveUp ends the items of a chunk whose input is gone as failed results, so
-// that the job ends and its caller sees which items to send again. Carrying
-// live data forward makes this rare: it takes an outage as long as retention.
-func (c *claimer) giveUp(ctx context.Context, chunk unloadedChunk) {
+// failChunk gives all items of a chunk with lost input failed results, so that the
+// job ends and its caller sees which items to send again. This is rare because
+// DataRefresher refreshes the input: it takes an outage that lasts as long as
+// the retention time.
+func (c *claimer) failChunk(ctx context.Context, chunk unloadedChunk) {
 	_ = c.logger.Log("event", "chunk_input_lost", "job", chunk.id.Job, "chunk", chunk.id.Chunk)
 	counters.Add("input_lost", 1)
 	chunk.items = make([]bulk.Item, chunk.input.Items)
 	c.update(func(w *workset) { w.add(chunk.loadedChunk) })
-	var tasks []Item
+	var waiting []Item
 	c.inspect(func(w *workset) {
 		held := w.chunks[chunk.id]
 		if held == nil {
@@ -233,13 +243,13 @@
 		}
 		for _, t := range held.tasks {
 			if t.state == taskWaiting {
-				tasks = append(tasks, t.item)
+				waiting = append(waiting, t.item)
 			}
 		}
 	})
-	for _, item := range tasks {
-		result := bulk.Result{Code: protocol.CodeGone, Message: "the input left the platform's retention before the item ran"}
-		if c.report(ctx, item, result) != nil {
+	for _, item := range waiting {
+		result := bulk.Result{Code: protocol.CodeGone, Message: "the input was removed by the platform's retention before the item ran"}
+		if c.queueResult(ctx, item, result) != nil {
 			return
 		}
 	}
--- a/internal/coordination/batch/dispatcher.go
+++ b/internal/coordination/batch/dispatcher.go
@@ -10,36 +10,39 @@
 	"merlintiller/internal/protocol"
 )
 
-// dispatcher is the duty that puts items onto places. Each service has a lane
-// of its own, so that a service without free places never holds up another.
+// dispatcher is the background service that starts items on slots. Each service
+// has a goroutine of its own, its service loop, so that a service without free
+// slots never blocks another.
 type dispatcher struct {
 	executor *Executor
 
-	lanes sync.WaitGroup
+	// loops counts the running service loops and runs.
+	loops sync.WaitGroup
 	mu    sync.Mutex
-	open  map[protocol.ServiceName]bool
-	// places bounds the items in flight.
-	places chan struct{}
+	// active contains the services that have a running service loop.
+	active map[protocol.ServiceName]bool
+	// inFlight is a semaphore that limits the items in flight.
+	inFlight chan struct{}
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (d *dispatcher) String() string { return "batch dispatcher" }
 
-// Serve keeps a lane running for each service with waiting items, until ctx
-// ends and all runs have returned.
+// Serve keeps a service loop running for each service with waiting items. It
+// returns when ctx has ended and all runs have returned.
 func (d *dispatcher) Serve(ctx context.Context) error {
 	e := d.executor
-	d.open = map[protocol.ServiceName]bool{}
-	d.places = make(chan struct{}, e.opts.MaxInFlight)
-	defer d.lanes.Wait()
+	d.active = map[protocol.ServiceName]bool{}
+	d.inFlight = make(chan struct{}, e.opts.MaxInFlight)
+	defer d.loops.Wait()
 	for {
-		wake := e.wake()
-		changed := e.journal.Changed()
-		wait := d.openLanes(ctx)
+		workChanged := e.workChanged()
+		journalChanged := e.journal.Changed()
+		wait := d.startLoops(ctx)
 		timer := time.NewTimer(wait)
 		select {
-		case <-wake:
-		case <-changed:
+		case <-workChanged:
+		case <-journalChanged:
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
@@ -49,34 +52,37 @@
 	}
 }
 
-// idleDispatch is the longest time between two looks for waiting items.
-const idleDispatch = time.Second
+// maxDispatchInterval is the maximum time between two checks for waiting items.
+const maxDispatchInterval = time.Second
 
-func (d *dispatcher) openLanes(ctx context.Context) time.Duration {
+// startLoops starts the service loops that are needed and returns the time until
+// the next check.
+func (d *dispatcher) startLoops(ctx context.Context) time.Duration {
 	e := d.executor
 	if !e.mayStart() {
-		return idleDispatch
+		return maxDispatchInterval
 	}
 	now := time.Now()
 	var names []protocol.ServiceName
 	var unknown []Item
 	var next time.Time
-	e.inspect(func(w *workset) { names, unknown, next = w.ready(now, e.service) })
+	e.inspect(func(w *workset) { names, unknown, next = w.ready(now, e.serviceFor) })
 	for _, item := range unknown {
-		e.noService(ctx, item)
+		e.handleUnknownModel(ctx, item)
 	}
 	for _, name := range names {
-		d.openLane(ctx, name)
+		d.startLoop(ctx, name)
 	}
 	if !next.IsZero() {
-		return min(idleDispatch, max(next.Sub(now), time.Millisecond))
+		return min(maxDispatchInterval, max(next.Sub(now), time.Millisecond))
 	}
-	return idleDispatch
+	return maxDispatchInterval
 }
 
-// noService handles an item whose model no service serves now. It counts as an
-// attempt: the model may come back with the next configuration.
-func (e *Executor) noService(ctx context.Context, item Item) {
+// handleUnknownModel handles an item whose model no service can serve at the
+// moment. This counts as a failed attempt and the item is retried, because the
+// next configuration may contain the model again.
+func (e *Executor) handleUnknownModel(ctx context.Context, item Item) {
 	started := false
 	e.update(func(w *workset) {
 		_, t := w.find(item)
@@ -91,46 +97,48 @@
 	if !started {
 		return
 	}
-	e.finish(ctx, item, ItemOutcome{Kind: Retry, Result: bulk.Result{
+	e.handleOutcome(ctx, item, ItemOutcome{Kind: Retry, Result: bulk.Result{
 		Code:    protocol.CodeUnknownModel,
-		Message: "no service runs batch items of model " + string(item.Model),
+		Message: "no service is configured for batch items of model " + string(item.Model),
 	}})
 }
 
-func (d *dispatcher) openLane(ctx context.Context, name protocol.ServiceName) {
+// startLoop starts the loop of a service if it is not running.
+func (d *dispatcher) startLoop(ctx context.Context, name protocol.ServiceName) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.open[name] {
+	if d.active[name] {
 		return
 	}
-	d.open[name] = true
-	d.lanes.Add(1)
-	go d.lane(ctx, name)
+	d.active[name] = true
+	d.loops.Add(1)
+	go d.serviceLoop(ctx, name)
 }
 
-// lane starts items of one service until none waits. It takes the place first
-// and chooses the item after, so that the choice is made with what is known
-// when the item can start.
-func (d *dispatcher) lane(ctx context.Context, name protocol.ServiceName) {
-	defer d.lanes.Done()
-	defer d.closeLane(name)
-	for d.executor.mayStart() && d.executor.waiting(name) {
-		if !d.startOne(ctx, name) {
+// serviceLoop starts items of one service until none is waiting. It acquires the
+// slot before it selects the item, so that the selection uses the latest state.
+func (d *dispatcher) serviceLoop(ctx context.Context, name protocol.ServiceName) {
+	defer d.loops.Done()
+	defer d.loopEnded(name)
+	for d.executor.mayStart() && d.executor.hasReadyItem(name) {
+		if !d.startNext(ctx, name) {
 			return
 		}
 	}
 }
 
-func (d *dispatcher) closeLane(name protocol.ServiceName) {
+// loopEnded records that the loop of a service has ended.
+func (d *dispatcher) loopEnded(name protocol.ServiceName) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.open, name)
+	delete(d.active, name)
 }
 
-func (e *Executor) waiting(name protocol.ServiceName) (found bool) {
+// hasReadyItem reports whether an item of the service can start now.
+func (e *Executor) hasReadyItem(name protocol.ServiceName) (found bool) {
 	now := time.Now()
 	e.inspect(func(w *workset) {
-		names, _, _ := w.ready(now, e.service)
+		names, _, _ := w.ready(now, e.serviceFor)
 		for _, other := range names {
 			found = found || other == name
 		}
@@ -138,42 +146,44 @@
 	return found
 }
 
-func (d *dispatcher) startOne(ctx context.Context, name protocol.ServiceName) bool {
+// startNext waits for a slot and starts the next item of the service on it. It
+// reports false if no item was started.
+func (d *dispatcher) startNext(ctx context.Context, name protocol.ServiceName) bool {
 	select {
-	case d.places <- struct{}{}:
+	case d.inFlight <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
 	slot, err := d.executor.slots.Acquire(ctx, name)
 	if err != nil {
-		<-d.places
+		<-d.inFlight
 		return false
 	}
 	runCtx, stop := context.WithCancelCause(ctx)
-	item, ok := d.executor.start(name, stop)
+	item, ok := d.executor.assignItem(name, stop)
 	if !ok {
 		stop(nil)
 		slot.Release(coordination.CallResult{})
-		<-d.places
+		<-d.inFlight
 		return false
 	}
-	d.lanes.Add(1)
+	d.loops.Add(1)
 	go func() {
-		defer d.lanes.Done()
-		defer func() { <-d.places }()
+		defer d.loops.Done()
+		defer func() { <-d.inFlight }()
 		d.executor.run(ctx, runCtx, stop, slot, item)
 	}()
 	return true
 }
 
-// start chooses the item for a place that was just acquired. The session is
-// checked once more, since the wait for the place may have been long.
-func (e *Executor) start(name protocol.ServiceName, stop context.CancelCauseFunc) (item Item, ok bool) {
+// assignItem selects the item for a slot that was just acquired. It checks the
+// session again, because the wait for the slot may have been long.
+func (e *Executor) assignItem(name protocol.ServiceName, stop context.CancelCauseFunc) (item Item, ok bool) {
 	if !e.mayStart() {
 		return Item{}, false
 	}
 	e.inspect(func(w *workset) {
-		item, ok = w.start(name, time.Now(), e.service, stop)
+		item, ok = w.start(name, time.Now(), e.serviceFor, stop)
 		if ok {
 			e.started++
 		}
--- a/internal/coordination/batch/entryreader.go
+++ b/internal/coordination/batch/entryreader.go
@@ -12,18 +12,19 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// keptEntries is the number of entries that a reader keeps: neighbouring chunks
-// share them. Each takes up to a megabyte.
-const keptEntries = 2
+// maxCachedEntries is the number of entries that a reader caches, because
+// neighbouring chunks share an entry. Each takes up to a megabyte.
+const maxCachedEntries = 2
 
-// entryReader reads entries of DataStream for one duty or request. It is not
-// safe for concurrent use.
+// entryReader reads entries of DataStream and caches the latest ones. Each
+// background service or request uses its own, because an entryReader is not safe
+// for concurrent use.
 type entryReader struct {
 	journal coordination.Journal
-	kept    []keptEntry
+	cached  []cachedEntry
 }
 
-type keptEntry struct {
+type cachedEntry struct {
 	at    protocol.Offset
 	entry bulk.Entry
 }
@@ -32,10 +33,11 @@
 	return &entryReader{journal: journal}
 }
 
+// read returns the entry at an offset.
 func (r *entryReader) read(ctx context.Context, at protocol.Offset) (bulk.Entry, error) {
-	for _, kept := range r.kept {
-		if kept.at == at {
-			return kept.entry, nil
+	for _, c := range r.cached {
+		if c.at == at {
+			return c.entry, nil
 		}
 	}
 	payload, err := r.journal.ReadData(ctx, at)
@@ -46,10 +48,10 @@
 	if err != nil {
 		return bulk.Entry{}, trace.Wrap(err)
 	}
-	if len(r.kept) == keptEntries {
-		r.kept = r.kept[1:]
+	if len(r.cached) == maxCachedEntries {
+		r.cached = r.cached[1:]
 	}
-	r.kept = append(r.kept, keptEntry{at, entry})
+	r.cached = append(r.cached, cachedEntry{at, entry})
 	return entry, nil
 }
 
@@ -60,12 +62,12 @@
 		return nil, err
 	}
 	if ref.First < 0 || ref.Items < 1 || ref.First+ref.Items > len(entry.Items) {
-		return nil, trace.Wrap(fmt.Errorf("entry %d does not hold the chunk: %w", ref.Offset, protocol.ErrMalformed))
+		return nil, trace.Wrap(fmt.Errorf("entry %d does not contain the chunk: %w", ref.Offset, protocol.ErrMalformed))
 	}
 	return entry.Items[ref.First : ref.First+ref.Items], nil
 }
 
-// results returns the results of a chunk that an entry holds.
+// results returns the results of a chunk in the entry at an offset.
 func (r *entryReader) results(ctx context.Context, at protocol.Offset, id ledger.ChunkID) ([]bulk.Result, error) {
 	entry, err := r.read(ctx, at)
 	if err != nil {
@@ -76,5 +78,5 @@
 			return section.Results, nil
 		}
 	}
-	return nil, trace.Wrap(fmt.Errorf("entry %d holds no results of %v: %w", at, id, protocol.ErrMalformed))
+	return nil, trace.Wrap(fmt.Errorf("entry %d contains no results of chunk %v: %w", at, id, protocol.ErrMalformed))
 }
--- a/internal/coordination/batch/fileid.go
+++ b/internal/coordination/batch/fileid.go
@@ -11,24 +11,25 @@
 	"merlintiller/internal/protocol"
 )
 
-// An uploaded file has no control record: its id is the offset of its
-// description in DataStream with a hash of that description. So any instance
-// can serve it, an upload costs the control stream nothing, and a crash in the
-// middle of an upload leaves nothing to clean up.
+// An uploaded file has no control record. Its id consists of the offset of its
+// description in DataStream and a hash of that description. Therefore every
+// instance can serve the file, an upload appends nothing to the control stream,
+// and a crash during an upload leaves nothing to clean up.
 //
-// The hash is no secret. It catches an id that points at some other entry; who
-// may read the file is decided by the organisation that the description names.
+// The hash is not a secret. It detects an id that refers to a different entry.
+// Read access depends on the organisation in the description.
 const (
 	filePrefix   = "file-"
 	outputPrefix = "file-out-"
 	errorPrefix  = "file-err-"
 )
 
+// fileID is the id of the file whose description is stored at an offset.
 func fileID(at protocol.Offset, description []byte) string {
 	return fmt.Sprintf("%s%x-%016x", filePrefix, int64(at), xxhash.Sum64(description))
 }
 
-// parseFileID reads what fileID wrote.
+// parseFileID parses an id made by fileID.
 func parseFileID(id string) (at protocol.Offset, hash uint64, ok bool) {
 	rest, found := strings.CutPrefix(id, filePrefix)
 	if !found {
@@ -46,13 +47,15 @@
 	return protocol.Offset(offset), hash, err == nil
 }
 
-// OutputFileID is the id of the file with a job's good results.
+// OutputFileID is the id of the file with a job's successful results.
 func OutputFileID(job protocol.JobID) string { return outputPrefix + string(job) }
 
-// ErrorFileID is the id of the file with a job's failed and missing results.
+// ErrorFileID is the id of the file with a job's failed results and with an
+// error line for each item without a result.
 func ErrorFileID(job protocol.JobID) string { return errorPrefix + string(job) }
 
-// parseResultFileID reads what OutputFileID and ErrorFileID wrote.
+// parseResultFileID parses an id made by OutputFileID or ErrorFileID. failed
+// reports whether it belongs to an error file.
 func parseResultFileID(id string) (job protocol.JobID, failed, ok bool) {
 	if rest, found := strings.CutPrefix(id, outputPrefix); found {
 		return protocol.JobID(rest), false, rest != ""
--- a/internal/coordination/batch/files.go
+++ b/internal/coordination/batch/files.go
@@ -17,84 +17,87 @@
 	"merlintiller/internal/state/replica"
 )
 
-// File is a file as callers see it.
+// File describes an input, output or error file to callers.
 type File struct {
 	ID      string
 	Name    string
 	Bytes   int64
 	Purpose string
 	Created time.Time
-	// Expires is when the file may no longer be there.
+	// Expires is the time from which the file may be unavailable.
 	Expires time.Time
 }
 
-// The purposes of files.
+// Purposes of files.
 const (
 	PurposeBatch  = "batch"
 	PurposeOutput = "batch_output"
 )
 
-// maxChunks bounds the chunks of a file, since all their offsets stand in the
-// manifest, which must fit in a log entry with others.
+// maxChunks limits the chunks of a file. The job manifest lists the offsets of
+// all chunks and must fit in a log entry together with other records.
 const maxChunks = 20_000
 
-// UploadFile stores an input file. It is acknowledged once its last entry
-// stands in the log, and outlives the instance from then on.
+// UploadFile stores an input file. It returns after the last entry of the file
+// is stored in the log; from then on the file survives the loss of the instance.
 func (s *Service) UploadFile(ctx context.Context, org protocol.OrganisationID, name string, input io.Reader) (File, *protocol.Refusal) {
-	chunks := newChunker(s.opts, input)
+	splitter := newEntrySplitter(s.opts, input)
 	var entries []protocol.ChunkRef
 	for {
-		items, err := chunks.next()
+		items, err := splitter.next()
 		if err != nil {
-			return File{}, refuseInput(err)
+			return File{}, inputRefusal(err)
 		}
 		if len(items) == 0 {
 			break
 		}
 		at, err := s.appendEntry(ctx, bulk.Entry{Items: items})
 		if err != nil {
-			return File{}, s.refuseStorage(err, "the upload")
+			return File{}, s.storageRefusal(err, "the upload")
 		}
 		entries = append(entries, protocol.ChunkRef{Offset: at, Items: len(items)})
 	}
 	if len(entries) == 0 {
-		return File{}, badRequest("file", "the file has no items")
+		return File{}, badRequest("file", "the file contains no items")
 	}
-	refs := split(entries, s.chunkItems(chunks.items))
+	refs := splitIntoChunks(entries, s.chunkItems(splitter.items))
 	if len(refs) > maxChunks {
 		return File{}, protocol.Refuse(protocol.CodeTooLarge, 0, "the file has more than %d chunks", maxChunks)
 	}
-	return s.describe(ctx, bulk.File{
+	return s.appendDescription(ctx, bulk.File{
 		Organisation: org,
 		Name:         name,
-		Bytes:        chunks.bytes,
-		Items:        chunks.items,
-		Hash:         chunks.hash.Sum64(),
-		Endpoint:     chunks.endpoint,
+		Bytes:        splitter.bytes,
+		Items:        splitter.items,
+		Hash:         splitter.hash.Sum64(),
+		Endpoint:     splitter.endpoint,
 		Chunks:       refs,
-		Models:       slices.Sorted(maps.Keys(chunks.models)),
+		Models:       slices.Sorted(maps.Keys(splitter.models)),
 		Created:      time.Now().UTC().Truncate(time.Second),
 	})
 }
 
-// Bounds of the size of chunks. Smaller ones spread a small job over all
-// instances, each of which reaches only the targets it feeds; larger ones cost
-// fewer appends.
+// Parameters for dividing a file into chunks. Small chunks distribute a small job
+// over all instances, each of which can only use the targets assigned to it. Large
+// chunks need fewer appends.
 const (
-	minChunkItems     = 16
+	// minChunkItems is the minimum number of items per chunk.
+	minChunkItems = 16
+	// chunksPerInstance is the intended number of chunks per instance.
 	chunksPerInstance = 4
 )
 
-// chunkItems chooses the size of the chunks of a file.
+// chunkItems returns the number of items per chunk for a file.
 func (s *Service) chunkItems(items int) int {
 	instances := 0
-	s.journal.View(func(state *replica.State) { instances = len(openIDs(state)) })
-	size := ceilDivide(items, max(1, instances)*chunksPerInstance)
+	s.journal.View(func(state *replica.State) { instances = len(openSessions(state)) })
+	size := ceilDiv(items, max(1, instances)*chunksPerInstance)
 	return min(max(size, minChunkItems), protocol.MaxChunkItems)
 }
 
-// split cuts the items of entries into chunks.
-func split(entries []protocol.ChunkRef, size int) (refs []protocol.ChunkRef) {
+// splitIntoChunks divides the items of each entry into chunks of at most size
+// items.
+func splitIntoChunks(entries []protocol.ChunkRef, size int) (refs []protocol.ChunkRef) {
 	for _, entry := range entries {
 		for first := 0; first < entry.Items; first += size {
 			count := min(size, entry.Items-first)
@@ -104,8 +107,9 @@
 	return refs
 }
 
-// describe appends the description, after which the file exists.
-func (s *Service) describe(ctx context.Context, file bulk.File) (File, *protocol.Refusal) {
+// appendDescription appends the description of a file. The file exists once the
+// description is stored.
+func (s *Service) appendDescription(ctx context.Context, file bulk.File) (File, *protocol.Refusal) {
 	if refusal := s.checkModels(file.Models); refusal != nil {
 		return File{}, refusal
 	}
@@ -115,11 +119,12 @@
 	}
 	at, err := s.appendData(ctx, payload)
 	if err != nil {
-		return File{}, s.refuseStorage(err, "the upload")
+		return File{}, s.storageRefusal(err, "the upload")
 	}
 	return s.fileView(fileID(at, payload), &file), nil
 }
 
+// fileView describes an uploaded file to callers.
 func (s *Service) fileView(id string, file *bulk.File) File {
 	return File{
 		ID:      id,
@@ -131,9 +136,9 @@
 	}
 }
 
-// checkModels refuses models that batch can't run. Items run again when an
-// instance dies in the middle of one, so they may only go to services whose
-// calls may be repeated.
+// checkModels rejects models that batch jobs can't use. An item runs again if
+// its instance crashes during the run, so items may only use services whose
+// calls are idempotent.
 func (s *Service) checkModels(models []protocol.ModelName) *protocol.Refusal {
 	fleet := s.journal.Fleet()
 	for _, name := range models {
@@ -144,19 +149,21 @@
 			return refusal
 		}
 		if !fleet.Services[model.Service].Repeatable {
-			return badRequest("body.model", "model %q is served by a service whose calls may not be repeated, which batch needs", name)
+			return badRequest("body.model", "model %q can't be used in batch jobs, because the calls of its service are not idempotent", name)
 		}
 	}
 	return nil
 }
 
+// badRequest returns a refusal of the request because of the parameter param.
 func badRequest(param, format string, args ...any) *protocol.Refusal {
 	refusal := protocol.Refuse(protocol.CodeBadRequest, 0, format, args...)
 	refusal.Param = param
 	return refusal
 }
 
-func refuseInput(err error) *protocol.Refusal {
+// inputRefusal converts an error of entrySplitter into a refusal.
+func inputRefusal(err error) *protocol.Refusal {
 	var line *LineError
 	if errors.As(err, &line) {
 		return badRequest(cmp.Or(line.Field, "file"), "%s", line.Error())
@@ -164,9 +171,10 @@
 	if errors.Is(err, errTooLarge) {
 		return protocol.Refuse(protocol.CodeTooLarge, 0, "%s", err)
 	}
-	return badRequest("file", "the upload broke off: %s", err)
+	return badRequest("file", "the upload was interrupted: %s", err)
 }
 
+// appendEntry stores an entry in DataStream with the current time.
 func (s *Service) appendEntry(ctx context.Context, entry bulk.Entry) (protocol.Offset, error) {
 	entry.At = time.Now().Unix()
 	payload, err := bulk.Encode(entry)
@@ -177,15 +185,17 @@
 	return at, trace.Wrap(err)
 }
 
-// appendData bounds one append: the journal goes on trying for as long as it
-// is let, and a caller is better told to come back.
+// appendData appends with a timeout. The journal retries until ctx ends, and
+// rejecting the call with a retry delay is better for the caller than a long
+// wait.
 func (s *Service) appendData(ctx context.Context, payload []byte) (protocol.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.SubmitTimeout)
 	defer cancel()
 	return s.journal.AppendData(ctx, payload)
 }
 
-// File returns a file of the organisation. To any other it does not exist.
+// File describes a file of the organisation. For any other organisation the
+// file does not exist.
 func (s *Service) File(ctx context.Context, org protocol.OrganisationID, id string) (File, *protocol.Refusal) {
 	if job, failed, ok := parseResultFileID(id); ok {
 		return s.resultFile(ctx, org, job, failed)
@@ -207,7 +217,7 @@
 	}
 	payload, err := s.journal.ReadData(ctx, at)
 	if err != nil {
-		return nil, s.refuseStorage(err, "file "+id)
+		return nil, s.storageRefusal(err, "file "+id)
 	}
 	if xxhash.Sum64(payload) != hash {
 		return nil, unknown
@@ -219,9 +229,10 @@
 	return entry.File, nil
 }
 
-// FileContent writes the content of a file. It refuses before the first byte
-// or not at all; an error after that leaves the content short, and the caller
-// must break the connection so that nobody takes it for whole.
+// FileContent writes the content of a file to out. It returns a refusal only if
+// nothing has been written. An error means that the content is truncated; the
+// caller of FileContent must then abort the connection, so that the client does
+// not mistake the content for complete.
 func (s *Service) FileContent(ctx context.Context, org protocol.OrganisationID, id string, out io.Writer) (*protocol.Refusal, error) {
 	if job, failed, ok := parseResultFileID(id); ok {
 		return s.resultContent(ctx, org, job, failed, out)
@@ -234,7 +245,7 @@
 	for i, ref := range file.Chunks {
 		items, err := entries.items(ctx, ref)
 		if err != nil && i == 0 {
-			return s.refuseStorage(err, "file "+id), nil
+			return s.storageRefusal(err, "file "+id), nil
 		}
 		if err != nil {
 			return nil, trace.Wrap(err)
--- a/internal/coordination/batch/flusher.go
+++ b/internal/coordination/batch/flusher.go
@@ -12,54 +12,58 @@
 	"merlintiller/internal/state/replica"
 )
 
-// flusher is the duty that appends results in groups: one entry of DataStream
-// for the results of all chunks at hand, then one control record about it.
+// flusher is the background service that appends results in groups: one entry of
+// DataStream with the buffered results of all chunks, then one control record
+// that refers to it.
 //
-// One append is under way at a time, and results are taken meanwhile, so that
-// an outage of the log fills the buffer and not the places at the targets.
+// One append is in flight at a time. Meanwhile flusher keeps receiving results,
+// so that an outage of the log fills the buffer and does not block slots at the
+// targets.
 type flusher struct {
 	*Executor
 	buffer *resultBuffer
-	// appending gets the sections under way when their append is over.
-	appending chan appended
-	busy      bool
-	// waiters are the drains that wait for an empty buffer.
+	// appendDone receives the sections in flight when their append has ended.
+	appendDone     chan appendResult
+	appendInFlight bool
+	// waiters are the channels of pending flush requests. They are closed when the
+	// buffer is empty or an append has failed.
 	waiters []chan struct{}
 }
 
-// appended is how an append of sections ended.
-type appended struct {
+// appendResult is the outcome of an append.
+type appendResult struct {
 	sections []*section
-	all      bool
+	// decided reports whether replay has decided the record of the sections.
+	decided bool
 }
 
 func newFlusher(e *Executor) *flusher {
-	return &flusher{Executor: e, buffer: newResultBuffer(), appending: make(chan appended, 1)}
+	return &flusher{Executor: e, buffer: newResultBuffer(), appendDone: make(chan appendResult, 1)}
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (f *flusher) String() string { return "batch flusher" }
 
-// flushTick is how often the age of waiting results is looked at.
+// flushTick is the interval at which flusher checks the age of buffered results.
 const flushTick = 250 * time.Millisecond
 
-// flushRetry is the wait after a failed append.
+// flushRetry is the delay after a failed append.
 const flushRetry = time.Second
 
-// Serve appends results until ctx ends. The buffer outlives a restart of the
-// duty by the supervisor.
+// Serve appends results until ctx ends. The buffer is kept when the supervisor
+// restarts the service.
 func (f *flusher) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(flushTick)
 	defer ticker.Stop()
 	for {
-		f.begin(ctx)
+		f.startAppend(ctx)
 		select {
-		case next := <-f.source():
+		case next := <-f.resultSource():
 			f.buffer.add(next, time.Now())
-		case over := <-f.appending:
-			f.end(over)
-		case done := <-f.flushNow:
-			f.takeAll()
+		case result := <-f.appendDone:
+			f.finishAppend(result)
+		case done := <-f.flushRequests:
+			f.takeQueued()
 			f.waiters = append(f.waiters, done)
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -68,16 +72,17 @@
 	}
 }
 
-// source is the ring of results, or nothing while the buffer is full: then the
-// ring fills, and runs stop starting.
-func (f *flusher) source() <-chan finished {
+// resultSource returns the channel of the result ring, or nil while the buffer is
+// full. The ring then fills up, and no more items start.
+func (f *flusher) resultSource() <-chan itemResult {
 	if f.buffer.bytes >= f.opts.BufferBytes {
 		return nil
 	}
 	return f.results.Chan()
 }
 
-func (f *flusher) takeAll() {
+// takeQueued moves all results from the ring to the buffer.
+func (f *flusher) takeQueued() {
 	for {
 		next, ok := f.results.TryTake()
 		if !ok {
@@ -87,49 +92,51 @@
 	}
 }
 
-// begin starts an append if one is due and none is under way.
-func (f *flusher) begin(ctx context.Context) {
-	if f.busy {
+// startAppend starts an append if one is needed and none is in flight.
+func (f *flusher) startAppend(ctx context.Context) {
+	if f.appendInFlight {
 		return
 	}
 	if f.buffer.empty() {
-		f.wakeWaiters()
+		f.notifyWaiters()
 		return
 	}
-	if len(f.waiters) == 0 && !f.due(time.Now()) {
+	if len(f.waiters) == 0 && !f.shouldAppend(time.Now()) {
 		return
 	}
-	f.busy = true
+	f.appendInFlight = true
 	sections := f.buffer.take(bulk.MaxPayload)
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, f.opts.SubmitTimeout)
 		defer cancel()
-		f.appending <- appended{sections: sections, all: f.append(ctx, sections)}
+		f.appendDone <- appendResult{sections: sections, decided: f.appendSections(ctx, sections)}
 	}()
 }
 
-func (f *flusher) end(over appended) {
-	f.busy = false
-	if over.all {
+// finishAppend puts the sections of a failed append back into the buffer.
+func (f *flusher) finishAppend(result appendResult) {
+	f.appendInFlight = false
+	if result.decided {
 		return
 	}
-	f.buffer.putBack(over.sections, time.Now().Add(flushRetry))
-	// A drain does not wait for the log to come back: what is not appended
-	// runs again elsewhere.
-	f.wakeWaiters()
+	f.buffer.putBack(result.sections, time.Now().Add(flushRetry))
+	// A drain does not wait until the log recovers. Items whose results are not
+	// appended run again on another instance.
+	f.notifyWaiters()
 }
 
-func (f *flusher) wakeWaiters() {
+// notifyWaiters ends all calls of Executor.flush.
+func (f *flusher) notifyWaiters() {
 	for _, done := range f.waiters {
 		close(done)
 	}
 	f.waiters = nil
 }
 
-// due says whether the waiting results must be appended now: there are many,
-// they are old, a job's deadline is near, or they are the last of a job, so that
-// somebody may wait for just them.
-func (f *flusher) due(now time.Time) bool {
+// shouldAppend reports whether the buffered results must be appended now: they are
+// large or old, the deadline of a job is near, or they are the last ones of a
+// job, so that its caller may be waiting for them.
+func (f *flusher) shouldAppend(now time.Time) bool {
 	if now.Before(f.buffer.notBefore) {
 		return false
 	}
@@ -139,61 +146,64 @@
 	if f.buffer.deadline.Sub(now) < f.opts.DeadlineMargin {
 		return true
 	}
-	return f.lastOfJob()
+	return f.hasLastOfJob()
 }
 
-// lastOfJob says whether results wait of a job that has no chunk left to take,
-// and of which nothing runs here any more. The job ends with its last chunk, so
-// appending one of several earlier would only cost appends.
-func (f *flusher) lastOfJob() bool {
-	var done []protocol.JobID
+// hasLastOfJob reports whether the buffer contains results of a job that has no
+// claimable chunk left and of which all items on this instance have results. The
+// job ends with its last chunk, so appending any of its chunks earlier would only
+// cost additional appends.
+func (f *flusher) hasLastOfJob() bool {
+	var candidates []protocol.JobID
 	f.inspect(func(w *workset) {
 		for id := range f.buffer.chunks {
-			if w.doneWith(id.Job) {
-				done = append(done, id.Job)
+			if w.jobResultsQueued(id.Job) {
+				candidates = append(candidates, id.Job)
 			}
 		}
 	})
-	if len(done) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
 	last := false
 	f.journal.View(func(state *replica.State) {
-		for _, job := range done {
+		for _, job := range candidates {
 			last = last || len(state.Ledger.Claimable(job, state.Sessions, 0, math.MaxInt, 1)) == 0
 		}
 	})
 	return last
 }
 
-// doneWith says that every held item of a job has its result at hand.
-func (w *workset) doneWith(job protocol.JobID) bool {
+// jobResultsQueued reports whether every held item of a job has a result in the
+// ring or the buffer.
+func (w *workset) jobResultsQueued(job protocol.JobID) bool {
 	for id := range w.chunks {
-		if id.Job == job && !w.whole(id) {
+		if id.Job == job && !w.chunkResultsQueued(id) {
 			return false
 		}
 	}
 	return true
 }
 
-// whole says that every item of a chunk that this instance may still run has
-// its result at hand.
-func (w *workset) whole(id ledger.ChunkID) bool {
+// chunkResultsQueued reports whether every item of a chunk that this instance may
+// still run has a result in the ring or the buffer.
+func (w *workset) chunkResultsQueued(id ledger.ChunkID) bool {
 	c := w.chunks[id]
 	if c == nil {
 		return true
 	}
 	for _, t := range c.tasks {
-		if t.state != taskReported {
+		if t.state != taskResultQueued {
 			return false
 		}
 	}
 	return true
 }
 
-// append stores sections and reports them. It is false if their fate is not
-// known: they are reported again, and replay drops what already stands.
-func (f *flusher) append(ctx context.Context, sections []*section) bool {
+// appendSections stores sections in the log and submits their record. It reports
+// false if the outcome is unknown. The sections are then submitted again, and
+// replay ignores results that are already recorded.
+func (f *flusher) appendSections(ctx context.Context, sections []*section) bool {
 	entry := bulk.Entry{At: time.Now().Unix()}
 	for _, s := range sections {
 		entry.Results = append(entry.Results, bulk.Section{Job: s.id.Job, Chunk: s.id.Chunk, Results: s.results})
@@ -208,30 +218,31 @@
 		_ = f.logger.Log("event", "results_wait", "bytes", len(payload), "err", err)
 		return false
 	}
-	return f.reportAll(ctx, at, sections)
+	return f.submitResults(ctx, at, sections)
 }
 
-// reportAll writes one record for all sections. Once replay has decided it,
-// whatever the verdict, nothing remains to be done for them.
-func (f *flusher) reportAll(ctx context.Context, at protocol.Offset, sections []*section) bool {
+// submitResults submits one record for all sections and reports whether replay has
+// decided it. The sections are then removed, whatever the verdict.
+func (f *flusher) submitResults(ctx context.Context, at protocol.Offset, sections []*section) bool {
 	body := &protocol.ChunkResults{}
 	for _, s := range sections {
 		body.Parts = append(body.Parts, s.record(at))
 	}
 	outcome := f.journal.Submit(ctx, protocol.Record{ChunkResults: body})
-	if !isSettled(outcome) {
+	if !isDecided(outcome) {
 		return false
 	}
 	for _, s := range sections {
 		counters.Add("results_"+string(outcome.Verdict), int64(len(s.results)))
-		f.unsettled.Add(-int64(s.bytes))
-		f.update(func(w *workset) { w.settled(s.id, s.numbers()) })
+		f.unrecordedBytes.Add(-int64(s.bytes))
+		f.update(func(w *workset) { w.recorded(s.id, s.itemNumbers()) })
 	}
 	return true
 }
 
-// isSettled says that replay has decided the record for good. Without a
-// session a result waits for the next one: who held the claim does not matter.
-func isSettled(outcome coordination.Outcome) bool {
+// isDecided reports whether the verdict of replay is final. A record that was
+// rejected because the instance had no session is submitted again under its next
+// session: results are accepted whichever session held the claim.
+func isDecided(outcome coordination.Outcome) bool {
 	return outcome.Run == protocol.Completed && outcome.Verdict != protocol.NoSession
 }
--- a/internal/coordination/batch/chunker_test.go
+++ b/internal/coordination/batch/input_test.go
@@ -18,22 +18,22 @@
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":"/v1/completions","body":{"model":"m"%s}}`, id, extra) + "\n"
 }
 
-func chunksOf(t require.TestingT, opts Options, text string) [][]bulk.Item {
-	c := newChunker(opts.withDefaults(), strings.NewReader(text))
-	var chunks [][]bulk.Item
+func entriesOf(t require.TestingT, opts Options, text string) [][]bulk.Item {
+	c := newEntrySplitter(opts.withDefaults(), strings.NewReader(text))
+	var entries [][]bulk.Item
 	for {
 		items, err := c.next()
 		require.NoError(t, err)
 		if len(items) == 0 {
-			return chunks
+			return entries
 		}
-		chunks = append(chunks, items)
+		entries = append(entries, items)
 	}
 }
 
-// A caller's file has one wrong line among thousands. The refusal must name the
-// line and the field, or nobody finds it.
-func TestWrongLinesAreNamed(t *testing.T) {
+// A file has one invalid line among thousands. The refusal must contain the line
+// number and the field, or the caller can't find the line.
+func TestInvalidLinesAreReported(t *testing.T) {
 	good := inputLine("a", "")
 	cases := map[string]struct {
 		line, field string
@@ -43,7 +43,7 @@
 		"unknown field":  {`{"custom_id":"b","methud":"POST"}` + "\n", ""},
 		"no custom id":   {inputLine("", ""), "custom_id"},
 		"long custom id": {inputLine(strings.Repeat("x", 600), ""), "custom_id"},
-		"twice":          {good, "custom_id"},
+		"duplicate":      {good, "custom_id"},
 		"method":         {`{"custom_id":"b","method":"GET","url":"/v1/completions","body":{"model":"m"}}` + "\n", "method"},
 		"url":            {`{"custom_id":"b","method":"POST","url":"/v1/files","body":{"model":"m"}}` + "\n", "url"},
 		"another url":    {`{"custom_id":"b","method":"POST","url":"/v1/embeddings","body":{"model":"m"}}` + "\n", "url"},
@@ -52,22 +52,22 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			c := newChunker(Options{}.withDefaults(), strings.NewReader(good+"\n"+test.line))
+			c := newEntrySplitter(Options{}.withDefaults(), strings.NewReader(good+"\n"+test.line))
 			_, err := c.next()
-			var wrong *LineError
-			require.ErrorAs(t, err, &wrong)
-			require.Equal(t, 3, wrong.Line)
-			require.Equal(t, test.field, wrong.Field)
-			refusal := refuseInput(err)
+			var lineErr *LineError
+			require.ErrorAs(t, err, &lineErr)
+			require.Equal(t, 3, lineErr.Line)
+			require.Equal(t, test.field, lineErr.Field)
+			refusal := inputRefusal(err)
 			require.Equal(t, protocol.CodeBadRequest, refusal.Code)
 			require.Contains(t, refusal.Message, "line 3")
 		})
 	}
 }
 
-// A caller sends a file without end, or a line without end. It must be refused
-// before it fills the memory of the instance.
-func TestLargeInputIsRefused(t *testing.T) {
+// A caller uploads a file or a line of unlimited size. The upload must be rejected
+// before it exhausts the memory of the instance.
+func TestLargeInputIsRejected(t *testing.T) {
 	for name, opts := range map[string]Options{
 		"line":  {MaxLineBytes: 100},
 		"file":  {MaxFileBytes: 500},
@@ -78,31 +78,31 @@
 			for i := range 10 {
 				text += inputLine(fmt.Sprint(i), `,"p":"`+strings.Repeat("x", i*10)+`"`)
 			}
-			c := newChunker(opts.withDefaults(), strings.NewReader(text))
+			c := newEntrySplitter(opts.withDefaults(), strings.NewReader(text))
 			_, err := c.next()
 			require.ErrorIs(t, err, errTooLarge)
-			require.Equal(t, protocol.CodeTooLarge, refuseInput(err).Code)
+			require.Equal(t, protocol.CodeTooLarge, inputRefusal(err).Code)
 		})
 	}
 }
 
-// An upload breaks off in the middle. It is no file.
-func TestBrokenUploadIsRefused(t *testing.T) {
-	broken := io.MultiReader(strings.NewReader(inputLine("a", "")), errReader{})
-	_, err := newChunker(Options{}.withDefaults(), broken).next()
-	require.ErrorIs(t, err, errBroken)
-	require.Equal(t, protocol.CodeBadRequest, refuseInput(err).Code)
+// The connection fails during an upload. The truncated input must not become a file.
+func TestInterruptedUploadIsRejected(t *testing.T) {
+	interrupted := io.MultiReader(strings.NewReader(inputLine("a", "")), errReader{})
+	_, err := newEntrySplitter(Options{}.withDefaults(), interrupted).next()
+	require.ErrorIs(t, err, errReset)
+	require.Equal(t, protocol.CodeBadRequest, inputRefusal(err).Code)
 }
 
-var errBroken = errors.New("connection reset")
+var errReset = errors.New("connection reset")
 
 type errReader struct{}
 
-func (errReader) Read([]byte) (int, error) { return 0, errBroken }
+func (errReader) Read([]byte) (int, error) { return 0, errReset }
 
-// A file of any mix of line sizes is cut into entries. Each must fit in a log
-// entry and keep every item in its order, or items would be lost.
-func TestChunksFitAndKeepEveryItem(t *testing.T) {
+// A file is split into entries. Each must fit in a log entry, and together they must
+// contain every item in its original order, or items would be lost.
+func TestEntriesFitAndKeepEveryItem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 2600).Draw(t, "items")
 		size := rapid.SampledFrom([]int{0, 100, 20_000, 200_000}).Draw(t, "size")
@@ -114,12 +114,12 @@
 			text.WriteString(inputLine(fmt.Sprint(i), `,"p":"`+strings.Repeat("x", size)+`"`))
 		}
 		next := 0
-		for _, chunk := range chunksOf(t, Options{}, text.String()) {
-			require.LessOrEqual(t, len(chunk), entryItems)
-			data, err := bulk.Encode(bulk.Entry{At: 1 << 40, Items: chunk})
+		for _, items := range entriesOf(t, Options{}, text.String()) {
+			require.LessOrEqual(t, len(items), maxEntryItems)
+			data, err := bulk.Encode(bulk.Entry{At: 1 << 40, Items: items})
 			require.NoError(t, err)
 			require.LessOrEqual(t, len(data), protocol.MaxEntryBytes)
-			for _, item := range chunk {
+			for _, item := range items {
 				require.Equal(t, fmt.Sprint(next), item.CustomID)
 				next++
 			}
@@ -134,8 +134,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		item, endpoint, err := parseLine(1, data)
 		if err != nil {
-			var wrong *LineError
-			require.ErrorAs(t, err, &wrong)
+			var lineErr *LineError
+			require.ErrorAs(t, err, &lineErr)
 			return
 		}
 		require.NotEmpty(t, item.CustomID)
@@ -158,7 +158,7 @@
 	})
 }
 
-func TestFileIDsAreToldApart(t *testing.T) {
+func TestFileIDsAreDistinguished(t *testing.T) {
 	at, _, ok := parseFileID(fileID(77, []byte("x")))
 	require.True(t, ok)
 	require.EqualValues(t, 77, at)
@@ -172,9 +172,9 @@
 	require.False(t, ok)
 }
 
-// A target sends an answer that is not JSON. The line of the result must be
-// valid JSON all the same, or the caller can't read the whole file.
-func TestForeignBodyIsQuoted(t *testing.T) {
+// A target sends a response body that is not JSON. The line of the output file must
+// still be valid JSON, or the caller can't parse the file.
+func TestNonJSONBodyIsQuoted(t *testing.T) {
 	require.JSONEq(t, `{"a":1}`, string(jsonBody([]byte("{\"a\":\n1}"))))
 	require.Equal(t, `"<html>\n"`, strings.ReplaceAll(strings.ReplaceAll(string(jsonBody([]byte("<html>\n"))), `\u003c`, "<"), `\u003e`, ">"))
 	require.Equal(t, `""`, string(jsonBody(nil)))
--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -10,48 +10,53 @@
 	"merlintiller/internal/state/replica"
 )
 
-// JobRequest asks for a job over an uploaded file.
+// JobRequest describes a job to be created from an uploaded file.
 type JobRequest struct {
+	// InputFile is the id of the uploaded file.
 	InputFile string
-	Endpoint  string
-	// CompletionWindow is the completion window, such as "24h" or "90m".
-	CompletionWindow   string
-	Metadata map[string]string
+	// Endpoint must be the endpoint that the lines of the file use.
+	Endpoint string
+	// CompletionWindow is a duration such as "24h" or "90m".
+	CompletionWindow string
+	Metadata         map[string]string
 }
 
-// Bounds of a caller's metadata, as OpenAI's batch API has them.
+// Limits of a job's metadata, the same as in OpenAI's batch API.
 const (
 	maxMetadata      = 16
 	maxMetadataKey   = 64
 	maxMetadataValue = 512
 )
 
-// maxIdempotencyKey bounds the key, which every instance remembers, in bytes.
+// maxIdempotencyKey limits the length of an idempotency key in bytes, because
+// every instance keeps the keys in memory.
 const maxIdempotencyKey = 256
 
-// Job is a job as callers see it.
+// Job describes a job to callers.
 type Job struct {
 	ledger.JobView
-	// ResultsExpireAt is when the results may be gone; zero while in progress.
+	// ResultsExpireAt is the time from which the results may be unavailable. It
+	// is zero while the job is in progress.
 	ResultsExpireAt time.Time
 }
 
-// CreateBatch submits a job. It is acknowledged once its manifest is read back
-// as the winner, so that no loss of the instance can undo it.
+// CreateBatch submits a job. It returns after the manifest is read back from the
+// log as the first one with its key, so that the job survives the loss of the
+// instance.
 //
-// A job sent again with the same idempotency key is the first one. Without a
-// key the input file stands for it: client libraries resend on their own, and a
-// job that ran twice would be billed twice. Who means to run a file twice
-// sends two keys.
+// A second request with the same idempotency key returns the existing job.
+// Without a key the id of the input file is used instead, because client
+// libraries retry on their own and a job that ran twice would be billed twice.
+// To run a file twice, a caller sends two different keys.
 func (s *Service) CreateBatch(ctx context.Context, org protocol.OrganisationID, req JobRequest, idempotencyKey string) (Job, *protocol.Refusal) {
 	manifest, refusal := s.manifest(ctx, org, req, idempotencyKey)
 	if refusal != nil {
 		return Job{}, refusal
 	}
-	if first, found := s.submitted(org, manifest.IdempotencyKey); found {
-		return s.sameJob(first, manifest)
+	if existing, found := s.jobByKey(org, manifest.IdempotencyKey); found {
+		return s.existingJob(existing, manifest)
 	}
-	if refusal := s.checkCount(org); refusal != nil {
+	if refusal := s.checkJobLimit(org); refusal != nil {
 		return Job{}, refusal
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.SubmitTimeout)
@@ -59,30 +64,31 @@
 	outcome := s.journal.Submit(ctx, protocol.Record{JobSubmit: manifest})
 	switch {
 	case outcome.Run == protocol.NotRun:
-		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not take jobs now")
+		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not accept jobs at the moment")
 	case outcome.Run != protocol.Completed:
 		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace,
 			"the platform did not confirm the job in time; send it again with the same idempotency key to find it or to submit it")
 	case outcome.Verdict == protocol.Accepted || outcome.Verdict == protocol.Duplicate:
-		return s.acknowledge(org, manifest)
+		return s.acceptedJob(org, manifest)
 	case outcome.Verdict == protocol.NoSession:
-		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session now")
+		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session at the moment")
 	}
 	return Job{}, protocol.Refuse(protocol.CodeInternal, s.opts.RetryAfter, "the job was not accepted: %s", outcome.Verdict)
 }
 
-// checkCount bounds the running jobs of an organisation, which every instance
-// holds in memory. Instances that accept at the same moment may pass the bound
-// by a few.
-func (s *Service) checkCount(org protocol.OrganisationID) *protocol.Refusal {
+// checkJobLimit limits the running jobs of an organisation, because every
+// instance keeps them in memory. Several instances that accept jobs at the same
+// time may exceed the limit by a few jobs.
+func (s *Service) checkJobLimit(org protocol.OrganisationID) *protocol.Refusal {
 	count := 0
 	s.journal.View(func(state *replica.State) { count = state.Ledger.RunningOf(org) })
 	if count < s.opts.MaxJobs {
 		return nil
 	}
-	return protocol.Refuse(protocol.CodeRateLimited, s.opts.RetryAfter, "the organisation has %d jobs in progress, the most allowed", count)
+	return protocol.Refuse(protocol.CodeRateLimited, s.opts.RetryAfter, "the organisation has reached the limit of jobs in progress: %d", count)
 }
 
+// manifest validates a request and builds the manifest of its job.
 func (s *Service) manifest(ctx context.Context, org protocol.OrganisationID, req JobRequest, key string) (*protocol.JobSubmit, *protocol.Refusal) {
 	window, refusal := s.checkRequest(req, key)
 	if refusal != nil {
@@ -93,22 +99,23 @@
 		return nil, refusal
 	}
 	if len(file.Chunks) == 0 {
-		return nil, protocol.Refuse(protocol.CodeNotFound, 0, "file %q has no content", req.InputFile)
+		return nil, protocol.Refuse(protocol.CodeNotFound, 0, "file %q is empty", req.InputFile)
 	}
 	now := time.Now().UTC().Truncate(time.Second)
 	if now.Sub(file.Created) > s.opts.FileTTL {
-		return nil, protocol.Refuse(protocol.CodeGone, 0, "file %q was kept for %s only; upload it again", req.InputFile, s.opts.FileTTL)
+		return nil, protocol.Refuse(protocol.CodeGone, 0, "file %q has expired: files are kept for %s; upload it again", req.InputFile, s.opts.FileTTL)
 	}
 	if req.Endpoint != file.Endpoint {
-		return nil, badRequest("endpoint", "the lines of the file ask for %s", file.Endpoint)
+		return nil, badRequest("endpoint", "does not match the file, whose lines use %s", file.Endpoint)
 	}
 	if refusal := s.checkModels(file.Models); refusal != nil {
 		return nil, refusal
 	}
-	// Retention drops the oldest entry first: if that one is there, all are. A
-	// job over lost input would be accepted only to fail.
+	// Retention removes the oldest entry first, so all entries exist if the
+	// first one does. Without this check a job with lost input would be accepted
+	// although all its items must fail.
 	if _, err := newEntryReader(s.journal).items(ctx, file.Chunks[0]); err != nil {
-		return nil, s.refuseStorage(err, "the content of file "+req.InputFile)
+		return nil, s.storageRefusal(err, "the content of file "+req.InputFile)
 	}
 	key = scopedKey(key, req.InputFile)
 	return &protocol.JobSubmit{
@@ -125,8 +132,8 @@
 	}, nil
 }
 
-// scopedKey keeps the keys that callers choose apart from those that stand for
-// an input file.
+// scopedKey adds a prefix that distinguishes keys chosen by callers from keys
+// derived from the input file.
 func scopedKey(key, inputFile string) string {
 	if key == "" {
 		return "file:" + inputFile
@@ -134,13 +141,14 @@
 	return "key:" + key
 }
 
+// checkRequest validates a request and returns its completion window.
 func (s *Service) checkRequest(req JobRequest, key string) (time.Duration, *protocol.Refusal) {
 	window, err := time.ParseDuration(req.CompletionWindow)
 	if err != nil || window <= 0 || window > s.opts.MaxWindow {
 		return 0, badRequest("completion_window", "must be a duration up to %s, such as 24h", s.opts.MaxWindow)
 	}
 	if !slices.Contains(Endpoints, req.Endpoint) {
-		return 0, badRequest("endpoint", "is not an endpoint for batch items")
+		return 0, badRequest("endpoint", "is not a supported endpoint for batch items")
 	}
 	if len(key) > maxIdempotencyKey {
 		return 0, badRequest("idempotency_key", "must have at most %d bytes", maxIdempotencyKey)
@@ -156,57 +164,62 @@
 	return window, nil
 }
 
-// acknowledge answers with the job that won the manifest's key.
-func (s *Service) acknowledge(org protocol.OrganisationID, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
-	first, found := s.submitted(org, manifest.IdempotencyKey)
+// acceptedJob returns the job that was accepted under the manifest's key.
+func (s *Service) acceptedJob(org protocol.OrganisationID, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
+	existing, found := s.jobByKey(org, manifest.IdempotencyKey)
 	if !found {
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the job was accepted and is no longer known")
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the job was accepted but has been deleted since")
 	}
-	return s.sameJob(first, manifest)
+	return s.existingJob(existing, manifest)
 }
 
-// sameJob answers a resend with the first job, unless the key was used for
-// another input.
-func (s *Service) sameJob(first ledger.JobView, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
-	if first.InputHash != manifest.InputHash || first.Endpoint != manifest.Endpoint {
-		return Job{}, protocol.Refuse(protocol.CodeConflict, 0, "the idempotency key was used for another input, as job %s", first.ID)
+// existingJob returns the first job with the manifest's key, unless that job has
+// a different input.
+func (s *Service) existingJob(existing ledger.JobView, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
+	if existing.InputHash != manifest.InputHash || existing.Endpoint != manifest.Endpoint {
+		return Job{}, protocol.Refuse(protocol.CodeConflict, 0, "the idempotency key is already used by job %s with a different input", existing.ID)
 	}
-	return s.job(first), nil
+	return s.callerView(existing), nil
 }
 
-func (s *Service) submitted(org protocol.OrganisationID, key string) (view ledger.JobView, found bool) {
+// jobByKey returns the job of the organisation with an idempotency key.
+func (s *Service) jobByKey(org protocol.OrganisationID, key string) (view ledger.JobView, found bool) {
 	s.journal.View(func(state *replica.State) {
 		view, found = state.Ledger.Submitted(org, key)
 	})
 	return view, found
 }
 
-func (s *Service) job(view ledger.JobView) Job {
+// callerView describes a job to callers.
+func (s *Service) callerView(view ledger.JobView) Job {
 	job := Job{JobView: view}
 	if view.Status != ledger.InProgress {
-		job.ResultsExpireAt = readableUntil(view, s.opts.ResultTTL)
+		job.ResultsExpireAt = resultsExpireAt(view, s.opts.ResultTTL)
 	}
 	return job
 }
 
-// readableUntil is when the results of an ended job may be dropped.
-func readableUntil(view ledger.JobView, kept time.Duration) time.Time {
-	return time.Unix(view.EndedAt, 0).UTC().Add(kept)
+// resultsExpireAt is the time from which the results of an ended job may be
+// deleted.
+func resultsExpireAt(view ledger.JobView, ttl time.Duration) time.Time {
+	return time.Unix(view.EndedAt, 0).UTC().Add(ttl)
 }
 
-// GetBatch returns a job of the organisation. To any other it does not exist.
+// GetBatch returns a job of the organisation. For any other organisation the job
+// does not exist.
 func (s *Service) GetBatch(ctx context.Context, org protocol.OrganisationID, id protocol.JobID) (Job, *protocol.Refusal) {
-	view, refusal := s.find(ctx, org, id)
+	view, refusal := s.findJob(ctx, org, id)
 	if refusal != nil {
 		return Job{}, refusal
 	}
-	return s.job(view), nil
+	return s.callerView(view), nil
 }
 
-// find waits a moment for a job it does not know: the caller may have been
-// given the id by an instance that replays faster.
-func (s *Service) find(ctx context.Context, org protocol.OrganisationID, id protocol.JobID) (ledger.JobView, *protocol.Refusal) {
-	limit := time.Now().Add(s.opts.ReadLag)
+// findJob returns a job of the organisation. It waits up to ReplayWait for an
+// unknown job, because the caller may have received the id from an instance that
+// replays the log faster.
+func (s *Service) findJob(ctx context.Context, org protocol.OrganisationID, id protocol.JobID) (ledger.JobView, *protocol.Refusal) {
+	limit := time.Now().Add(s.opts.ReplayWait)
 	for {
 		changed := s.journal.Changed()
 		var view ledger.JobView
@@ -215,34 +228,37 @@
 		if found && view.Organisation == org {
 			return view, nil
 		}
-		if found || !awaitChange(ctx, changed, time.Until(limit)) {
-			return ledger.JobView{}, s.unknownJob(id)
+		if found || !waitForChange(ctx, changed, time.Until(limit)) {
+			return ledger.JobView{}, s.jobNotFound(id)
 		}
 	}
 }
 
-// unknownJob must not claim that a job does not exist while this instance
-// can't see what was accepted lately.
-func (s *Service) unknownJob(id protocol.JobID) *protocol.Refusal {
+// jobNotFound returns the refusal for an unknown job. While this instance can't
+// read the log, a recently accepted job may be unknown here, so the refusal must
+// not say that the job does not exist.
+func (s *Service) jobNotFound(id protocol.JobID) *protocol.Refusal {
 	if !s.journal.LogUp() {
-		return protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "job %q is not known here, and the platform's log does not answer", id)
+		return protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "job %q is unknown to this instance, and the platform's log does not respond", id)
 	}
 	return protocol.Refuse(protocol.CodeNotFound, 0, "job %q does not exist", id)
 }
 
-// JobPage is a part of the list of an organisation's jobs, newest first.
+// JobPage is one page of an organisation's jobs, newest first.
 type JobPage struct {
 	Jobs []Job
+	// HasMore reports whether older jobs follow this page.
 	HasMore bool
 }
 
-// Bounds of a page.
+// Number of jobs on a page.
 const (
 	defaultPage = 20
 	maxPage     = 100
 )
 
-// ListBatches lists jobs after a job id, or from the newest on if it is empty.
+// ListBatches returns the page of jobs that follows the job with the id after,
+// or the first page if after is empty.
 func (s *Service) ListBatches(_ context.Context, org protocol.OrganisationID, after protocol.JobID, limit int) (JobPage, *protocol.Refusal) {
 	if limit == 0 {
 		limit = defaultPage
@@ -262,20 +278,20 @@
 	end := min(len(views), start+limit)
 	page := JobPage{HasMore: end < len(views)}
 	for _, view := range views[start:end] {
-		page.Jobs = append(page.Jobs, s.job(view))
+		page.Jobs = append(page.Jobs, s.callerView(view))
 	}
 	return page, nil
 }
 
-// CancelBatch stops a job. Results that precede the cancel in the log stand.
-// Cancelling an ended job returns it as it ended.
+// CancelBatch cancels a job. Results that precede the cancel in the log remain
+// valid. Cancelling an ended job returns it unchanged.
 func (s *Service) CancelBatch(ctx context.Context, org protocol.OrganisationID, id protocol.JobID) (Job, *protocol.Refusal) {
-	view, refusal := s.find(ctx, org, id)
+	view, refusal := s.findJob(ctx, org, id)
 	if refusal != nil {
 		return Job{}, refusal
 	}
 	if view.Status != ledger.InProgress {
-		return s.job(view), nil
+		return s.callerView(view), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.SubmitTimeout)
 	defer cancel()
@@ -283,11 +299,11 @@
 	outcome := s.journal.Submit(ctx, protocol.Record{JobCancel: body})
 	switch {
 	case outcome.Run == protocol.NotRun:
-		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not take the cancel now")
+		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not accept the cancel at the moment")
 	case outcome.Run != protocol.Completed:
 		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the platform did not confirm the cancel in time; send it again")
 	case outcome.Verdict == protocol.NoSession:
-		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session now")
+		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session at the moment")
 	}
 	if outcome.Verdict != protocol.Accepted && outcome.Verdict != protocol.AlreadyEnded {
 		return Job{}, protocol.Refuse(protocol.CodeInternal, s.opts.RetryAfter, "the cancel was not accepted: %s", outcome.Verdict)
--- a/internal/coordination/batch/planner.go
+++ b/internal/coordination/batch/planner.go
@@ -11,110 +11,115 @@
 	"merlintiller/internal/protocol"
 )
 
-// Candidate is a running job as the planner sees it.
+// Candidate is a running job whose chunks may be claimed.
 type Candidate struct {
 	Job          protocol.JobID
 	Organisation protocol.OrganisationID
-	// Weight is the organisation's fair share; 0 means 1.
+	// Weight is the weight of the organisation in fair sharing; 0 means 1.
 	Weight   float64
 	Deadline time.Time
-	// Remaining counts the items without a result, Items all, and Chunks the
-	// chunks they stand in.
+	// Remaining is the number of items without a result, Items the number of all
+	// items, and Chunks the number of chunks that contain them.
 	Remaining, Items, Chunks int
 }
 
-// chunkItems is the usual number of items of a chunk.
+// chunkItems is the average number of items in a chunk, rounded up.
 func (c *Candidate) chunkItems() int {
-	return max(1, ceilDivide(c.Items, max(1, c.Chunks)))
+	return max(1, ceilDiv(c.Items, max(1, c.Chunks)))
 }
 
-// PlanInput is what a plan depends on.
+// PlanInput contains everything that a plan depends on.
 type PlanInput struct {
 	Now  time.Time
 	Jobs []Candidate
-	// HeldBy counts the items that this instance holds of each organisation.
-	HeldBy map[protocol.OrganisationID]int
-	// Want is the number of items that this instance is to take, rounded up to
-	// whole chunks.
-	Want int
-	// NeedyOnly leaves out jobs that have time to spare and whose organisation
-	// holds something here: there is enough work at hand without them.
-	NeedyOnly bool
-	// Instances counts the open sessions, and Index is the place of the own one
-	// among them.
+	// HeldItems is the number of items of each organisation that this instance
+	// holds.
+	HeldItems map[protocol.OrganisationID]int
+	// WantItems is the number of items to claim. Plan rounds it up to whole
+	// chunks.
+	WantItems int
+	// UrgentOrUnservedOnly restricts the plan to urgent jobs and to organisations
+	// of which this instance holds no items. It is set when the instance already
+	// holds enough work.
+	UrgentOrUnservedOnly bool
+	// Instances is the number of open sessions, and Index the position of this
+	// instance's session among them.
 	Instances, Index int
-	// Steal takes any chunk, and not just those that fall to this instance.
+	// Steal allows chunks that are assigned to other instances.
 	Steal bool
-	// Claimable lists chunks of a job that may be taken, at most limit, among
-	// count chunks from a number on, going round.
+	// Claimable returns at most limit claimable chunks of a job among the count
+	// chunks that start at number from, wrapping around at the last chunk.
 	Claimable func(job protocol.JobID, from, count, limit int) []int
 }
 
-// ClaimPlan is one claim to make.
+// ClaimPlan is one claim to submit.
 type ClaimPlan struct {
 	Job    protocol.JobID
 	Chunks []int
 }
 
-// Planner decides which chunks to claim. It is pure.
+// Planner decides which chunks to claim. It has no state and no side effects.
 type Planner struct {
 	// UrgentLaxity and ItemTime are as in Options.
 	UrgentLaxity, ItemTime time.Duration
 }
 
-// laxity is the spare time of a job: what is left to its deadline when its
-// items have run, a chunk at a time on every instance.
+// laxity is the spare time of a job: the time left before its deadline after all
+// remaining items have run, with one chunk at a time on every instance.
 func (p Planner) laxity(c *Candidate, in *PlanInput) time.Duration {
-	lanes := max(1, min(c.Chunks, in.Instances)) * lanesPerChunk
-	work := time.Duration(c.Remaining) * p.ItemTime / time.Duration(lanes)
+	parallel := max(1, min(c.Chunks, in.Instances)) * parallelItemsPerChunk
+	work := time.Duration(c.Remaining) * p.ItemTime / time.Duration(parallel)
 	return c.Deadline.Sub(in.Now) - work
 }
 
-// lanesPerChunk is the number of items of a chunk assumed to run at a time.
-const lanesPerChunk = 8
+// parallelItemsPerChunk is the assumed number of items of a chunk that run
+// concurrently.
+const parallelItemsPerChunk = 8
 
-// Plan chooses claims until there is enough. Jobs short of time come
-// first; otherwise the organisation with the fewest items for its weight is
-// served, so that one that sends many jobs does not displace the rest. Within
-// an organisation the job with the least spare time goes first.
+// Plan selects claims until they cover WantItems. Urgent jobs come first. Next
+// comes the organisation with the fewest held items relative to its weight, so
+// that an organisation with many jobs does not displace the others. Within an
+// organisation the job with the least laxity comes first.
 func (p Planner) Plan(in PlanInput) []ClaimPlan {
-	jobs := p.order(&in)
-	held := make(map[protocol.OrganisationID]float64, len(in.HeldBy))
-	for org, count := range in.HeldBy {
+	jobs := p.sortedJobs(&in)
+	held := make(map[protocol.OrganisationID]float64, len(in.HeldItems))
+	for org, count := range in.HeldItems {
 		held[org] = float64(count)
 	}
 	var plans []ClaimPlan
-	want := in.Want
+	want := in.WantItems
 	for want > 0 && len(jobs) > 0 {
 		next := pickJob(jobs, held)
 		job := jobs[next]
-		from, count := in.span(job)
-		chunks := in.Claimable(job.Job, from, count, in.share(job, want))
+		from, count := in.chunkRange(job)
+		chunks := in.Claimable(job.Job, from, count, in.claimLimit(job, want))
 		jobs = slices.Delete(jobs, next, next+1)
 		if len(chunks) == 0 {
 			continue
 		}
 		plans = append(plans, ClaimPlan{Job: job.Job, Chunks: chunks})
 		items := len(chunks) * job.chunkItems()
-		held[job.Organisation] += float64(items) / weightOf(job.Weight)
+		held[job.Organisation] += float64(items) / effectiveWeight(job.Weight)
 		want -= items
 	}
 	return plans
 }
 
+// rankedJob is a job with the properties that determine its priority.
 type rankedJob struct {
 	*Candidate
 	laxity time.Duration
 	urgent bool
 }
 
-func (p Planner) order(in *PlanInput) []rankedJob {
+// sortedJobs returns the jobs that the plan may use, in order of laxity.
+func (p Planner) sortedJobs(in *PlanInput) []rankedJob {
 	jobs := make([]rankedJob, 0, len(in.Jobs))
 	for i := range in.Jobs {
 		c := &in.Jobs[i]
 		laxity := p.laxity(c, in)
 		urgent := laxity < p.UrgentLaxity
-		if urgent || !in.NeedyOnly || in.HeldBy[c.Organisation] == 0 {
+		if urgent || !in.UrgentOrUnservedOnly || in.HeldItems[c.Organisation] == 0 {
 			jobs = append(jobs, rankedJob{Candidate: c, laxity: laxity, urgent: urgent})
 		}
 	}
@@ -124,8 +129,9 @@
 	return jobs
 }
 
-// pickJob finds the first job, in order of spare time, of the organisation
-// that holds least, among the urgent jobs if there are any.
+// pickJob returns the index of the job to claim from next. It considers only the
+// urgent jobs if there are any. Among these it picks the organisation with the
+// fewest held items, and its job with the least laxity.
 func pickJob(jobs []rankedJob, held map[protocol.OrganisationID]float64) int {
 	best := 0
 	for i := range jobs {
@@ -142,36 +148,38 @@
 	return best
 }
 
-// weightOf is the fair share that a configured weight stands for.
-func weightOf(configured float64) float64 {
+// effectiveWeight returns the configured weight, or 1 if none is configured.
+func effectiveWeight(configured float64) float64 {
 	if configured <= 0 {
 		return 1
 	}
 	return configured
 }
 
-// span is the range of chunks of a job that this instance looks at. Each chunk
-// falls to one instance, so that they do not all reach for the same and lose
-// their claims to each other; every lost claim is an append for nothing. Who has
-// nothing of its own steals, from a place of its own.
-func (in *PlanInput) span(job rankedJob) (from, count int) {
+// chunkRange is the range of chunks of a job that this instance considers. Each
+// chunk is assigned to one instance. Otherwise all instances would claim the
+// same chunks, and every rejected claim is a wasted append. An instance that
+// steals considers all chunks and starts at a position of its own.
+func (in *PlanInput) chunkRange(job rankedJob) (from, count int) {
 	hash := xxhash.Sum64String(string(job.Job))
 	if in.Steal || in.Instances < 1 || job.Chunks == 0 {
-		own := xxhash.Sum64String(string(job.Job) + "/" + strconv.Itoa(in.Index))
-		return int(own % uint64(max(1, job.Chunks))), job.Chunks
+		start := xxhash.Sum64String(string(job.Job) + "/" + strconv.Itoa(in.Index))
+		return int(start % uint64(max(1, job.Chunks))), job.Chunks
 	}
-	slot := (in.Index + int(hash%uint64(in.Instances))) % in.Instances
-	from = ceilDivide(slot*job.Chunks, in.Instances)
-	return from, ceilDivide((slot+1)*job.Chunks, in.Instances) - from
+	position := (in.Index + int(hash%uint64(in.Instances))) % in.Instances
+	from = ceilDiv(position*job.Chunks, in.Instances)
+	return from, ceilDiv((position+1)*job.Chunks, in.Instances) - from
 }
 
-func ceilDivide(a, b int) int { return (a + b - 1) / b }
-
-// share bounds one claim, in chunks: to what is wanted, and to an equal part of
-// what is left of the job. Towards its end claims shrink, so that the last
-// chunks do not all wait behind each other at one instance.
-func (in *PlanInput) share(job rankedJob, want int) int {
-	left := ceilDivide(job.Remaining, job.chunkItems())
-	equal := ceilDivide(left, max(1, in.Instances))
-	return max(1, min(ceilDivide(want, job.chunkItems()), equal))
+// ceilDiv returns a/b, rounded up.
+func ceilDiv(a, b int) int { return (a + b - 1) / b }
+
+// claimLimit is the maximum number of chunks in one claim: enough for the wanted
+// items, but no more than an equal share of the remaining chunks of the job.
+// Claims therefore shrink towards the end of a job, so that its last chunks do
+// not all queue on one instance.
+func (in *PlanInput) claimLimit(job rankedJob, want int) int {
+	left := ceilDiv(job.Remaining, job.chunkItems())
+	equal := ceilDiv(left, max(1, in.Instances))
+	return max(1, min(ceilDiv(want, job.chunkItems()), equal))
 }
--- a/internal/coordination/batch/planner_test.go
+++ b/internal/coordination/batch/planner_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// free says that every chunk may be taken.
-func free(jobs []Candidate) func(protocol.JobID, int, int, int) []int {
+// allClaimable returns a PlanInput.Claimable for which every chunk is claimable.
+func allClaimable(jobs []Candidate) func(protocol.JobID, int, int, int) []int {
 	return func(id protocol.JobID, from, count, limit int) []int {
 		var numbers []int
 		for _, job := range jobs {
@@ -44,36 +44,37 @@
 }
 
 func input(jobs ...Candidate) PlanInput {
-	return PlanInput{Now: noon, Jobs: jobs, Want: 1, Instances: 1, Steal: true, Claimable: free(jobs)}
+	return PlanInput{Now: noon, Jobs: jobs, WantItems: 1, Instances: 1, Steal: true, Claimable: allClaimable(jobs)}
 }
 
-// Two jobs wait. The one with less time to spare goes first, also if its
-// deadline is the later one but it is much larger.
-func TestLeastSpareTimeGoesFirst(t *testing.T) {
+// Of two jobs, the one with less laxity comes first. This can be the one with the
+// later deadline if it is much larger.
+func TestLeastLaxityGoesFirst(t *testing.T) {
 	plans := testPlanner.Plan(input(candidate("late", "a", 1, 9*time.Hour), candidate("soon", "a", 1, 8*time.Hour)))
 	require.EqualValues(t, "soon", plans[0].Job)
 	plans = testPlanner.Plan(input(candidate("large", "a", 100, 9*time.Hour), candidate("small", "a", 1, 8*time.Hour)))
 	require.EqualValues(t, "large", plans[0].Job)
 }
 
-// One organisation holds chunks already. Another one's job goes first although
-// its deadline is later.
+// The instance already holds chunks of one organisation. The job of another
+// organisation comes first although its deadline is later.
 func TestOrganisationThatHoldsLessGoesFirst(t *testing.T) {
 	in := input(candidate("one", "a", 9, 5*time.Hour), candidate("two", "b", 1, 9*time.Hour))
-	in.HeldBy = map[protocol.OrganisationID]int{"a": 200}
+	in.HeldItems = map[protocol.OrganisationID]int{"a": 200}
 	require.EqualValues(t, "two", testPlanner.Plan(in)[0].Job)
 }
 
-// A job is about to miss its deadline. It goes ahead of fairness.
+// A job may soon miss its deadline. It takes precedence over fairness between
+// organisations.
 func TestUrgentJobGoesFirst(t *testing.T) {
 	in := input(candidate("urgent", "a", 1, 11*time.Minute), candidate("two", "b", 1, 9*time.Hour))
-	in.HeldBy = map[protocol.OrganisationID]int{"a": 500}
+	in.HeldItems = map[protocol.OrganisationID]int{"a": 500}
 	require.EqualValues(t, "urgent", testPlanner.Plan(in)[0].Job)
 }
 
-// Whatever the jobs, a plan takes no more than is free, no chunk twice, and
-// something if there is anything to take.
-func TestPlanKeepsItsBounds(t *testing.T) {
+// For any jobs, a plan claims no more chunks than wanted, no chunk twice, and at
+// least one chunk if any is wanted and claimable.
+func TestPlanKeepsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var jobs []Candidate
 		total := 0
@@ -85,39 +86,39 @@
 			total += chunks
 		}
 		in := input(jobs...)
-		in.Want = rapid.IntRange(0, 3000).Draw(t, "want")
+		in.WantItems = rapid.IntRange(0, 3000).Draw(t, "want")
 		in.Instances = rapid.IntRange(0, 12).Draw(t, "instances")
 		in.Index = rapid.IntRange(0, 12).Draw(t, "index")
-		taken := 0
+		claimed := 0
 		seen := map[string]bool{}
 		for _, plan := range testPlanner.Plan(in) {
 			for _, number := range plan.Chunks {
 				name := fmt.Sprint(plan.Job, "/", number)
 				require.False(t, seen[name])
 				seen[name] = true
-				taken++
+				claimed++
 			}
 		}
-		require.LessOrEqual(t, taken, ceilDivide(in.Want, protocol.MaxChunkItems))
-		require.Equal(t, in.Want > 0 && total > 0, taken > 0)
+		require.LessOrEqual(t, claimed, ceilDiv(in.WantItems, protocol.MaxChunkItems))
+		require.Equal(t, in.WantItems > 0 && total > 0, claimed > 0)
 	})
 }
 
-// Towards the end of a job one instance must not take all that is left, or the
-// others would wait for it with nothing to do.
+// Towards the end of a job one instance must not claim all remaining chunks, or the
+// others would be idle while it runs them.
 func TestLastChunksAreShared(t *testing.T) {
 	in := input(candidate("one", "a", 8, time.Hour))
-	in.Want = 8 * protocol.MaxChunkItems
+	in.WantItems = 8 * protocol.MaxChunkItems
 	for instances, chunks := range map[int]int{1: 8, 4: 2, 5: 2, 8: 1, 12: 1} {
 		in.Instances = instances
 		require.Len(t, testPlanner.Plan(in)[0].Chunks, chunks)
 	}
 }
 
-// Every chunk of a job falls to exactly one of the instances. One that fell to
-// none would wait until somebody steals it; one that fell to two would cost
-// lost claims.
-func TestEveryChunkFallsToOneInstance(t *testing.T) {
+// Every chunk of a job is assigned to exactly one instance. A chunk assigned to none
+// would wait until an instance steals it. A chunk assigned to two would cause
+// rejected claims.
+func TestEveryChunkIsAssignedToOneInstance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := candidate(rapid.String().Draw(t, "job"), "a", rapid.IntRange(1, 300).Draw(t, "chunks"), time.Hour)
 		in := input(job)
@@ -125,7 +126,7 @@
 		in.Instances = rapid.IntRange(1, 340).Draw(t, "instances")
 		owners := make([]int, job.Chunks)
 		for in.Index = range in.Instances {
-			from, count := in.span(rankedJob{Candidate: &job})
+			from, count := in.chunkRange(rankedJob{Candidate: &job})
 			for number := range count {
 				owners[from+number]++
 			}
@@ -136,13 +137,14 @@
 	})
 }
 
-// An instance has enough work, all of one organisation. It takes a chunk of
-// another all the same, or that one would wait until the first needs more.
-func TestOrganisationWithoutWorkIsServedAtOnce(t *testing.T) {
+// An instance holds enough work, all of one organisation. It must still claim a
+// chunk of another organisation, or that one would wait until the instance runs
+// low on work.
+func TestOrganisationWithoutHeldItemsIsServedAtOnce(t *testing.T) {
 	in := input(candidate("one", "a", 9, 5*time.Hour), candidate("two", "b", 1, 9*time.Hour))
-	in.NeedyOnly = true
-	in.HeldBy = map[protocol.OrganisationID]int{"a": 500}
+	in.UrgentOrUnservedOnly = true
+	in.HeldItems = map[protocol.OrganisationID]int{"a": 500}
 	require.EqualValues(t, "two", testPlanner.Plan(in)[0].Job)
-	in.HeldBy["b"] = 1
+	in.HeldItems["b"] = 1
 	require.Empty(t, testPlanner.Plan(in))
 }
--- a/internal/coordination/batch/resultbuffer.go
+++ b/internal/coordination/batch/resultbuffer.go
@@ -10,22 +10,25 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// section holds the waiting results of one chunk.
+// section contains the buffered results of one chunk.
 type section struct {
 	id       ledger.ChunkID
 	deadline time.Time
 	results  []bulk.Result
-	bytes    int
+	// bytes is the total size of the results as estimated by resultSize.
+	bytes int
 }
 
-// resultOverhead is a generous bound on what encoding adds to a result.
+// resultOverhead is an upper bound on the bytes that the encoding adds to a result.
 const resultOverhead = 128
 
+// resultSize is an upper bound on the encoded size of a result in bytes.
 func resultSize(result *bulk.Result) int {
 	return len(result.Body) + len(result.CustomID) + len(result.RequestID) + len(result.Message) + resultOverhead
 }
 
-func (s *section) numbers() []int {
+// itemNumbers returns the numbers of the items in their chunk.
+func (s *section) itemNumbers() []int {
 	numbers := make([]int, len(s.results))
 	for i := range s.results {
 		numbers[i] = s.results[i].Item
@@ -33,6 +36,8 @@
 	return numbers
 }
 
+// record returns the part of the control record for the section, whose results
+// are stored at the offset at.
 func (s *section) record(at protocol.Offset) protocol.ChunkResult {
 	var items, failed ledger.Bitmap
 	for i := range s.results {
@@ -51,12 +56,14 @@
 	}
 }
 
-// resultBuffer holds the results that wait to be appended.
+// resultBuffer contains the results that wait to be appended.
 type resultBuffer struct {
 	chunks map[ledger.ChunkID]*section
-	bytes  int
-	// oldest is when the oldest result came, deadline the earliest one of
-	// their jobs, notBefore when to try again after a failed append.
+	// bytes is the total size of the results as estimated by resultSize.
+	bytes int
+	// oldest is the arrival time of the oldest result, deadline the earliest
+	// deadline of the jobs, and notBefore the time of the next attempt after a
+	// failed append.
 	oldest, deadline, notBefore time.Time
 }
 
@@ -66,25 +73,26 @@
 
 func (b *resultBuffer) empty() bool { return len(b.chunks) == 0 }
 
-func (b *resultBuffer) add(f finished, now time.Time) {
+// add adds a result that arrived at the time now.
+func (b *resultBuffer) add(r itemResult, now time.Time) {
 	if b.empty() {
 		b.oldest = now
-		b.deadline = f.item.Deadline
+		b.deadline = r.item.Deadline
 	}
-	b.deadline = earliest(b.deadline, f.item.Deadline)
-	s := b.chunks[f.item.ChunkID]
+	b.deadline = earliest(b.deadline, r.item.Deadline)
+	s := b.chunks[r.item.ChunkID]
 	if s == nil {
-		s = &section{id: f.item.ChunkID, deadline: f.item.Deadline}
-		b.chunks[f.item.ChunkID] = s
+		s = &section{id: r.item.ChunkID, deadline: r.item.Deadline}
+		b.chunks[r.item.ChunkID] = s
 	}
-	size := resultSize(&f.result)
-	s.results = append(s.results, f.result)
+	size := resultSize(&r.result)
+	s.results = append(s.results, r.result)
 	s.bytes += size
 	b.bytes += size
 }
 
-// take removes sections that together fit in an entry, splitting one if need
-// be. A single result always fits.
+// take removes and returns sections of at most room bytes in total, splitting the
+// last one if necessary. A single result always fits in an empty entry.
 func (b *resultBuffer) take(room int) []*section {
 	var taken []*section
 	for _, s := range b.sorted() {
@@ -103,6 +111,7 @@
 	return taken
 }
 
+// sorted returns the sections by deadline, job and chunk number.
 func (b *resultBuffer) sorted() []*section {
 	sections := make([]*section, 0, len(b.chunks))
 	for _, s := range b.chunks {
@@ -114,7 +123,8 @@
 	return sections
 }
 
-// split removes the first results that fit, nil if not even one does.
+// split removes and returns the first results that fit in room bytes. It returns
+// nil if none fits.
 func (s *section) split(room int) *section {
 	part := &section{id: s.id, deadline: s.deadline}
 	count := 0
@@ -135,7 +145,7 @@
 	return part
 }
 
-// putBack returns sections whose append failed.
+// putBack puts sections back into the buffer after their append has failed.
 func (b *resultBuffer) putBack(sections []*section, notBefore time.Time) {
 	b.notBefore = notBefore
 	for _, part := range sections {
--- a/internal/coordination/batch/resultbuffer_test.go
+++ b/internal/coordination/batch/resultbuffer_test.go
@@ -13,21 +13,21 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// Results of several chunks wait and are taken an entry at a time; some appends
-// fail and put theirs back. Every result must be taken exactly once in the end,
-// and each group must fit in a log entry.
+// Buffered results of several chunks are taken one entry at a time. Some appends
+// fail, and their results are put back. In the end every result must have been
+// appended exactly once, and each group must fit in a log entry.
 func TestBufferKeepsEveryResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newResultBuffer()
 		want := rapid.IntRange(1, 200).Draw(t, "results")
 		for i := range want {
 			size := rapid.SampledFrom([]int{10, 1000, 100_000, 400_000}).Draw(t, "size")
-			b.add(finished{
+			b.add(itemResult{
 				item:   Item{ChunkID: ledger.ChunkID{Job: "j", Chunk: i % 5}, Number: i / 5, Deadline: noon},
 				result: bulk.Result{Item: i / 5, Body: []byte(strings.Repeat("x", size))},
 			}, noon)
 		}
-		taken := map[[2]int]bool{}
+		appended := map[[2]int]bool{}
 		for !b.empty() {
 			sections := b.take(bulk.MaxPayload)
 			require.NotEmpty(t, sections)
@@ -37,13 +37,13 @@
 				continue
 			}
 			for _, s := range sections {
-				for _, number := range s.numbers() {
-					require.False(t, taken[[2]int{s.id.Chunk, number}])
-					taken[[2]int{s.id.Chunk, number}] = true
+				for _, number := range s.itemNumbers() {
+					require.False(t, appended[[2]int{s.id.Chunk, number}])
+					appended[[2]int{s.id.Chunk, number}] = true
 				}
 			}
 		}
-		require.Len(t, taken, want)
+		require.Len(t, appended, want)
 		require.Zero(t, b.bytes)
 	})
 }
@@ -57,8 +57,7 @@
 	require.NoError(t, err)
 }
 
-// Failed items must be marked as such in the record, or they would count as
-// completed.
+// The record must mark failed items, or they would be counted as completed.
 func TestRecordMarksFailedItems(t *testing.T) {
 	s := &section{results: []bulk.Result{{Item: 3}, {Item: 9, Code: protocol.CodeTargetFailed}}}
 	rec := s.record(5)
@@ -68,7 +67,7 @@
 	require.Equal(t, 2, items.Count())
 }
 
-func TestBackoffDoublesUpToItsBound(t *testing.T) {
+func TestBackoffDoublesUpToLimit(t *testing.T) {
 	opts := Options{BackoffFirst: time.Second, BackoffMax: 5 * time.Second}
 	var waits []time.Duration
 	for attempt := range 4 {
--- a/internal/coordination/batch/results.go
+++ b/internal/coordination/batch/results.go
@@ -28,7 +28,7 @@
 		Name:    string(id) + "_output.jsonl",
 		Purpose: PurposeOutput,
 		Created: time.Unix(view.EndedAt, 0).UTC(),
-		Expires: readableUntil(view, s.opts.ResultTTL),
+		Expires: resultsExpireAt(view, s.opts.ResultTTL),
 	}
 	if failed {
 		file.ID = ErrorFileID(id)
@@ -37,9 +37,9 @@
 	return file, nil
 }
 
-// endedJob finds a job whose results no longer change.
+// endedJob returns a job that has ended, so that its results no longer change.
 func (s *Service) endedJob(ctx context.Context, org protocol.OrganisationID, id protocol.JobID) (ledger.JobView, *protocol.Refusal) {
-	view, refusal := s.find(ctx, org, id)
+	view, refusal := s.findJob(ctx, org, id)
 	if refusal != nil {
 		return ledger.JobView{}, refusal
 	}
@@ -49,18 +49,18 @@
 	return view, nil
 }
 
-// resultContent streams the results of a job in input order: the good ones, or
-// the failed ones with those that never came.
+// resultContent writes the results of a job in the order of the input: either the
+// successful ones, or the failed ones with an error line for each missing result.
 func (s *Service) resultContent(ctx context.Context, org protocol.OrganisationID, id protocol.JobID, failed bool, out io.Writer) (*protocol.Refusal, error) {
 	view, refusal := s.endedJob(ctx, org, id)
 	if refusal != nil {
 		return refusal, nil
 	}
-	reading := &resultReader{journal: s.journal, entries: newEntryReader(s.journal), status: view.Status, failed: failed}
+	reader := &resultReader{journal: s.journal, entries: newEntryReader(s.journal), status: view.Status, failed: failed}
 	for number := range view.Chunks {
-		results, err := reading.chunk(ctx, ledger.ChunkID{Job: id, Chunk: number})
+		results, err := reader.chunk(ctx, ledger.ChunkID{Job: id, Chunk: number})
 		if err != nil && number == 0 {
-			return s.refuseStorage(err, "the result of job "+string(id)), nil
+			return s.storageRefusal(err, "the result of job "+string(id)), nil
 		}
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -72,6 +72,7 @@
 	return nil, nil
 }
 
+// writeResults writes the results of a chunk as lines of a result file.
 func writeResults(out io.Writer, job protocol.JobID, chunk int, results []bulk.Result) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetEscapeHTML(false)
@@ -84,21 +85,23 @@
 	return nil
 }
 
-// resultReader reads the good or the failed results of an ended job.
+// resultReader reads either the successful or the failed results of an ended job.
 type resultReader struct {
 	journal coordination.Journal
 	entries *entryReader
-	status  ledger.Status
-	failed  bool
+	// status is the status with which the job ended.
+	status ledger.Status
+	// failed selects the failed results.
+	failed bool
 }
 
-// chunk collects the results of one chunk in the order of its items.
+// chunk returns the results of one chunk in the order of its items.
 func (r *resultReader) chunk(ctx context.Context, id ledger.ChunkID) ([]bulk.Result, error) {
 	var chunk ledger.ChunkView
 	var found bool
 	r.journal.View(func(state *replica.State) { chunk, found = state.Ledger.Chunk(id) })
 	if !found {
-		return nil, trace.Wrap(fmt.Errorf("chunk %v: %w", id, protocol.ErrMalformed))
+		return nil, trace.Wrap(fmt.Errorf("chunk %v does not exist: %w", id, protocol.ErrMalformed))
 	}
 	results := make([]*bulk.Result, chunk.Input.Items)
 	for _, segment := range chunk.Segments {
@@ -109,17 +112,18 @@
 	if r.failed {
 		markMissing(results, chunk, r.status)
 	}
-	if err := r.nameLost(ctx, results, chunk); err != nil {
+	if err := r.fillCustomIDs(ctx, results, chunk); err != nil {
 		return nil, err
 	}
-	return present(results), nil
+	return nonNil(results), nil
 }
 
-// fill takes from an entry just the results that won: the entry may also hold
-// results of items that another instance reported first.
+// fill adds the results that an entry contains for a segment of the chunk. The
+// entry may also contain results of items whose first result came from another
+// instance; these are ignored.
 func (r *resultReader) fill(ctx context.Context, results []*bulk.Result, segment ledger.Segment, id ledger.ChunkID) error {
 	stored, err := r.entries.results(ctx, segment.Data, id)
-	if isLost(err) {
+	if isUnrecoverable(err) {
 		markLost(results, segment, r.failed)
 		return nil
 	}
@@ -138,8 +142,8 @@
 	return nil
 }
 
-// markLost stands in for results that left retention with a line that says so:
-// a file that is short must not pass for all there was.
+// markLost adds an error line for each result that retention has removed. Without
+// these lines the file would look complete although results are missing.
 func markLost(results []*bulk.Result, segment ledger.Segment, failed bool) {
 	for number := range results {
 		if !segment.Items.Has(number) || segment.Failed.Has(number) != failed {
@@ -148,13 +152,13 @@
 		results[number] = &bulk.Result{
 			Item:    number,
 			Code:    protocol.CodeGone,
-			Message: "the item ran, and its result has left the platform's retention",
+			Message: "the item ran, but its result was removed by the platform's retention",
 		}
 	}
 }
 
-// markMissing gives the items without a result an error line, so that every
-// line of the input is accounted for.
+// markMissing adds an error line for each item without a result, so that every
+// line of the input appears in the output or the error file.
 func markMissing(results []*bulk.Result, chunk ledger.ChunkView, status ledger.Status) {
 	for number := range results {
 		if chunk.Won.Has(number) {
@@ -168,32 +172,34 @@
 	}
 }
 
-// nameLost finds the custom ids of the lines that stand in for a result. They
-// stay empty if the input is gone too.
-func (r *resultReader) nameLost(ctx context.Context, results []*bulk.Result, chunk ledger.ChunkView) error {
-	if !slices.ContainsFunc(results, isNameless) {
+// fillCustomIDs sets the custom ids of the added error lines. They stay empty if
+// the input was removed too.
+func (r *resultReader) fillCustomIDs(ctx context.Context, results []*bulk.Result, chunk ledger.ChunkView) error {
+	if !slices.ContainsFunc(results, lacksCustomID) {
 		return nil
 	}
 	items, err := r.entries.items(ctx, chunk.Input)
-	if err != nil && !isLost(err) {
+	if err != nil && !isUnrecoverable(err) {
 		return err
 	}
 	for number, item := range items {
-		if number < len(results) && isNameless(results[number]) {
+		if number < len(results) && lacksCustomID(results[number]) {
 			results[number].CustomID = item.CustomID
 		}
 	}
 	return nil
 }
 
-func isNameless(result *bulk.Result) bool { return result != nil && result.CustomID == "" }
+// lacksCustomID reports whether a result is an added error line.
+func lacksCustomID(result *bulk.Result) bool { return result != nil && result.CustomID == "" }
 
-// Codes of items that a job ended without.
+// Codes of items that have no result because their job ended first.
 const (
 	codeBatchExpired   protocol.Code = "batch_expired"
 	codeBatchCancelled protocol.Code = "batch_cancelled"
 )
 
+// missingCode is the code of the items without a result of an ended job.
 func missingCode(status ledger.Status) protocol.Code {
 	if status == ledger.Expired {
 		return codeBatchExpired
@@ -201,7 +207,8 @@
 	return codeBatchCancelled
 }
 
-func present(results []*bulk.Result) []bulk.Result {
+// nonNil returns the results that are set.
+func nonNil(results []*bulk.Result) []bulk.Result {
 	var found []bulk.Result
 	for _, result := range results {
 		if result != nil {
--- a/internal/coordination/batch/run.go
+++ b/internal/coordination/batch/run.go
@@ -12,8 +12,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// run runs one item on a place and takes care of its outcome. ctx is the
-// duty's, runCtx that of the run alone.
+// run runs one item on a slot and handles its outcome. ctx belongs to the
+// dispatcher, runCtx to this run only.
 func (e *Executor) run(ctx, runCtx context.Context, stop context.CancelCauseFunc, slot coordination.BatchSlot, item Item) {
 	defer stop(nil)
 	returned := make(chan struct{})
@@ -30,19 +30,20 @@
 	if errors.Is(context.Cause(runCtx), errJobEnded) {
 		outcome = ItemOutcome{Kind: Interrupted}
 	}
-	e.finish(ctx, item, outcome)
+	e.handleOutcome(ctx, item, outcome)
 }
 
-// finish decides what becomes of an item after a run.
-func (e *Executor) finish(ctx context.Context, item Item, outcome ItemOutcome) {
+// handleOutcome queues the result of an item after a run, or returns the item to
+// the work set.
+func (e *Executor) handleOutcome(ctx context.Context, item Item, outcome ItemOutcome) {
 	switch outcome.Kind {
 	case Done:
-		_ = e.report(ctx, item, outcome.Result)
+		_ = e.queueResult(ctx, item, outcome.Result)
 	case Interrupted:
 		counters.Add("interrupted", 1)
 		e.update(func(w *workset) { w.requeue(item, item.Attempt-1, time.Time{}, outcome.Resume) })
 	case Retry:
-		e.retry(ctx, item, outcome)
+		e.retryOrFail(ctx, item, outcome)
 	case NotStarted:
 		counters.Add("not_started", 1)
 		wait := max(outcome.RetryAfter, e.opts.BackoffFirst)
@@ -50,17 +51,18 @@
 	}
 }
 
-// retry parks an item behind the rest, or ends it as a failed result after its
-// last attempt: an item that can never be done must not hold up its job.
-func (e *Executor) retry(ctx context.Context, item Item, outcome ItemOutcome) {
+// retryOrFail returns an item to the work set after a failed run. After the last
+// attempt it queues a failed result instead, so that an item that always fails
+// does not block its job.
+func (e *Executor) retryOrFail(ctx context.Context, item Item, outcome ItemOutcome) {
 	if item.Attempt >= e.opts.MaxAttempts {
 		result := outcome.Result
 		if result.Code == "" {
 			result.Code = protocol.CodeTargetFailed
-			result.Message = "the last attempt failed"
+			result.Message = "the last attempt to run the item failed"
 		}
 		counters.Add("gave_up", 1)
-		_ = e.report(ctx, item, result)
+		_ = e.queueResult(ctx, item, result)
 		return
 	}
 	wait := max(outcome.RetryAfter, backoff(item.Attempt, e.opts))
@@ -68,7 +70,8 @@
 	e.update(func(w *workset) { w.requeue(item, item.Attempt, time.Now().Add(wait), item.Resume) })
 }
 
-// backoff doubles from the first wait on.
+// backoff returns the delay after a failed attempt. It doubles with each attempt,
+// from BackoffFirst up to BackoffMax.
 func backoff(attempt int, opts Options) time.Duration {
 	wait := opts.BackoffFirst
 	for range attempt - 1 {
@@ -77,9 +80,9 @@
 	return wait
 }
 
-// report hands a result to the duty that appends. It waits while the ring is
-// full, which in turn keeps the place in flight taken and stops new starts.
-func (e *Executor) report(ctx context.Context, item Item, result bulk.Result) error {
+// queueResult passes a result to flusher. It blocks while the ring is full. The
+// item then still counts as in flight, which prevents new items from starting.
+func (e *Executor) queueResult(ctx context.Context, item Item, result bulk.Result) error {
 	result.Item = item.Number
 	result.CustomID = item.CustomID
 	if len(result.Body) > e.opts.MaxResultBytes {
@@ -89,15 +92,16 @@
 			Status:    result.Status,
 			RequestID: result.RequestID,
 			Code:      protocol.CodeTooLarge,
-			Message:   "the answer is larger than a batch result may be",
+			Message:   "the response exceeds the maximum size of a batch result",
 		}
 	}
-	e.unsettled.Add(int64(resultSize(&result)))
-	// First handed over, then noted: a drain that saw no more runs would
-	// otherwise append what is there and miss this one.
-	if err := e.results.Put(ctx, finished{item: item, result: result}); err != nil {
+	e.unrecordedBytes.Add(int64(resultSize(&result)))
+	// Queue the result before the work set is updated. In the reverse order a
+	// drain could see that no item is running and flush before this result is in
+	// the ring.
+	if err := e.results.Put(ctx, itemResult{item: item, result: result}); err != nil {
 		return trace.Wrap(err)
 	}
-	e.update(func(w *workset) { w.reported(item) })
+	e.update(func(w *workset) { w.resultQueued(item) })
 	return nil
 }
--- a/internal/coordination/batch/runner.go
+++ b/internal/coordination/batch/runner.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// Item is one item of a claimed chunk, ready to run.
+// Item is one item of a claimed chunk, with everything needed to run it.
 type Item struct {
 	ledger.ChunkID
 	// Number is the item's number in its chunk.
@@ -21,55 +21,59 @@
 	Model        protocol.ModelName
 	Body         []byte
 	Deadline     time.Time
-	// Attempt counts from 1. Interrupted runs do not count.
+	// Attempt is the number of the attempt, counted from 1. Interrupted runs do
+	// not count.
 	Attempt int
-	// Resume is what an interrupted run kept, nil at first.
+	// Resume is the partial output of an interrupted run, nil if there is none.
 	Resume *Resume
 }
 
-// Resume is the partial output of an item whose place was taken back.
+// Resume is the partial output of an item whose run was interrupted.
 type Resume struct {
 	// Tokens is the number of tokens of Output.
 	Tokens int
-	// Output is the text so far, in the Runner's own form.
+	// Output is the partial output in an encoding that is private to the Runner.
 	Output []byte
-	// Target gave the output. Another one can resume it as well.
+	// Target is the target that generated the output. Other targets can resume
+	// it as well.
 	Target protocol.TargetID
 }
 
-// OutcomeKind says how a run of an item ended.
+// OutcomeKind is the way in which a run of an item ended.
 type OutcomeKind int
 
-// The ways a run can end.
+// Kinds of outcome.
 const (
-	// Done: the result is final, good or failed.
+	// Done: the result is final, whether successful or failed.
 	Done OutcomeKind = iota
-	// Interrupted: the run was cancelled. Resume holds what there is.
+	// Interrupted: the run was cancelled. Resume contains the partial output.
 	Interrupted
-	// Retry: the run failed in a way that another attempt may mend.
+	// Retry: the run failed, and another attempt may succeed.
 	Retry
-	// NotStarted: no target took the item, so it certainly did not run. It is
-	// tried again until the deadline and does not count as an attempt: a dead
-	// pool of targets would otherwise fail every item within a minute.
+	// NotStarted: no target accepted the item, so it certainly did not run. The
+	// item is retried until the deadline, and the run does not count as an
+	// attempt. Otherwise an outage of all targets would fail every item within a
+	// minute.
 	NotStarted
 )
 
-// ItemOutcome is how a run of an item ended.
+// ItemOutcome is the outcome of a run of an item.
 type ItemOutcome struct {
 	Kind OutcomeKind
-	// Result is set if Kind is Done; for Retry it holds what will stand if
-	// this was the last attempt. Item and CustomID are filled in.
+	// Result is set if Kind is Done. If Kind is Retry, Result becomes the final
+	// result if this was the last attempt. The Executor sets Item and CustomID.
 	Result bulk.Result
 	// Resume is set if Kind is Interrupted.
 	Resume *Resume
-	// RetryAfter is the least wait before the next attempt.
+	// RetryAfter is the minimum delay before the next attempt.
 	RetryAfter time.Duration
-	// Call tells the router how the call went.
+	// Call reports the outcome of the call to the router.
 	Call coordination.CallResult
 }
 
-// Runner runs an item at a target. When ctx ends it cancels the call there and
-// returns soon, as Interrupted. It does not release the slot.
+// Runner runs an item at a target. When ctx ends, Run cancels the call at the
+// target and promptly returns an Interrupted outcome. It does not release the
+// slot.
 type Runner interface {
 	Run(ctx context.Context, slot coordination.BatchSlot, item Item) ItemOutcome
 }
--- a/internal/coordination/batch/service.go
+++ b/internal/coordination/batch/service.go
@@ -15,46 +15,46 @@
 	"merlintiller/internal/protocol"
 )
 
-// Service is what callers use of batch jobs. Its methods return typed values
-// or a refusal, and are safe for concurrent use.
+// Service is the interface of batch jobs for callers. Its methods return typed
+// values or a refusal. They are safe for concurrent use.
 type Service struct {
 	journal coordination.Journal
 	opts    Options
 	logger  log.Logger
-	// OnCancel is told of each cancel that replay accepted. May be nil; it
+	// OnCancel is called for each cancel that replay accepted. It may be nil and
 	// must not block.
 	OnCancel func(protocol.JobID)
 }
 
-// NewService returns a Service over an instance's journal.
+// NewService returns a Service that uses the journal of an instance.
 func NewService(journal coordination.Journal, opts Options, logger log.Logger) *Service {
 	return &Service{journal: journal, opts: opts.withDefaults(), logger: logger}
 }
 
-// newJobID draws an id. 128 random bits are unique without agreement, and
-// can't be guessed.
+// newJobID returns a random id of 128 bits: unique without coordination between
+// instances, and impossible to guess.
 func newJobID() protocol.JobID {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
 	return protocol.JobID("batch_" + hex.EncodeToString(random[:]))
 }
 
-// refuseStorage turns a failed access to DataStream into a refusal. Nothing
-// points at an entry whose append failed, so "not run" is true even if the
-// entry stands.
-func (s *Service) refuseStorage(err error, what string) *protocol.Refusal {
+// storageRefusal converts a failed access to DataStream into a refusal. No
+// record refers to an entry whose append failed, so reporting "not run" is
+// correct even if the entry was stored. what names the data in the message.
+func (s *Service) storageRefusal(err error, what string) *protocol.Refusal {
 	if errors.Is(err, external.ErrTrimmed) {
-		return protocol.Refuse(protocol.CodeGone, 0, "%s has left the platform's retention", what)
+		return protocol.Refuse(protocol.CodeGone, 0, "%s is no longer available: the platform's retention time has passed", what)
 	}
 	if errors.Is(err, protocol.ErrMalformed) || trace.IsNotFound(err) {
 		return protocol.Refuse(protocol.CodeNotFound, 0, "%s does not exist", what)
 	}
-	return protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not answer for %s", what)
+	return protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "%s is not available at the moment: the platform's log does not respond", what)
 }
 
-// awaitChange waits for the next applied frame. It reports false when the wait
-// is over without one.
-func awaitChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+// waitForChange waits until changed is closed. It reports false if the timeout
+// passes or ctx ends first.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
--- a/internal/coordination/batch/sessions.go
+++ b/internal/coordination/batch/sessions.go
@@ -6,7 +6,8 @@
 	"merlintiller/internal/state/replica"
 )
 
-func openIDs(st *replica.State) []protocol.SessionID {
+// openSessions lists the ids of all open sessions.
+func openSessions(st *replica.State) []protocol.SessionID {
 	infos := st.Sessions.All()
 	ids := make([]protocol.SessionID, len(infos))
 	for i := range infos {
@@ -15,9 +16,10 @@
 	return ids
 }
 
-// rank is the place of a session among the open ones for a duty on a job: the
-// first acts at once, the next only if it has not. All may act, since replay
-// accepts one; ranking saves the appends of the others.
+// rank is the position of a session in the order in which the open sessions act
+// on a job: the session with rank 0 acts immediately, the others only if it has
+// not. Replay accepts one record even if all of them act, so the ranking only
+// saves appends.
 func rank(open []protocol.SessionID, own protocol.SessionID, job protocol.JobID) int {
 	return member.Rank("batch/"+string(job), own, open)
 }
--- a/internal/coordination/batch/watcher.go
+++ b/internal/coordination/batch/watcher.go
@@ -8,12 +8,12 @@
 	"merlintiller/internal/state/replica"
 )
 
-// watcher is the duty that follows the ledger for the chunks held here: a
-// cancelled job stops at the next applied frame, and a lost claim starts
-// nothing more.
+// watcher is the background service that applies ledger changes to the held
+// chunks: a cancelled job stops at the next applied frame, and no item of a chunk
+// starts after its claim is lost.
 type watcher struct{ *Executor }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (w *watcher) String() string { return "batch watcher" }
 
 // Serve reconciles after every applied frame, until ctx ends.
@@ -29,7 +29,7 @@
 	}
 }
 
-// reconcile follows the ledger for every held chunk.
+// reconcile updates every held chunk in the work set from the ledger.
 func (e *Executor) reconcile() {
 	var ids []ledger.ChunkID
 	e.inspect(func(work *workset) { ids = work.ids() })
@@ -37,24 +37,25 @@
 		return
 	}
 	session := e.journal.Session()
-	states := make([]agreed, len(ids))
+	statuses := make([]claimStatus, len(ids))
 	e.journal.View(func(state *replica.State) {
 		for i, id := range ids {
-			states[i] = agreedOn(state, id, session)
+			statuses[i] = claimStatusOf(state, id, session)
 		}
 	})
 	e.update(func(work *workset) {
 		for i, id := range ids {
-			work.reconcile(id, states[i])
+			work.reconcile(id, statuses[i])
 		}
 	})
 }
 
-func agreedOn(state *replica.State, id ledger.ChunkID, session protocol.SessionID) agreed {
+// claimStatusOf returns the status of a chunk in the ledger as seen by a session.
+func claimStatusOf(state *replica.State, id ledger.ChunkID, session protocol.SessionID) claimStatus {
 	job, known := state.Ledger.Job(id.Job)
 	if !known || job.Status != ledger.InProgress {
-		return agreed{ended: true}
+		return claimStatus{ended: true}
 	}
 	chunk, _ := state.Ledger.Chunk(id)
-	return agreed{held: session != 0 && chunk.Holder == session, won: chunk.Won}
+	return claimStatus{held: session != 0 && chunk.Holder == session, won: chunk.Won}
 }
--- a/internal/coordination/batch/wire.go
+++ b/internal/coordination/batch/wire.go
@@ -11,10 +11,10 @@
 	"merlintiller/internal/protocol"
 )
 
-// Endpoints are the paths that batch items may ask for.
+// Endpoints are the paths that batch items may use.
 var Endpoints = []string{"/v1/chat/completions", "/v1/completions", "/v1/embeddings", "/v1/responses"}
 
-// InputLine is one line of an input file, as OpenAI's batch API has it.
+// InputLine is one line of an input file in the format of OpenAI's batch API.
 type InputLine struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method"`
@@ -30,27 +30,29 @@
 	Error    *OutputError    `json:"error"`
 }
 
-// OutputResponse is the answer of the target.
+// OutputResponse is the response of the target.
 type OutputResponse struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// OutputError says why an item has no good result.
+// OutputError is the reason why an item has no successful result.
 type OutputError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// LineError names the line, counted from 1, and the field that is wrong.
+// LineError reports an invalid line of an input file.
 type LineError struct {
-	Line   int
+	// Line is the line number, counted from 1.
+	Line int
+	// Field is the invalid field, empty if the whole line is invalid.
 	Field  string
 	Reason string
 }
 
-// Error gives the one sentence that callers read.
+// Error returns the message for the caller who uploaded the file.
 func (e *LineError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Reason)
@@ -58,10 +60,10 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Field, e.Reason)
 }
 
-// maxCustomID bounds custom ids, in bytes.
+// maxCustomID limits the length of a custom id in bytes.
 const maxCustomID = 512
 
-// parseLine checks one line and returns its item and endpoint.
+// parseLine validates one line and returns its item and endpoint.
 func parseLine(number int, data []byte) (bulk.Item, string, error) {
 	fail := func(field, reason string) (bulk.Item, string, error) {
 		return bulk.Item{}, "", &LineError{Line: number, Field: field, Reason: reason}
@@ -70,10 +72,10 @@
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&line); err != nil {
-		return fail("", "not a batch request: "+err.Error())
+		return fail("", "is not a valid batch request: "+err.Error())
 	}
 	if decoder.More() {
-		return fail("", "more than one JSON value")
+		return fail("", "contains more than one JSON value")
 	}
 	if line.CustomID == "" || len(line.CustomID) > maxCustomID {
 		return fail("custom_id", fmt.Sprintf("must have 1 to %d bytes", maxCustomID))
@@ -82,7 +84,7 @@
 		return fail("method", "must be POST")
 	}
 	if !slices.Contains(Endpoints, line.URL) {
-		return fail("url", "is not an endpoint for batch items")
+		return fail("url", "is not a supported endpoint for batch items")
 	}
 	var body struct {
 		Model protocol.ModelName `json:"model"`
@@ -91,12 +93,12 @@
 		return fail("body", "must be a JSON object")
 	}
 	if body.Model == "" {
-		return fail("body.model", "must name a model")
+		return fail("body.model", "must be the name of a model")
 	}
 	return bulk.Item{CustomID: line.CustomID, Model: body.Model, Body: line.Body}, line.URL, nil
 }
 
-// outputLine renders a result for the output or the error file.
+// outputLine converts a result to a line of the output or error file.
 func outputLine(id string, result *bulk.Result) OutputLine {
 	line := OutputLine{ID: id, CustomID: result.CustomID}
 	if result.Status != 0 {
@@ -112,8 +114,8 @@
 	return line
 }
 
-// jsonBody keeps a JSON body as it is and quotes any other, so that the line
-// stays valid JSON whatever a target sent.
+// jsonBody returns a JSON body in compact form and any other body as a JSON
+// string, so that the line is valid JSON for every response of a target.
 func jsonBody(body []byte) json.RawMessage {
 	var compact bytes.Buffer
 	if len(body) > 0 && json.Compact(&compact, body) == nil {
--- a/internal/coordination/batch/workset.go
+++ b/internal/coordination/batch/workset.go
@@ -11,72 +11,80 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// taskState is where an item of a held chunk stands.
+// taskState is the state of an item of a held chunk.
 type taskState int
 
 const (
 	taskWaiting taskState = iota
 	taskRunning
-	// taskReported: the result waits to be appended.
-	taskReported
+	// taskResultQueued: the item has a result that waits to be appended.
+	taskResultQueued
 )
 
 // task is an item of a held chunk that has no result yet.
 type task struct {
 	item  Item
 	state taskState
-	// attempts counts the runs that failed; a task with any is a straggler and
-	// waits behind all that have none.
-	attempts  int
+	// attempts is the number of failed runs. Tasks with fewer failed runs start
+	// first.
+	attempts int
+	// notBefore is the earliest time of the next run.
 	notBefore time.Time
-	// stop cancels the run, with errJobEnded or errRevoked as cause.
+	// stop cancels the run with the given cause, such as errJobEnded.
 	stop context.CancelCauseFunc
 }
 
-// heldChunk is a chunk under this instance's claim.
+// heldChunk is a chunk that this instance has claimed.
 type heldChunk struct {
 	id           ledger.ChunkID
 	organisation protocol.OrganisationID
 	deadline     time.Time
-	// order is the position of the claim, to finish chunks one after another.
-	order int
-	// lost says that the claim is gone: nothing more of the chunk starts here,
-	// and what runs may finish.
+	// claimSeq numbers the claims in order. Chunks run in this order, so that
+	// they finish one after another.
+	claimSeq int
+	// lost reports whether this instance no longer holds the claim. No further
+	// item of the chunk starts then; items in flight may finish.
 	lost  bool
 	tasks map[int]*task
-	// strandedSince is since when nothing of the chunk could run here.
-	strandedSince time.Time
+	// stalledSince is the time since which no item of the chunk could run on this
+	// instance. Zero if the chunk is not stalled.
+	stalledSince time.Time
 }
 
-// startable says that items of the chunk may start. After the deadline they
-// would run for a result that nobody takes; those of an organisation that was
-// removed from the configuration wait, in case that was a mistake.
+// startable reports whether items of the chunk may start. Results after the
+// deadline are not accepted, so items don't start then. Items of an organisation
+// that was removed from the configuration wait, because the removal may have been
+// a mistake.
 func (w *workset) startable(c *heldChunk, now time.Time) bool {
-	return !c.lost && !w.told[c.id.Job] && c.deadline.After(now) && w.weight(c.organisation) > 0
+	return !c.lost && !w.cancelNoticed[c.id.Job] && c.deadline.After(now) && w.weight(c.organisation) > 0
 }
 
-// Causes with which a run is cancelled.
+// Causes for the cancellation of a run.
 var (
 	errJobEnded = errors.New("job ended")
-	errRevoked  = errors.New("place taken back")
-	errStopping = errors.New("instance is stopping")
+	errRevoked  = errors.New("slot revoked")
+	errStopping = errors.New("instance is shutting down")
 )
 
-// workset is what an executor holds. It is pure; the executor locks it.
+// workset contains the chunks that an executor holds. It does no I/O and is not
+// safe for concurrent use; Executor guards it with its mutex.
 type workset struct {
 	chunks map[ledger.ChunkID]*heldChunk
-	claims int
-	// urgent is how long before its deadline a chunk goes ahead of others.
-	urgent time.Duration
-	// weight is the fair share of an organisation, 0 if there is none such.
+	// lastClaimSeq is the claimSeq of the chunk added last.
+	lastClaimSeq int
+	// urgentWithin is the time before its deadline from which a chunk takes
+	// precedence over others.
+	urgentWithin time.Duration
+	// weight returns the weight of an organisation in fair sharing, 0 if the
+	// organisation is not configured.
 	weight func(protocol.OrganisationID) float64
-	// told are jobs of which another instance said that they were cancelled,
-	// before this one has read it.
-	told map[protocol.JobID]bool
+	// cancelNoticed contains jobs for which this instance received a cancel notice
+	// and has not read the cancel from the log yet.
+	cancelNoticed map[protocol.JobID]bool
 }
 
 func newWorkset(urgent time.Duration, weight func(protocol.OrganisationID) float64) *workset {
-	return &workset{chunks: map[ledger.ChunkID]*heldChunk{}, urgent: urgent, weight: weight, told: map[protocol.JobID]bool{}}
+	return &workset{chunks: map[ledger.ChunkID]*heldChunk{}, urgentWithin: urgent, weight: weight, cancelNoticed: map[protocol.JobID]bool{}}
 }
 
 // loadedChunk is a claimed chunk with its input.
@@ -89,19 +97,19 @@
 	items        []bulk.Item
 }
 
-// add takes a claimed chunk. Items of an earlier claim of the same chunk that
-// still run here are not started again.
+// add adds a claimed chunk. Items that are still running under an earlier claim of
+// the same chunk are not started again.
 func (w *workset) add(in loadedChunk) {
-	w.claims++
+	w.lastClaimSeq++
 	c := &heldChunk{
 		id:           in.id,
 		organisation: in.organisation,
 		deadline:     in.deadline,
-		order:        w.claims,
+		claimSeq:     w.lastClaimSeq,
 		tasks:        map[int]*task{},
 	}
-	if before, again := w.chunks[in.id]; again {
-		c.tasks = before.tasks
+	if earlier, exists := w.chunks[in.id]; exists {
+		c.tasks = earlier.tasks
 	}
 	w.chunks[in.id] = c
 	for number, item := range in.items {
@@ -120,14 +128,15 @@
 			Attempt:      1,
 		}}
 	}
-	w.dropIfDone(c)
+	w.removeIfDone(c)
 }
 
-// services maps models to services; unknown models to none.
-type services func(protocol.ModelName) (protocol.ServiceName, bool)
+// serviceResolver returns the service of a model. It reports false for an unknown
+// model.
+type serviceResolver func(protocol.ModelName) (protocol.ServiceName, bool)
 
-// start takes the best waiting item for a service.
-func (w *workset) start(service protocol.ServiceName, now time.Time, of services, stop context.CancelCauseFunc) (Item, bool) {
+// start marks the first waiting item of a service as running and returns it.
+func (w *workset) start(service protocol.ServiceName, now time.Time, resolve serviceResolver, stop context.CancelCauseFunc) (Item, bool) {
 	var best *task
 	var bestChunk *heldChunk
 	order := w.ordering(now)
@@ -139,7 +148,7 @@
 			if t.state != taskWaiting || t.notBefore.After(now) {
 				continue
 			}
-			if name, known := of(t.item.Model); !known || name != service {
+			if name, known := resolve(t.item.Model); !known || name != service {
 				continue
 			}
 			if best == nil || order.compare(t, c, best, bestChunk) < 0 {
@@ -156,11 +165,12 @@
 	return best.item, true
 }
 
-// ordering is the order of items at one moment.
+// ordering compares items by their priority at a given time.
 type ordering struct {
 	work *workset
 	now  time.Time
-	// running counts the items in flight of each organisation by its weight.
+	// running is the number of items in flight of each organisation, divided by
+	// its weight.
 	running map[protocol.OrganisationID]float64
 }
 
@@ -176,27 +186,30 @@
 	return ordering{work: w, now: now, running: running}
 }
 
-// compare orders items: stragglers behind the rest, then chunks whose deadline
-// is near, then the organisation with the fewest items in flight for its weight,
-// then chunk by chunk in the order of their claims; in a chunk those with partial
-// output go first. Ordering by deadline alone would let every newly claimed
-// chunk of an early job overtake a chunk of a later one, for ever.
+// compare orders items by these criteria: fewer failed attempts, more urgent
+// chunk, organisation with fewer items in flight relative to its weight, earlier
+// claim, partial output present, item number. With an order by deadline alone,
+// every newly claimed chunk of a job with an early deadline would overtake the
+// chunks of a job with a later one, which might then never run.
 func (o *ordering) compare(a *task, ac *heldChunk, b *task, bc *heldChunk) int {
 	return cmp.Or(
 		cmp.Compare(a.attempts, b.attempts),
 		-cmp.Compare(o.work.urgency(ac, o.now), o.work.urgency(bc, o.now)),
 		cmp.Compare(o.running[ac.organisation], o.running[bc.organisation]),
-		cmp.Compare(ac.order, bc.order),
+		cmp.Compare(ac.claimSeq, bc.claimSeq),
 		-cmp.Compare(resumable(a), resumable(b)),
 		cmp.Compare(a.item.Number, b.item.Number),
 	)
 }
 
-// urgency is how far a chunk is into the time in which it goes ahead of others.
+// urgency is the time that has passed since a chunk became urgent, 0 if it is not
+// urgent.
 func (w *workset) urgency(c *heldChunk, now time.Time) time.Duration {
-	return max(0, w.urgent-c.deadline.Sub(now))
+	return max(0, w.urgentWithin-c.deadline.Sub(now))
 }
 
+// resumable is 1 for a task with partial output and 0 for any other, for use in
+// comparisons.
 func resumable(t *task) int {
 	if t.item.Resume == nil {
 		return 0
@@ -204,6 +217,7 @@
 	return 1
 }
 
+// find returns the held chunk and the task of an item, nil if absent.
 func (w *workset) find(item Item) (*heldChunk, *task) {
 	c := w.chunks[item.ChunkID]
 	if c == nil {
@@ -212,19 +226,21 @@
 	return c, c.tasks[item.Number]
 }
 
-// reported notes that an item has a result on its way to the log.
-func (w *workset) reported(item Item) {
+// resultQueued marks an item as having a result that is not in the log yet.
+func (w *workset) resultQueued(item Item) {
 	if _, t := w.find(item); t != nil {
-		t.state = taskReported
+		t.state = taskResultQueued
 		t.stop = nil
-		// The input is not needed any more; the result may wait for long.
+		// The input is no longer needed. Free its memory, because the result may
+		// wait for minutes.
 		t.item.Body = nil
 		t.item.Resume = nil
 	}
 }
 
-// requeue puts an item back after a run without a result. An item of a lost
-// claim is dropped: its chunk's holder runs it.
+// requeue returns an item to the waiting state after a run without a result. If
+// the claim is lost, the item is removed instead, because the new holder of the
+// chunk runs it.
 func (w *workset) requeue(item Item, attempts int, notBefore time.Time, resume *Resume) {
 	c, t := w.find(item)
 	if t == nil {
@@ -237,12 +253,12 @@
 	t.item.Resume = resume
 	if c.lost {
 		delete(c.tasks, item.Number)
-		w.dropIfDone(c)
+		w.removeIfDone(c)
 	}
 }
 
-// settled notes that results of a chunk stand in the log.
-func (w *workset) settled(id ledger.ChunkID, numbers []int) {
+// recorded removes items whose results are in the log.
+func (w *workset) recorded(id ledger.ChunkID, numbers []int) {
 	c := w.chunks[id]
 	if c == nil {
 		return
@@ -250,48 +266,51 @@
 	for _, number := range numbers {
 		delete(c.tasks, number)
 	}
-	w.dropIfDone(c)
+	w.removeIfDone(c)
 }
 
-func (w *workset) dropIfDone(c *heldChunk) {
+// removeIfDone removes a chunk without remaining tasks.
+func (w *workset) removeIfDone(c *heldChunk) {
 	if len(c.tasks) == 0 {
 		delete(w.chunks, c.id)
 	}
 }
 
-// agreed is what the ledger says of a held chunk.
-type agreed struct {
-	// ended says that the job has ended or is not known.
+// claimStatus is the status of a held chunk in the ledger.
+type claimStatus struct {
+	// ended reports whether the job has ended or is unknown.
 	ended bool
-	// held says that the claim stands.
+	// held reports whether this instance holds the claim.
 	held bool
-	won  ledger.Bitmap
+	// won contains the items that have a result.
+	won ledger.Bitmap
 }
 
-// reconcile follows the ledger: runs of ended jobs are cancelled, nothing
-// starts of a chunk whose claim is gone, nor an item that has its result.
-func (w *workset) reconcile(id ledger.ChunkID, now agreed) {
+// reconcile applies the status of a chunk in the ledger. It cancels the runs of an
+// ended job. It removes the waiting items of an ended job or a lost claim, and
+// waiting items that already have a result.
+func (w *workset) reconcile(id ledger.ChunkID, status claimStatus) {
 	c := w.chunks[id]
 	if c == nil {
 		return
 	}
-	c.lost = !now.held
-	if now.ended {
-		delete(w.told, id.Job)
+	c.lost = !status.held
+	if status.ended {
+		delete(w.cancelNoticed, id.Job)
 	}
 	for number, t := range c.tasks {
-		if now.ended && t.state == taskRunning {
+		if status.ended && t.state == taskRunning {
 			t.stop(errJobEnded)
 		}
-		drop := now.ended || c.lost || now.won.Has(number)
-		if drop && t.state == taskWaiting {
+		obsolete := status.ended || c.lost || status.won.Has(number)
+		if obsolete && t.state == taskWaiting {
 			delete(c.tasks, number)
 		}
 	}
-	w.dropIfDone(c)
+	w.removeIfDone(c)
 }
 
-// stopAll cancels every run.
+// stopAll cancels all runs.
 func (w *workset) stopAll(cause error) {
 	for _, c := range w.chunks {
 		for _, t := range c.tasks {
--- a/internal/coordination/batch/worksetload.go
+++ b/internal/coordination/batch/worksetload.go
@@ -9,7 +9,8 @@
 	"merlintiller/internal/state/ledger"
 )
 
-// ids lists the held chunks, lost ones included, in a fixed order.
+// ids returns the ids of the held chunks, including chunks with lost claims, in a
+// fixed order.
 func (w *workset) ids() []ledger.ChunkID {
 	ids := make([]ledger.ChunkID, 0, len(w.chunks))
 	for id := range w.chunks {
@@ -21,16 +22,17 @@
 	return ids
 }
 
-// load counts what is held, for planning.
+// load is the amount of held work, for planning.
 type load struct {
 	chunks int
-	// items counts those without a result on its way; byOrg by organisation;
-	// bytes what their bodies take.
+	// items is the number of items without a queued result, bytes the size of
+	// their bodies, and byOrg their number by organisation.
 	items int
 	bytes int
 	byOrg map[protocol.OrganisationID]int
-	// fresh counts waiting items that were not tried yet.
-	fresh   int
+	// fresh is the number of waiting items without a failed attempt.
+	fresh int
+	// running is the number of items in flight.
 	running int
 }
 
@@ -41,7 +43,7 @@
 			l.chunks++
 		}
 		for _, t := range c.tasks {
-			if t.state != taskReported && !c.lost {
+			if t.state != taskResultQueued && !c.lost {
 				l.items++
 				l.bytes += len(t.item.Body)
 				l.byOrg[c.organisation]++
@@ -57,9 +59,10 @@
 	return l
 }
 
-// ready lists the services that have an item to start, and when the next
-// straggler may run if none has.
-func (w *workset) ready(now time.Time, of services) (names []protocol.ServiceName, unknown []Item, next time.Time) {
+// ready returns the services that have an item to start, the items whose model no
+// service serves, and the earliest time at which an item in backoff may start.
+// next is zero if no item is in backoff.
+func (w *workset) ready(now time.Time, resolve serviceResolver) (names []protocol.ServiceName, unknown []Item, next time.Time) {
 	for _, c := range w.chunks {
 		if !w.startable(c, now) {
 			continue
@@ -72,7 +75,7 @@
 				next = earliest(next, t.notBefore)
 				continue
 			}
-			name, known := of(t.item.Model)
+			name, known := resolve(t.item.Model)
 			if !known {
 				unknown = append(unknown, t.item)
 				continue
@@ -85,6 +88,7 @@
 	return names, unknown, next
 }
 
+// earliest returns the earlier of two times. A zero time is ignored.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/internal/coordination/batch/writeinput.go
+++ b/internal/coordination/batch/writeinput.go
@@ -8,8 +8,8 @@
 	"merlintiller/internal/coordination/bulk"
 )
 
-// writeInput writes items as the lines they came in, in a canonical order of
-// fields.
+// writeInput writes items as lines of an input file. The fields are in a fixed
+// order, which may differ from the uploaded line.
 func writeInput(out io.Writer, endpoint string, items []bulk.Item) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetEscapeHTML(false)
--- a/internal/coordination/faulttest/client_test.go
+++ b/internal/coordination/faulttest/client_test.go
@@ -106,10 +106,10 @@
 			continue
 		}
 		request := batch.JobRequest{
-			InputFile: file.ID,
-			Endpoint:  path,
-			CompletionWindow:    window,
-			Metadata:  map[string]string{"try": fmt.Sprint(try)},
+			InputFile:        file.ID,
+			Endpoint:         path,
+			CompletionWindow: window,
+			Metadata:         map[string]string{"try": fmt.Sprint(try)},
 		}
 		answer, ok := ask(n, func(ctx context.Context) jobAnswer {
 			job, refusal := n.service.CreateBatch(ctx, c.organisation, request, key)
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -228,7 +228,7 @@
 func (w *world) tell(from *node, job protocol.JobID) {
 	for _, n := range w.nodes {
 		if n != from && n.ctx.Err() == nil && !n.link.isPaused() {
-			n.executor.Stop(job)
+			n.executor.StopJob(job)
 		}
 	}
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -40,22 +40,22 @@
 
 func batchOptions(s *settings.Settings) batch.Options {
 	return batch.Options{
-		MaxLineBytes:    s.Batch.LineBytes,
-		MaxFileBytes:    s.Limits.FileBytes,
-		MaxFileItems:    s.Batch.FileItems,
-		MaxResultBytes:  s.Batch.ResultBytes,
+		MaxLineBytes:   s.Batch.LineBytes,
+		MaxFileBytes:   s.Limits.FileBytes,
+		MaxFileItems:   s.Batch.FileItems,
+		MaxResultBytes: s.Batch.ResultBytes,
 		FileTTL:        s.Batch.FileKept,
-		MaxWindow:       s.Batch.LongestWindow,
-		ResultTTL: s.Batch.ResultsReadable,
-		MaxHeldChunks:   s.Batch.HeldChunks,
-		MaxInFlight:     s.Batch.InFlight,
-		UrgentLaxity:    s.Batch.UrgentLaxity,
-		MaxAttempts:     s.Batch.Attempts,
-		BackoffFirst:    s.Batch.FirstBackoff,
-		BackoffMax:      s.Batch.LongestBackoff,
-		FlushAfter:      s.Batch.ResultFlush,
-		BufferBytes:     s.Batch.ResultBufferBytes,
-		RefreshAge:        s.Batch.CarryAge,
+		MaxWindow:      s.Batch.LongestWindow,
+		ResultTTL:      s.Batch.ResultsReadable,
+		MaxHeldChunks:  s.Batch.HeldChunks,
+		MaxInFlight:    s.Batch.InFlight,
+		UrgentLaxity:   s.Batch.UrgentLaxity,
+		MaxAttempts:    s.Batch.Attempts,
+		BackoffFirst:   s.Batch.FirstBackoff,
+		BackoffMax:     s.Batch.LongestBackoff,
+		FlushAfter:     s.Batch.ResultFlush,
+		BufferBytes:    s.Batch.ResultBufferBytes,
+		RefreshAge:     s.Batch.CarryAge,
 	}
 }
 
--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -105,10 +105,10 @@
 		return
 	}
 	request := batch.JobRequest{
-		InputFile: body.InputFileID,
-		Endpoint:  body.Endpoint,
-		CompletionWindow:    body.CompletionWindow,
-		Metadata:  body.Metadata,
+		InputFile:        body.InputFileID,
+		Endpoint:         body.Endpoint,
+		CompletionWindow: body.CompletionWindow,
+		Metadata:         body.Metadata,
 	}
 	job, refusal := a.service.CreateBatch(r.Context(), a.organisation(r), request, r.Header.Get(idempotencyHeader))
 	a.answer(w, job, refusal)
