--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -129,7 +129,7 @@
 	start, from := time.Now(), t.position
 	outcome, result, err := t.sendAndRead(ctx, choice, stall)
 	if stalled.Load() {
-		outcome, result = interrupted, placement.Silent
+		outcome, result = interrupted, placement.TimedOut
 	}
 	t.addRunTime(time.Since(start))
 	opts.Placer.Done(choice, result)
@@ -192,7 +192,7 @@
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			return cancelled, placement.Left, err
+			return cancelled, placement.Cancelled, err
 		case errors.Is(err, external.ErrNotSent):
 			return rejected, placement.Unreachable, err
 		default:
@@ -201,7 +201,7 @@
 	}
 	defer answer.Close()
 	head := answer.Head()
-	opts.Placer.Told(choice, head.Load)
+	opts.Placer.ReportLoad(choice, head.Load)
 	switch {
 	case head.Elsewhere:
 		opts.Targets.Forget(choice.Address)
@@ -251,12 +251,12 @@
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return cancelled, placement.Left, err
+				return cancelled, placement.Cancelled, err
 			}
 			return interrupted, placement.Broken, err
 		}
 		stall.Reset(stallTimeout)
-		t.runner.opts.Placer.Heard(t.choice.ID)
+		t.runner.opts.Placer.DataReceived(t.choice.ID)
 		if err := t.addEvent(&event); err != nil {
 			return interrupted, placement.Broken, err
 		}
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -13,14 +13,14 @@
 
 // Versions implements mesh.Local.
 func (l *local) Versions() mesh.Versions {
-	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.Mark(), RosterDigest: l.view.Digest(), StoreAge: l.view.StoreAge()}
+	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.RosterMark(), RosterDigest: l.view.RosterDigest(), StoreAge: l.view.StoreAge()}
 }
 
 // Describe implements mesh.Local.
 func (l *local) Describe(beat *mesh.Beat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
-	beat.Held = l.placer.Held()
+	beat.Held = l.placer.InFlight()
 	beat.Admitted = l.meter.Own()
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
@@ -32,25 +32,25 @@
 
 // Newer implements mesh.Local.
 func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
-	reply := mesh.SnapshotReply{Config: l.view.Config(args.ConfigVersion)}
-	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
+	reply := mesh.SnapshotReply{Config: l.view.ConfigNewerThan(args.ConfigVersion)}
+	reply.Targets, reply.RosterMark, reply.Listed = l.view.TargetsNewerThan(args.RosterMark)
 	return reply
 }
 
 // Adopt implements mesh.Local.
 func (l *local) Adopt(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
-		l.view.TakeConfig(reply.Config, "peer")
+		l.view.AdoptConfig(reply.Config, "peer")
 	}
 	if reply.Listed {
-		l.view.TakeTargets(reply.Targets, reply.RosterMark)
+		l.view.AdoptTargets(reply.Targets, reply.RosterMark)
 	}
 }
 
 // PeerHeard implements mesh.Local.
 func (l *local) PeerHeard(beat mesh.Beat, patience time.Duration) {
 	if !beat.Relayed {
-		l.view.TakeDrains(beat.Drains, "peer")
+		l.view.AdoptDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
 	}
 	var levels quota.Levels
@@ -71,14 +71,14 @@
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
-	l.broker.Silent(i.Name)
+	l.broker.InstanceSilent(i.Name)
 	l.calls.Forget(i.Address)
 }
 
 // PeerGone implements mesh.Local.
 func (l *local) PeerGone(name string) {
 	l.placer.SetPeer(name, nil)
-	l.broker.Gone(name)
+	l.broker.InstanceDown(name)
 	l.meter.Gone(name)
 }
 
