--- a/internal/coordination/batch/datarefresher.go
+++ b/internal/coordination/batch/datarefresher.go
@@ -23,7 +23,7 @@
 // the platform's retention removes it. Without it, a job or result older than
 // the retention time would be lost. Operators would see the event
 // chunk_input_lost in the logs, and callers would receive refusals with code
-// gone when they read results. Data is refreshed after a fraction of the
+// "gone" when they read results. Data is refreshed after a fraction of the
 // retention time, which leaves the rest to recover from an outage.
 type DataRefresher struct {
 	journal coordination.Journal
@@ -32,8 +32,9 @@
 	limiter *rate.Limiter
 }
 
-// refreshRate limits the refreshed entries of one instance, in entries per
-// second. The log accepts several hundred per second.
+// refreshRate limits the refreshed entries of one instance, in entries per second.
+// The log accepts several hundred per second, so refreshing uses a small part of
+// its capacity.
 const refreshRate = 5
 
 // NewDataRefresher returns a DataRefresher that uses the journal of an instance.
--- a/internal/coordination/batch/stalled_test.go
+++ b/internal/coordination/batch/stalled_test.go
@@ -12,7 +12,7 @@
 )
 
 // An instance holds a chunk when its only target fails. It must release the chunk.
-// Otherwise the job never ends, although other instances have idle targets.
+// Otherwise the job never ends, although other instances have nine idle targets.
 func TestChunkWithoutSlotsIsReleased(t *testing.T) {
 	start := time.Unix(0, 0)
 	resolve := func(protocol.ModelName) (protocol.ServiceName, bool) { return "reports", true }
