--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -23,7 +23,7 @@
 
 func (b *batchWork) services() []suture.Service {
 	out := append([]suture.Service{}, b.executor.Services()...)
-	return append(out, b.keeper, b.carrier, b.once.Recorder(), b.once.Forgetter(), b.notices)
+	return append(out, b.keeper, b.carrier, b.once.Recorder(), b.once.Pruner(), b.notices)
 }
 
 func (b *batchWork) drain(ctx context.Context) error {
@@ -42,7 +42,7 @@
 		carrier:  batch.NewDataRefresher(j, opts, d.logger),
 		once: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
-			Remember:       d.settings.Calls.Remember,
+			Retention:      d.settings.Calls.Remember,
 		}, d.logger),
 		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
