--- a/internal/coordination/headroom/core.go
+++ b/internal/coordination/headroom/core.go
@@ -34,7 +34,7 @@
 }
 
 // window is the batch window of a target that this instance feeds: the limit on
-// its batch items, and the load from which the limit follows.
+// its batch items, and the load that determines the limit.
 type window struct {
 	target Target
 	// online is the number of known online calls in flight: those of this
--- a/internal/coordination/headroom/feeder.go
+++ b/internal/coordination/headroom/feeder.go
@@ -15,12 +15,12 @@
 }
 
 // Feeders assigns a feeder to each target: the instance that sends batch items to
-// it. The feeder is chosen by rendezvous hashing, with an even number of targets
-// per instance, among the instances of the target's failure domain. If the domain
-// has no instance, the feeder is chosen among all instances. The assignment is not
-// exclusive. While two instances have different lists of members, a target may
-// have two feeders. This only costs speed, because the target's load reports show
-// each feeder the items of the other one.
+// it. The feeder is chosen by rendezvous hashing among the instances of the
+// target's failure domain, with a limit that gives them about the same number of
+// targets each. If the domain has no instance, the feeder is chosen among all
+// instances. The assignment is not exclusive. While two instances have different
+// lists of members, a target may have two feeders. This only costs speed, because
+// the target's load reports show each feeder the items of the other one.
 func Feeders(targets []Target, members []Member) map[protocol.TargetID]protocol.InstanceID {
 	byDomain := make(map[protocol.Domain][]protocol.InstanceID)
 	var all []protocol.InstanceID
