--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -148,8 +148,8 @@
 			w.places = 2
 			w.targets.itemTime = 10 * time.Second
 			w.opts.FlushAfter = time.Minute
-			w.opts.CarryAge = 5 * time.Minute
-			w.opts.CarryEvery = time.Minute
+			w.opts.RefreshAge = 5 * time.Minute
+			w.opts.RefreshInterval = time.Minute
 		})
 		<-time.After(90 * time.Minute)
 		good, _, _ := w.requireEnd(c, job.ID, time.Minute, 600)
@@ -162,11 +162,11 @@
 // memory with it.
 func TestJobIsForgottenAfterItsTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, c, job := submitted(t, 2, 10, "1h", func(w *world) { w.opts.ResultsReadable = time.Minute })
+		w, c, job := submitted(t, 2, 10, "1h", func(w *world) { w.opts.ResultTTL = time.Minute })
 		w.requireEnd(c, job.ID, time.Minute, 10)
 		got, refusal := w.nodes[1].service.GetBatch(w.ctx, cascadia, job.ID)
 		require.Nil(t, refusal)
-		require.Equal(t, time.Unix(got.EndedAt, 0).UTC().Add(time.Minute), got.ResultsUntil)
+		require.Equal(t, time.Unix(got.EndedAt, 0).UTC().Add(time.Minute), got.ResultsExpireAt)
 		<-time.After(2 * time.Minute)
 		_, refusal = w.nodes[1].service.GetBatch(w.ctx, cascadia, job.ID)
 		require.Equal(t, protocol.CodeNotFound, refusal.Code)
@@ -285,7 +285,7 @@
 		long := strings.ReplaceAll(string(input(60)), "}]}}", "}]"+padding)
 		file, refusal := w.nodes[0].service.UploadFile(w.ctx, cascadia, "long", strings.NewReader(long))
 		require.Nil(t, refusal)
-		job, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, batch.JobRequest{InputFile: file.ID, Endpoint: path, Window: "1h"}, "long")
+		job, refusal := w.nodes[0].service.CreateBatch(w.ctx, cascadia, batch.JobRequest{InputFile: file.ID, Endpoint: path, CompletionWindow: "1h"}, "long")
 		require.Nil(t, refusal)
 		most := 0
 		for !w.ended(job.ID) {
--- a/internal/coordination/faulttest/world_test.go
+++ b/internal/coordination/faulttest/world_test.go
@@ -178,7 +178,7 @@
 	service  *batch.Service
 	executor *batch.Executor
 	caller   online.AtMostOnceCaller
-	carrier  *batch.Carrier
+	carrier  *batch.DataRefresher
 	slots    *slots
 	// delivering marks reads of results for a caller.
 	delivering atomic.Bool
@@ -202,7 +202,7 @@
 	}
 	logger := log.NewNopLogger()
 	n.service = batch.NewService(n.seen, w.opts, logger)
-	n.service.Cancelled = func(job protocol.JobID) { w.tell(n, job) }
+	n.service.OnCancel = func(job protocol.JobID) { w.tell(n, job) }
 	executing := n.seen
 	if w.variant.executor != nil {
 		executing = w.variant.executor(n.seen)
@@ -213,10 +213,10 @@
 	if w.variant.caller != nil {
 		n.caller = w.variant.caller(calls)
 	}
-	n.carrier = batch.NewCarrier(n.seen, w.opts, logger)
+	n.carrier = batch.NewDataRefresher(n.seen, w.opts, logger)
 	w.nodes = append(w.nodes, n)
 	duties := append(n.Services(), n.executor.Services()...)
-	duties = append(duties, batch.NewKeeper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Pruner())
+	duties = append(duties, batch.NewJobReaper(n.seen, w.opts, logger), n.carrier, calls.Recorder(), calls.Pruner())
 	for _, duty := range duties {
 		n.done.Go(func() { _ = duty.Serve(n.ctx) })
 	}
@@ -228,7 +228,7 @@
 func (w *world) tell(from *node, job protocol.JobID) {
 	for _, n := range w.nodes {
 		if n != from && n.ctx.Err() == nil && !n.link.isPaused() {
-			n.executor.Stop(job)
+			n.executor.StopJob(job)
 		}
 	}
 }
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -44,7 +44,7 @@
 	j := d.agreement.journal
 	f := &d.fleet
 	options := routingOptions(s)
-	options.BatchElsewhere = f.batchElsewhere
+	options.PeerBatchItems = f.batchElsewhere
 	f.router = routing.NewRouter(options)
 	f.orders = orders.New(orders.Options{
 		Instance: s.Instance,
@@ -61,7 +61,7 @@
 	polls.Loads = d.outside.control
 	polls.Fleet = j.Fleet
 	polls.Logger = d.logger
-	polls.Listed = f.orders.SetListing
+	polls.OnListing = f.orders.SetListing
 	f.pollers = routing.Pollers(polls)
 	f.limits = limiter.New(limiter.Config{
 		Self: s.Instance, Domain: s.Domain, Address: s.Listen.Peers,
@@ -71,15 +71,15 @@
 	shown := &view{router: f.router, journal: j}
 	f.admission = admission.New(admission.Config{Fleet: j.Fleet, Capacities: shown, Settings: s.Admission})
 	f.headroom = headroom.New(headroom.Config{Self: s.Instance, Source: shown, Settings: s.Headroom,
-		Peers:   d.agreement.heartbeats,
-		Started: f.router.BatchStarted, Report: f.router.BatchDone,
+		Peers:          d.agreement.heartbeats,
+		OnBatchStarted: f.router.BatchStarted, OnBatchDone: f.router.BatchDone,
 	})
 }
 
 // batchElsewhere is the number of batch items that other instances had at a
 // target.
 func (f *fleetPolicy) batchElsewhere(target protocol.TargetID, at time.Time) int {
-	return f.headroom.BatchElsewhere(target, at)
+	return f.headroom.PeerBatchItems(target, at)
 }
 
 // leave gives up the duties and hands the rate's tokens to others. No call runs
--- a/internal/daemon/view_test.go
+++ b/internal/daemon/view_test.go
@@ -47,9 +47,9 @@
 			Domain: "d", Address: "127.0.0.1:1",
 		})
 	}
-	router.Listing(listing)
+	router.ApplyListing(listing)
 	for _, target := range listing.Targets {
-		router.Report(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
+		router.ApplyReport(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
 	}
 	return &view{router: router, journal: journal.New(journal.Options{Log: memlog.New(memlog.Options{})})}
 }
--- a/internal/policybench/batchside.go
+++ b/internal/policybench/batchside.go
@@ -13,14 +13,14 @@
 func (s *servingSim) notices() {
 	for i, n := range s.nodes {
 		from := s.user.instance(i)
-		notices := n.headroom.Notices(s.clock.Now(), s.feeders, from)
+		notices := n.headroom.DueNotices(s.clock.Now(), s.feeders, from)
 		for _, feeder := range slices.Sorted(maps.Keys(notices)) {
 			counts := notices[feeder]
 			s.clock.After(noticeHop, func() {
 				for j, other := range s.nodes {
 					if s.user.instance(j) == feeder {
-						s.revoke(j, other.headroom.Noticed(s.clock.Now(), from, counts))
-						n.headroom.Told(s.clock.Now(), other.headroom.Placed(counts))
+						s.revoke(j, other.headroom.ApplyNotice(s.clock.Now(), from, counts))
+						n.headroom.RecordPeerBatchItems(s.clock.Now(), other.headroom.PlacedItems(counts))
 					}
 				}
 			})
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -166,12 +166,12 @@
 		})
 	}
 	core.SetServices(map[protocol.ServiceName]protocol.Service{u.service: {Name: u.service, Slots: slotsPerTarget}})
-	core.Listing(virtual.Start, listing)
+	core.ApplyListing(virtual.Start, listing)
 	loads := make([]int, bigTargets)
 	random := rand.New(rand.NewPCG(1, 1))
 	for i, listed := range listing.Targets {
 		loads[i] = random.IntN(slotsPerTarget)
-		core.Report(virtual.Start, external.Load{Target: listed.ID, Running: loads[i]})
+		core.ApplyReport(virtual.Start, external.Load{Target: listed.ID, Running: loads[i]})
 	}
 	now := virtual.Start
 	begin := time.Now()
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -178,8 +178,8 @@
 			waiting:   map[admission.WaitID]func(){},
 		}
 		n.router.SetServices(s.rates.fleet.Services)
-		n.router.Listing(s.clock.Now(), listing)
-		n.headroom.Known(s.targets(i))
+		n.router.ApplyListing(s.clock.Now(), listing)
+		n.headroom.SyncTargets(s.targets(i))
 		s.nodes = append(s.nodes, n)
 	}
 	s.feeders = headroom.Feeders(s.targets(0), members)
@@ -218,8 +218,8 @@
 func (s *servingSim) duties() {
 	s.clock.Every(engineStep, s.stepEngines)
 	s.clock.Every(capacityEvery, s.capacities)
-	s.clock.Every(s.headroom.Tick, s.notices)
-	s.clock.Every(s.headroom.Look, s.windows)
+	s.clock.Every(s.headroom.NoticeInterval, s.notices)
+	s.clock.Every(s.headroom.PollInterval, s.windows)
 	s.clock.Every(batchLook, s.placeAny)
 	s.clock.Every(reportEvery, s.reports)
 }
@@ -245,9 +245,9 @@
 		load := external.Load{Target: e.id, Running: e.history[len(e.history)-1-lag], AgeMS: reportLag.Milliseconds()}
 		for _, n := range s.nodes {
 			if !s.blind {
-				n.router.SetBatchElsewhere(e.id, n.headroom.BatchElsewhere(e.id, s.clock.Now().Add(-reportLag)))
+				n.router.SetPeerBatchItems(e.id, n.headroom.PeerBatchItems(e.id, s.clock.Now().Add(-reportLag)))
 			}
-			n.router.Report(s.clock.Now(), load)
+			n.router.ApplyReport(s.clock.Now(), load)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 				continue
 			}
 			capacity.Slots += slotsPerTarget
-			others += status.Others
+			others += status.PeerStreams
 		}
 		capacity.OtherLoad = int(others)
 		n.admission.SetCapacity(s.user.service, capacity)
