--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -176,7 +176,7 @@
 
 func (s *Service) submitted(org protocol.OrganisationID, key string) (view ledger.JobView, found bool) {
 	s.journal.View(func(state *replica.State) {
-		view, found = state.Ledger.Submitted(org, key)
+		view, found = state.Ledger.JobByIdempotencyKey(org, key)
 	})
 	return view, found
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -84,7 +84,7 @@
 	r := newReplay(t)
 	require.Equal(t, protocol.Accepted, r.put(first, manifest("a", "key", 2)))
 	require.Equal(t, protocol.Duplicate, r.put(second, manifest("b", "key", 2)))
-	view, ok := r.Submitted("cascadia", "key")
+	view, ok := r.JobByIdempotencyKey("cascadia", "key")
 	require.True(t, ok)
 	require.EqualValues(t, "a", view.ID)
 	require.Len(t, r.Jobs("cascadia"), 1)
--- a/internal/state/ledger/view.go
+++ b/internal/state/ledger/view.go
@@ -71,8 +71,8 @@
 	return j.view(), true
 }
 
-// Submitted finds the job that won an organisation's idempotency key.
-func (l *Ledger) Submitted(org protocol.OrganisationID, key string) (JobView, bool) {
+// JobByIdempotencyKey finds the job that won an organisation's idempotency key.
+func (l *Ledger) JobByIdempotencyKey(org protocol.OrganisationID, key string) (JobView, bool) {
 	id, ok := l.first[submitKey{org, key}]
 	if !ok {
 		return JobView{}, false
