--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -76,7 +76,7 @@
 // by a few.
 func (s *Service) checkCount(org protocol.OrganisationID) *protocol.Refusal {
 	count := 0
-	s.journal.View(func(state *replica.State) { count = state.Ledger.RunningOf(org) })
+	s.journal.View(func(state *replica.State) { count = state.Ledger.CountRunning(org) })
 	if count < s.opts.MaxJobs {
 		return nil
 	}
--- a/internal/state/ledger/view.go
+++ b/internal/state/ledger/view.go
@@ -96,8 +96,8 @@
 // metadata: it is called often.
 func (l *Ledger) Running() []JobView { return sortedViews(l.running) }
 
-// RunningOf counts the jobs of an organisation that have not ended.
-func (l *Ledger) RunningOf(org protocol.OrganisationID) int {
+// CountRunning counts the jobs of an organisation that have not ended.
+func (l *Ledger) CountRunning(org protocol.OrganisationID) int {
 	count := 0
 	for _, j := range l.running {
 		if j.organisation == org {
