--- a/internal/coordination/batch/claimer.go
+++ b/internal/coordination/batch/claimer.go
@@ -202,7 +202,7 @@
 					organisation: job.Organisation,
 					endpoint:     job.Endpoint,
 					deadline:     job.Deadline,
-					won:          view.Won,
+					won:          view.Finished,
 				},
 				input: view.Input,
 			})
--- a/internal/coordination/batch/results.go
+++ b/internal/coordination/batch/results.go
@@ -157,7 +157,7 @@
 // line of the input is accounted for.
 func markMissing(results []*bulk.Result, chunk ledger.ChunkView, status ledger.Status) {
 	for number := range results {
-		if chunk.Won.Has(number) {
+		if chunk.Finished.Has(number) {
 			continue
 		}
 		results[number] = &bulk.Result{
--- a/internal/coordination/batch/watcher.go
+++ b/internal/coordination/batch/watcher.go
@@ -56,5 +56,5 @@
 		return agreed{ended: true}
 	}
 	chunk, _ := state.Ledger.Chunk(id)
-	return agreed{held: session != 0 && chunk.Holder == session, won: chunk.Won}
+	return agreed{held: session != 0 && chunk.Holder == session, won: chunk.Finished}
 }
--- a/internal/coordination/faulttest/measure_test.go
+++ b/internal/coordination/faulttest/measure_test.go
@@ -144,7 +144,7 @@
 		for _, id := range chunks {
 			view, _ := state.Ledger.Chunk(id)
 			taken := view.Holder != 0 && view.Holder != dead
-			all = all && (taken || view.Won.Count() == view.Input.Items)
+			all = all && (taken || view.Finished.Count() == view.Input.Items)
 		}
 	})
 	return all
--- a/internal/state/ledger/view.go
+++ b/internal/state/ledger/view.go
@@ -176,8 +176,8 @@
 	Input protocol.ChunkRef
 	// Holder is the session that claimed the chunk, 0 if none did.
 	Holder protocol.SessionID
-	// Won are the items that have a result.
-	Won Bitmap
+	// Finished are the items that have a result.
+	Finished Bitmap
 	// Segments hold the winning results in stream order.
 	Segments []Segment
 }
@@ -195,7 +195,7 @@
 	return ChunkView{
 		Input:    protocol.ChunkRef{Offset: c.input, Items: int(c.items), First: int(c.first)},
 		Holder:   c.holder,
-		Won:      c.won(),
+		Finished:      c.won(),
 		Segments: c.segments(),
 	}, true
 }
