--- a/internal/coordination/oncecall/caller.go
+++ b/internal/coordination/oncecall/caller.go
@@ -232,7 +232,7 @@
 		return false
 	}
 	call, found := c.lookup(key)
-	return found && call.Is(id) && call.Session == c.journal.Session()
+	return found && call.ReservedFor(id) && call.Session == c.journal.Session()
 }
 
 // detachFromCaller returns a context that keeps the caller's deadline but is not
--- a/internal/state/once/once.go
+++ b/internal/state/once/once.go
@@ -39,8 +39,8 @@
 	Settled bool   `cbor:"9,keyasint,omitempty"`
 }
 
-// Is reports whether the call is reserved for a dispatch.
-func (c *Call) Is(id protocol.CallID) bool { return c.ID == hashID(id) }
+// ReservedFor reports whether the call is reserved for a dispatch.
+func (c *Call) ReservedFor(id protocol.CallID) bool { return c.ID == hashID(id) }
 
 // Key is a hash of a call's key: 128 bits of SHA-256, so that nobody can choose
 // two keys that meet.
@@ -134,7 +134,7 @@
 	if !ok {
 		return Call{}, protocol.UnknownSubject
 	}
-	if !call.Is(id) {
+	if !call.ReservedFor(id) {
 		return Call{}, protocol.NotHolder
 	}
 	if call.Settled {
--- a/internal/state/once/once_test.go
+++ b/internal/state/once/once_test.go
@@ -43,7 +43,7 @@
 	require.Equal(t, protocol.AlreadyHeld, apply(table, 1, reserve("b")))
 	call, found := table.Call(key)
 	require.True(t, found)
-	require.True(t, call.Is("a"))
+	require.True(t, call.ReservedFor("a"))
 	require.EqualValues(t, 9, call.BodyHash)
 	require.EqualValues(t, 1, call.Session)
 }
