--- a/internal/coordination/oncecall/prune.go
+++ b/internal/coordination/oncecall/prune.go
@@ -39,7 +39,7 @@
 	lastExpired := protocol.NoOffset
 	isPruner := false
 	c.journal.View(func(state *replica.State) {
-		lastExpired = state.Once.LastBefore(time.Now().Add(-c.opts.Retention))
+		lastExpired = state.Once.LastReservedBefore(time.Now().Add(-c.opts.Retention))
 		isPruner = member.Rank("oncecall/forget", session, openSessionIDs(state)) == 0
 	})
 	if lastExpired == protocol.NoOffset || !isPruner {
--- a/internal/state/once/once.go
+++ b/internal/state/once/once.go
@@ -173,9 +173,9 @@
 // Len is the number of remembered calls.
 func (t *Table) Len() int { return len(t.calls) }
 
-// LastBefore is the position of the newest reservation whose writer's clock
+// LastReservedBefore is the position of the newest reservation whose writer's clock
 // was before a time, NoOffset if there is none.
-func (t *Table) LastBefore(limit time.Time) protocol.Offset {
+func (t *Table) LastReservedBefore(limit time.Time) protocol.Offset {
 	last := protocol.NoOffset
 	for _, call := range t.calls {
 		if call.At < limit.Unix() {
--- a/internal/state/once/once_test.go
+++ b/internal/state/once/once_test.go
@@ -86,8 +86,8 @@
 func TestCallInFlightIsNotForgotten(t *testing.T) {
 	table := New()
 	apply(table, 0, reserve("a"))
-	require.EqualValues(t, 0, table.LastBefore(time.Unix(51, 0)))
-	require.EqualValues(t, protocol.NoOffset, table.LastBefore(time.Unix(50, 0)))
+	require.EqualValues(t, 0, table.LastReservedBefore(time.Unix(51, 0)))
+	require.EqualValues(t, protocol.NoOffset, table.LastReservedBefore(time.Unix(50, 0)))
 	forget := protocol.Record{CallForget: &protocol.CallForget{UpTo: 0}}
 	require.Equal(t, protocol.UnknownSubject, apply(table, 1, forget))
 	apply(table, 2, outcome("a", 200))
