--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -93,7 +93,7 @@
 // applyRecord drops second copies and records of ended sessions, and gives the
 // rest to the machine that owns the body.
 func (s *State) applyRecord(at protocol.Offset, rec *protocol.Record) protocol.Verdict {
-	if s.Sessions.Seen(rec.ID) {
+	if s.Sessions.IsDuplicate(rec.ID) {
 		return protocol.Duplicate
 	}
 	if rec.SessionOpen == nil && !s.Sessions.Open(rec.ID.Session) {
--- a/internal/state/session/session.go
+++ b/internal/state/session/session.go
@@ -97,9 +97,9 @@
 	return slices.DeleteFunc(all, func(info Info) bool { return info.Instance != id })
 }
 
-// Seen reports whether a record of an open session was applied before. Writers
+// IsDuplicate reports whether a record of an open session was applied before. Writers
 // number their records upwards, so the highest number tells.
-func (t *Table) Seen(id protocol.RecordID) bool {
+func (t *Table) IsDuplicate(id protocol.RecordID) bool {
 	info, ok := t.open[id.Session]
 	return ok && id.Seq <= info.Seq
 }
