--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -99,14 +99,14 @@
 	if rec.SessionOpen == nil && !s.Sessions.Open(rec.ID.Session) {
 		return protocol.NoSession
 	}
-	s.Sessions.Note(rec.ID)
+	s.Sessions.RecordSeq(rec.ID)
 	verdict := s.dispatch(at, rec)
 	if verdict != protocol.Accepted {
 		return verdict
 	}
 	switch {
 	case rec.SessionOpen != nil:
-		s.Sessions.Note(rec.ID)
+		s.Sessions.RecordSeq(rec.ID)
 	case rec.SessionExpire != nil:
 		s.Leases.SessionEnded(at, rec.SessionExpire.Session)
 	case rec.SessionClose != nil:
--- a/internal/state/session/session.go
+++ b/internal/state/session/session.go
@@ -104,8 +104,8 @@
 	return ok && id.Seq <= info.Seq
 }
 
-// Note remembers the number of a record of an open session.
-func (t *Table) Note(id protocol.RecordID) {
+// RecordSeq remembers the number of a record of an open session.
+func (t *Table) RecordSeq(id protocol.RecordID) {
 	if info, ok := t.open[id.Session]; ok {
 		info.Seq = max(info.Seq, id.Seq)
 	}
