--- a/internal/coordination/journal/publish.go
+++ b/internal/coordination/journal/publish.go
@@ -31,7 +31,7 @@
 			j.soft.Forget(tombstone.Key)
 			continue
 		}
-		next = fleet.Withdraw(next, tombstone.Key)
+		next = fleet.WithdrawKey(next, tombstone.Key)
 	}
 	j.fleet.Store(next)
 }
--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -139,7 +139,7 @@
 	if t.fleet.Keys[body.Key].Withdrawn {
 		return protocol.Accepted
 	}
-	t.fleet = Withdraw(t.fleet, body.Key)
+	t.fleet = WithdrawKey(t.fleet, body.Key)
 	t.fleet.Version = at
 	t.remember(Change{
 		Version:  at,
--- a/internal/state/fleet/merge.go
+++ b/internal/state/fleet/merge.go
@@ -7,9 +7,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// Withdraw returns a copy of a fleet in which a key is withdrawn. The key need
+// WithdrawKey returns a copy of a fleet in which a key is withdrawn. The key need
 // not be known: its id is then taken by the tombstone.
-func Withdraw(base *protocol.Fleet, id protocol.KeyID) *protocol.Fleet {
+func WithdrawKey(base *protocol.Fleet, id protocol.KeyID) *protocol.Fleet {
 	next := *base
 	next.Keys = maps.Clone(base.Keys)
 	key := next.Keys[id]
