--- a/internal/state/ledger/bitmap.go
+++ b/internal/state/ledger/bitmap.go
@@ -9,11 +9,12 @@
 
 const wordBits = 64
 
-// Bitmap has a bit for each item of a chunk.
+// Bitmap holds one bit per item of a chunk.
 type Bitmap [protocol.MaxChunkItems / wordBits]uint64
 
-// ParseBitmap reads the form of records: byte b holds the items 8b to 8b+7,
-// the lowest bit first. ok is false if it is longer than a chunk.
+// ParseBitmap decodes the bitmap of a record: byte b holds the items 8b to
+// 8b+7, least significant bit first. ok is false if data holds more bits than a
+// chunk can have items.
 func ParseBitmap(data []byte) (b Bitmap, ok bool) {
 	var padded [protocol.MaxChunkItems / 8]byte
 	if len(data) > len(padded) {
@@ -26,7 +27,8 @@
 	return b, true
 }
 
-// Bytes gives the form of records, without trailing zero bytes.
+// Bytes encodes the bitmap as it is written in records, without trailing zero
+// bytes.
 func (b Bitmap) Bytes() []byte {
 	data := make([]byte, 0, protocol.MaxChunkItems/8)
 	for _, word := range b {
@@ -48,7 +50,7 @@
 	b[item/wordBits] |= 1 << (item % wordBits)
 }
 
-// Count is the number of set bits.
+// Count returns the number of set bits.
 func (b Bitmap) Count() int {
 	count := 0
 	for _, word := range b {
@@ -57,6 +59,7 @@
 	return count
 }
 
+// firstBits returns a bitmap whose first count bits are set.
 func firstBits(count int) Bitmap {
 	var b Bitmap
 	for i := range b {
@@ -83,7 +86,8 @@
 	return b
 }
 
-func (b Bitmap) without(other Bitmap) Bitmap {
+// andNot returns the bits of b that are not set in other.
+func (b Bitmap) andNot(other Bitmap) Bitmap {
 	for i := range b {
 		b[i] &^= other[i]
 	}
--- a/internal/state/ledger/claim.go
+++ b/internal/state/ledger/claim.go
@@ -5,31 +5,32 @@
 	"merlintiller/internal/state"
 )
 
-// claim decides each chunk by itself. The record is accepted if at least one
-// chunk was taken; HeldBy tells which.
+// claim decides on each chunk of the record separately. The record is accepted
+// if the session obtained at least one chunk; HeldBy lists the obtained chunks.
 func (l *Ledger) claim(by protocol.SessionID, body *protocol.ChunkClaim, sessions state.Sessions) protocol.Verdict {
-	j, verdict := l.open(body.Job)
+	j, verdict := l.runningJob(body.Job)
 	if j == nil {
 		return verdict
 	}
-	taken := 0
+	claimed := 0
 	for _, number := range body.Chunks {
 		c := j.chunk(number)
 		if c == nil || !c.claimable(sessions) {
 			continue
 		}
 		c.holder = by
-		taken++
+		claimed++
 	}
-	if taken == 0 {
+	if claimed == 0 {
 		return protocol.AlreadyHeld
 	}
 	return protocol.Accepted
 }
 
-// claimable says whether a session may take the chunk. The claim of an ended
-// session binds nobody: its holder stopped exclusive work before the session
-// could expire, and if it did not, the first result wins all the same.
+// claimable reports whether a session may claim the chunk. The claim of an ended
+// session does not block other sessions: its holder stopped exclusive work
+// before the session could expire. Even if the holder went on, the first result
+// of each item wins.
 func (c *chunk) claimable(sessions state.Sessions) bool {
 	if c.complete() {
 		return false
@@ -37,21 +38,23 @@
 	return c.holder == 0 || !sessions.Open(c.holder)
 }
 
+// release frees those of the named chunks that the session holds. The record is
+// rejected if the session holds none of them.
 func (l *Ledger) release(by protocol.SessionID, body *protocol.ChunkRelease) protocol.Verdict {
-	j, verdict := l.open(body.Job)
+	j, verdict := l.runningJob(body.Job)
 	if j == nil {
 		return verdict
 	}
-	freed := 0
+	released := 0
 	for _, number := range body.Chunks {
 		c := j.chunk(number)
 		if c == nil || c.holder != by {
 			continue
 		}
 		c.holder = 0
-		freed++
+		released++
 	}
-	if freed == 0 {
+	if released == 0 {
 		return protocol.NotHolder
 	}
 	return protocol.Accepted
--- a/internal/state/ledger/job.go
+++ b/internal/state/ledger/job.go
@@ -6,7 +6,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// Status is the state of a job, derived from the records about it.
+// Status is the state of a job, derived from its records.
 type Status string
 
 // The states of a job. All but InProgress are final.
@@ -28,34 +28,46 @@
 	created        time.Time
 	deadline       time.Time
 
+	// accepted and ended are offsets in ControlStream; ended is NoOffset while
+	// the job is in progress.
 	accepted protocol.Offset
 	ended    protocol.Offset
-	endedAt  int64
-	status   Status
+	// endedAt is the time of the end in Unix seconds.
+	endedAt int64
+	status  Status
 
+	// total counts the items, done those with a result and failed those with a
+	// failed result.
 	total, done, failed int
 	chunks              []chunk
 }
 
-// chunk takes 40 bytes. A chunk that one segment completed without a failed
-// item, the usual case, has its result in whole; any other has segments.
+// chunk takes 40 bytes. Usually one segment holds the results of all items and
+// none of them failed; its offset is then in soleSegment. In all other cases the
+// segments are in segmentList.
 type chunk struct {
-	input  protocol.Offset
-	holder protocol.SessionID
-	whole  protocol.Offset
-	parts  *[]Segment
-	items  uint16
-	done   uint16
-	// first is the index of the first item in the entry at input.
-	first uint16
+	// input is the offset of the items in DataStream.
+	input protocol.Offset
+	// holder is the session that claimed the chunk, or 0 if there is none. The
+	// session may have ended.
+	holder      protocol.SessionID
+	soleSegment protocol.Offset
+	segmentList *[]Segment
+	// items counts the items, done those with a result.
+	items uint16
+	done  uint16
+	// firstItem is the index of the chunk's first item in the entry at input.
+	firstItem uint16
 }
 
-// Segment is an entry of DataStream that holds winning results of a chunk.
+// Segment is an entry of DataStream that holds accepted results of a chunk. Only
+// the first result of an item is accepted.
 type Segment struct {
+	// Data is the offset of the entry.
 	Data protocol.Offset `cbor:"1,keyasint"`
-	// Items are those whose first result is in this segment.
+	// Items marks the items whose accepted result is in this segment.
 	Items Bitmap `cbor:"2,keyasint"`
-	// Failed are those of Items that ended as a failed result.
+	// Failed marks those of Items whose result is a failure.
 	Failed Bitmap `cbor:"3,keyasint"`
 }
 
@@ -76,13 +88,13 @@
 		chunks:         make([]chunk, len(body.Chunks)),
 	}
 	for i, ref := range body.Chunks {
-		j.chunks[i] = chunk{input: ref.Offset, first: uint16(ref.First), whole: protocol.NoOffset, items: uint16(ref.Items)}
+		j.chunks[i] = chunk{input: ref.Offset, firstItem: uint16(ref.First), soleSegment: protocol.NoOffset, items: uint16(ref.Items)}
 		j.total += ref.Items
 	}
 	return j
 }
 
-// chunk finds a chunk by its number, nil if the job has no such chunk.
+// chunk returns a chunk by its number, or nil if the job has no such chunk.
 func (j *job) chunk(number int) *chunk {
 	if number < 0 || number >= len(j.chunks) {
 		return nil
@@ -92,27 +104,27 @@
 
 func (c *chunk) complete() bool { return c.done == c.items }
 
-// segments lists the winning segments in stream order.
+// segments lists the segments with accepted results in stream order.
 func (c *chunk) segments() []Segment {
-	if c.whole != protocol.NoOffset {
-		return []Segment{{Data: c.whole, Items: firstBits(int(c.items))}}
+	if c.soleSegment != protocol.NoOffset {
+		return []Segment{{Data: c.soleSegment, Items: firstBits(int(c.items))}}
 	}
-	if c.parts == nil {
+	if c.segmentList == nil {
 		return nil
 	}
-	return append([]Segment(nil), *c.parts...)
+	return append([]Segment(nil), *c.segmentList...)
 }
 
-// won holds the items that have a result.
-func (c *chunk) won() Bitmap {
-	if c.whole != protocol.NoOffset {
+// finished marks the items that have a result.
+func (c *chunk) finished() Bitmap {
+	if c.soleSegment != protocol.NoOffset {
 		return firstBits(int(c.items))
 	}
 	var all Bitmap
-	if c.parts == nil {
+	if c.segmentList == nil {
 		return all
 	}
-	for _, segment := range *c.parts {
+	for _, segment := range *c.segmentList {
 		all = all.or(segment.Items)
 	}
 	return all
--- a/internal/state/ledger/ledger.go
+++ b/internal/state/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger replays batch jobs: their manifests, the claims of chunks,
-// the results of items, and how a job ends.
+// Package ledger replays the state of batch jobs: manifests, claims of chunks,
+// results of items and the end of each job.
 //
-// It keeps offsets into DataStream and bitmaps, never inputs or results, so
-// that a million items cost a few hundred kilobytes.
+// The state consists of bitmaps and offsets into DataStream. It contains neither
+// inputs nor results, so a million items take a few hundred kilobytes.
 package ledger
 
 import (
@@ -12,27 +12,29 @@
 	"merlintiller/internal/state"
 )
 
-// submitKey identifies a submission across resends.
+// submitKey identifies a submission when the client sends it again.
 type submitKey struct {
 	organisation protocol.OrganisationID
 	key          string
 }
 
-// Ledger is the replayed state. It is not safe for concurrent use.
+// Ledger is the replayed state of all batch jobs. It is not safe for concurrent
+// use.
 type Ledger struct {
 	jobs map[protocol.JobID]*job
-	// running holds the jobs that have not ended, so that planning does not
-	// pass over all that are only kept for their results.
+	// running holds the jobs that have not ended. The planner then does not
+	// have to iterate over ended jobs that are kept for their results.
 	running map[protocol.JobID]*job
-	first   map[submitKey]protocol.JobID
+	// byIdempotencyKey holds the job that was accepted under each key.
+	byIdempotencyKey map[submitKey]protocol.JobID
 }
 
-// New returns the empty state.
+// New returns an empty ledger.
 func New() *Ledger {
 	return &Ledger{
-		jobs:    map[protocol.JobID]*job{},
-		running: map[protocol.JobID]*job{},
-		first:   map[submitKey]protocol.JobID{},
+		jobs:             map[protocol.JobID]*job{},
+		running:          map[protocol.JobID]*job{},
+		byIdempotencyKey: map[submitKey]protocol.JobID{},
 	}
 }
 
@@ -54,7 +56,7 @@
 	case rec.JobExpire != nil:
 		return l.expire(at, rec.JobExpire)
 	case rec.DataMoved != nil:
-		return l.moved(rec.DataMoved)
+		return l.moveData(rec.DataMoved)
 	case rec.JobForget != nil:
 		return l.forget(rec.JobForget)
 	}
@@ -66,10 +68,10 @@
 		return protocol.Malformed
 	}
 	key := submitKey{body.Organisation, body.IdempotencyKey}
-	if _, taken := l.first[key]; taken && body.IdempotencyKey != "" {
+	if _, used := l.byIdempotencyKey[key]; used && body.IdempotencyKey != "" {
 		return protocol.Duplicate
 	}
-	if _, taken := l.jobs[body.Job]; taken {
+	if _, used := l.jobs[body.Job]; used {
 		return protocol.Conflict
 	}
 	l.add(newJob(at, body))
@@ -82,7 +84,7 @@
 		l.running[j.id] = j
 	}
 	if j.idempotencyKey != "" {
-		l.first[submitKey{j.organisation, j.idempotencyKey}] = j.id
+		l.byIdempotencyKey[submitKey{j.organisation, j.idempotencyKey}] = j.id
 	}
 }
 
@@ -101,8 +103,9 @@
 	return true
 }
 
-// open finds a job that has not ended, or the verdict on a record about it.
-func (l *Ledger) open(id protocol.JobID) (*job, protocol.Verdict) {
+// runningJob returns a job that has not ended. If there is none, it returns nil
+// and the verdict on the record that names the job.
+func (l *Ledger) runningJob(id protocol.JobID) (*job, protocol.Verdict) {
 	j, ok := l.jobs[id]
 	if !ok {
 		return nil, protocol.UnknownSubject
@@ -113,6 +116,7 @@
 	return j, protocol.Accepted
 }
 
+// end gives a job its final status and releases its chunks.
 func (l *Ledger) end(j *job, status Status, at protocol.Offset, unixSeconds int64) {
 	j.status = status
 	j.ended = at
@@ -123,13 +127,14 @@
 	}
 }
 
-// cancel stops a job for its owner. To anyone else the job does not exist.
+// cancel ends a job for the organisation that owns it. Any other organisation
+// gets the same verdict as for an unknown job.
 func (l *Ledger) cancel(at protocol.Offset, body *protocol.JobCancel) protocol.Verdict {
-	known, ok := l.jobs[body.Job]
-	if !ok || known.organisation != body.Organisation {
+	existing, ok := l.jobs[body.Job]
+	if !ok || existing.organisation != body.Organisation {
 		return protocol.UnknownSubject
 	}
-	j, verdict := l.open(body.Job)
+	j, verdict := l.runningJob(body.Job)
 	if j == nil {
 		return verdict
 	}
@@ -138,7 +143,7 @@
 }
 
 func (l *Ledger) expire(at protocol.Offset, body *protocol.JobExpire) protocol.Verdict {
-	j, verdict := l.open(body.Job)
+	j, verdict := l.runningJob(body.Job)
 	if j == nil {
 		return verdict
 	}
@@ -146,8 +151,8 @@
 	return protocol.Accepted
 }
 
-// forget drops an ended job. A running one is kept: what was accepted must
-// complete first.
+// forget deletes an ended job. A running job is kept, since an accepted job must
+// end before it may be deleted.
 func (l *Ledger) forget(body *protocol.JobForget) protocol.Verdict {
 	j, ok := l.jobs[body.Job]
 	if !ok {
@@ -158,7 +163,7 @@
 	}
 	delete(l.jobs, j.id)
 	if j.idempotencyKey != "" {
-		delete(l.first, submitKey{j.organisation, j.idempotencyKey})
+		delete(l.byIdempotencyKey, submitKey{j.organisation, j.idempotencyKey})
 	}
 	return protocol.Accepted
 }
--- a/internal/state/ledger/ledger_test.go
+++ b/internal/state/ledger/ledger_test.go
@@ -9,31 +9,31 @@
 	"merlintiller/internal/protocol"
 )
 
-// openSet holds the open sessions of a test.
-type openSet map[protocol.SessionID]bool
+// openSessions implements state.Sessions with a fixed set of open sessions.
+type openSessions map[protocol.SessionID]bool
 
-func (o openSet) Open(id protocol.SessionID) bool { return o[id] }
+func (o openSessions) Open(id protocol.SessionID) bool { return o[id] }
 
 const (
-	first  protocol.SessionID = 1
-	second protocol.SessionID = 2
+	session1 protocol.SessionID = 1
+	session2 protocol.SessionID = 2
 )
 
-var bothOpen = openSet{first: true, second: true}
+var bothOpen = openSessions{session1: true, session2: true}
 
-// replay applies records in turn.
-type replay struct {
+// testLedger applies records at consecutive offsets.
+type testLedger struct {
 	*Ledger
 	t    *testing.T
 	at   protocol.Offset
-	open openSet
+	open openSessions
 }
 
-func newReplay(t *testing.T) *replay {
-	return &replay{Ledger: New(), t: t, open: openSet{first: true, second: true}}
+func newTestLedger(t *testing.T) *testLedger {
+	return &testLedger{Ledger: New(), t: t, open: openSessions{session1: true, session2: true}}
 }
 
-func (r *replay) put(by protocol.SessionID, rec protocol.Record) protocol.Verdict {
+func (r *testLedger) write(by protocol.SessionID, rec protocol.Record) protocol.Verdict {
 	rec.ID.Session = by
 	verdict := r.Apply(r.at, &rec, r.open)
 	r.at++
@@ -60,30 +60,31 @@
 }
 
 func resultOf(job string, chunk int, data protocol.Offset, items, failed []int) protocol.Record {
-	var won, bad Bitmap
+	var reportedBits, failedBits Bitmap
 	for _, i := range items {
-		won.Set(i)
+		reportedBits.Set(i)
 	}
 	for _, i := range failed {
-		bad.Set(i)
+		failedBits.Set(i)
 	}
 	return protocol.Record{ChunkResult: &protocol.ChunkResult{
-		Job: protocol.JobID(job), Chunk: chunk, Data: data, Items: won.Bytes(), Failed: bad.Bytes(), At: 77,
+		Job: protocol.JobID(job), Chunk: chunk, Data: data, Items: reportedBits.Bytes(), Failed: failedBits.Bytes(), At: 77,
 	}}
 }
 
-func (r *replay) job(id string) JobView {
+func (r *testLedger) job(id string) JobView {
 	view, ok := r.Job(protocol.JobID(id))
 	require.True(r.t, ok)
 	return view
 }
 
-// A client sends its job twice because the first answer got lost. Two jobs
-// would run and be billed twice; the second manifest must find the first.
-func TestResentJobIsTheFirstOne(t *testing.T) {
-	r := newReplay(t)
-	require.Equal(t, protocol.Accepted, r.put(first, manifest("a", "key", 2)))
-	require.Equal(t, protocol.Duplicate, r.put(second, manifest("b", "key", 2)))
+// A client sends its job again because the first response was lost. Two jobs
+// would run and be billed twice, so the second manifest must be rejected as a
+// duplicate of the first.
+func TestResentJobIsDuplicate(t *testing.T) {
+	r := newTestLedger(t)
+	require.Equal(t, protocol.Accepted, r.write(session1, manifest("a", "key", 2)))
+	require.Equal(t, protocol.Duplicate, r.write(session2, manifest("b", "key", 2)))
 	view, ok := r.JobByIdempotencyKey("cascadia", "key")
 	require.True(t, ok)
 	require.EqualValues(t, "a", view.ID)
@@ -91,51 +92,52 @@
 	require.Empty(t, r.Jobs("dobrescu"))
 }
 
-// Two instances reach for the same chunk. If both held it, every item would
-// run twice.
+// Two instances claim the same chunk. If both held it, every item would run
+// twice.
 func TestChunkHasOneHolder(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2, 2))
-	require.Equal(t, protocol.Accepted, r.put(first, claimOf("a", 0)))
-	require.Equal(t, protocol.AlreadyHeld, r.put(second, claimOf("a", 0)))
-	require.Equal(t, protocol.Accepted, r.put(second, claimOf("a", 0, 1)))
-	require.Equal(t, []ChunkID{{"a", 0}}, r.HeldBy(first))
-	require.Equal(t, []ChunkID{{"a", 1}}, r.HeldBy(second))
-}
-
-// An instance dies with chunks in flight. Once its session has ended another
-// takes them, or the job would wait for ever.
-func TestChunkOfAnEndedSessionIsFree(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2))
-	r.put(first, claimOf("a", 0))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2, 2))
+	require.Equal(t, protocol.Accepted, r.write(session1, claimOf("a", 0)))
+	require.Equal(t, protocol.AlreadyHeld, r.write(session2, claimOf("a", 0)))
+	require.Equal(t, protocol.Accepted, r.write(session2, claimOf("a", 0, 1)))
+	require.Equal(t, []ChunkID{{"a", 0}}, r.HeldBy(session1))
+	require.Equal(t, []ChunkID{{"a", 1}}, r.HeldBy(session2))
+}
+
+// An instance crashes while it holds chunks. Once its session has ended, another
+// instance must be able to claim them, or the job would never complete.
+func TestChunkOfEndedSessionIsClaimable(t *testing.T) {
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2))
+	r.write(session1, claimOf("a", 0))
 	require.Empty(t, r.Claimable("a", r.open, 0, 9, 10))
-	delete(r.open, first)
+	delete(r.open, session1)
 	require.Equal(t, []int{0}, r.Claimable("a", r.open, 0, 9, 10))
-	require.Equal(t, protocol.Accepted, r.put(second, claimOf("a", 0)))
-	require.Equal(t, []ChunkID{{"a", 0}}, r.HeldBy(second))
+	require.Equal(t, protocol.Accepted, r.write(session2, claimOf("a", 0)))
+	require.Equal(t, []ChunkID{{"a", 0}}, r.HeldBy(session2))
 }
 
-// An instance that leaves gives its chunks back, and only its own.
+// An instance that shuts down releases its chunks. It must not be able to release
+// chunks of other instances.
 func TestOnlyTheHolderReleases(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2))
-	r.put(first, claimOf("a", 0))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2))
+	r.write(session1, claimOf("a", 0))
 	release := protocol.Record{ChunkRelease: &protocol.ChunkRelease{Job: "a", Chunks: []int{0}}}
-	require.Equal(t, protocol.NotHolder, r.put(second, release))
-	require.Equal(t, protocol.Accepted, r.put(first, release))
+	require.Equal(t, protocol.NotHolder, r.write(session2, release))
+	require.Equal(t, protocol.Accepted, r.write(session1, release))
 	require.Equal(t, []int{0}, r.Claimable("a", r.open, 0, 9, 10))
 }
 
-// A paused instance wakes up and reports items that another has reported since.
-// The caller must see one result an item, the first.
-func TestFirstResultOfAnItemStands(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 3))
-	r.put(first, claimOf("a", 0))
-	require.Equal(t, protocol.Accepted, r.put(second, resultOf("a", 0, 500, []int{0, 1}, []int{1})))
-	require.Equal(t, protocol.Accepted, r.put(first, resultOf("a", 0, 501, []int{1, 2}, nil)))
-	require.Equal(t, protocol.AlreadyEnded, r.put(first, resultOf("a", 0, 502, []int{0, 1, 2}, nil)))
+// A paused instance resumes and reports items that another instance has reported
+// meanwhile. The caller must see exactly one result per item, the first.
+func TestFirstResultOfItemWins(t *testing.T) {
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 3))
+	r.write(session1, claimOf("a", 0))
+	require.Equal(t, protocol.Accepted, r.write(session2, resultOf("a", 0, 500, []int{0, 1}, []int{1})))
+	require.Equal(t, protocol.Accepted, r.write(session1, resultOf("a", 0, 501, []int{1, 2}, nil)))
+	require.Equal(t, protocol.AlreadyEnded, r.write(session1, resultOf("a", 0, 502, []int{0, 1, 2}, nil)))
 	view := r.job("a")
 	require.Equal(t, Completed, view.Status)
 	require.Equal(t, 2, view.Completed)
@@ -148,79 +150,81 @@
 	require.True(t, segments[1].Items.Has(2))
 }
 
-// A second copy of a result arrives while the job still runs. It is dropped.
+// A result is reported again while the job is still running. The second copy must
+// be rejected.
 func TestRepeatedResultIsDropped(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 3))
-	r.put(first, resultOf("a", 0, 500, []int{0}, nil))
-	require.Equal(t, protocol.Duplicate, r.put(first, resultOf("a", 0, 501, []int{0}, nil)))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 3))
+	r.write(session1, resultOf("a", 0, 500, []int{0}, nil))
+	require.Equal(t, protocol.Duplicate, r.write(session1, resultOf("a", 0, 501, []int{0}, nil)))
 	require.Equal(t, 1, r.job("a").Completed)
 }
 
-// A result that names items the chunk does not have, or failed items it does
-// not report, comes from a faulty writer and changes nothing.
+// A faulty writer reports items that the chunk does not have, or marks items as
+// failed without reporting them. The record must change nothing.
 func TestMalformedResultChangesNothing(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 3))
-	require.Equal(t, protocol.Malformed, r.put(first, resultOf("a", 0, 500, []int{3}, nil)))
-	require.Equal(t, protocol.Malformed, r.put(first, resultOf("a", 0, 500, []int{0}, []int{1})))
-	require.Equal(t, protocol.Malformed, r.put(first, resultOf("a", 0, 500, nil, nil)))
-	require.Equal(t, protocol.Malformed, r.put(first, resultOf("a", 1, 500, []int{0}, nil)))
-	require.Equal(t, protocol.Malformed, r.put(first, resultOf("a", 0, -1, []int{0}, nil)))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 3))
+	require.Equal(t, protocol.Malformed, r.write(session1, resultOf("a", 0, 500, []int{3}, nil)))
+	require.Equal(t, protocol.Malformed, r.write(session1, resultOf("a", 0, 500, []int{0}, []int{1})))
+	require.Equal(t, protocol.Malformed, r.write(session1, resultOf("a", 0, 500, nil, nil)))
+	require.Equal(t, protocol.Malformed, r.write(session1, resultOf("a", 1, 500, []int{0}, nil)))
+	require.Equal(t, protocol.Malformed, r.write(session1, resultOf("a", 0, -1, []int{0}, nil)))
 	require.Zero(t, r.job("a").Completed)
 }
 
-// The cancel of a caller and the results of executors cross. What precedes the
-// cancel in the stream stands; nothing after it does.
+// A caller cancels a job while executors report results. Results before the
+// cancellation in the stream count; results and claims after it are rejected.
 func TestCancelledJobTakesNoMoreResults(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2, 2))
-	r.put(first, claimOf("a", 0))
-	r.put(first, resultOf("a", 0, 500, []int{0}, nil))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2, 2))
+	r.write(session1, claimOf("a", 0))
+	r.write(session1, resultOf("a", 0, 500, []int{0}, nil))
 	cancel := protocol.Record{JobCancel: &protocol.JobCancel{Job: "a", Organisation: "cascadia"}}
-	require.Equal(t, protocol.Accepted, r.put(second, cancel))
-	require.Equal(t, protocol.AlreadyEnded, r.put(first, resultOf("a", 0, 501, []int{1}, nil)))
-	require.Equal(t, protocol.AlreadyEnded, r.put(first, claimOf("a", 1)))
-	require.Equal(t, protocol.AlreadyEnded, r.put(first, cancel))
-	require.Empty(t, r.HeldBy(first))
+	require.Equal(t, protocol.Accepted, r.write(session2, cancel))
+	require.Equal(t, protocol.AlreadyEnded, r.write(session1, resultOf("a", 0, 501, []int{1}, nil)))
+	require.Equal(t, protocol.AlreadyEnded, r.write(session1, claimOf("a", 1)))
+	require.Equal(t, protocol.AlreadyEnded, r.write(session1, cancel))
+	require.Empty(t, r.HeldBy(session1))
 	require.Equal(t, Cancelled, r.job("a").Status)
 	require.Equal(t, 1, r.job("a").Completed)
 }
 
-// A caller guesses the id of another organisation's job. The cancel must look
-// as if the job did not exist.
+// A caller guesses the id of another organisation's job. Its cancellation must
+// get the same verdict as for a job that does not exist.
 func TestCancelNeedsTheOwner(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2))
 	cancel := protocol.Record{JobCancel: &protocol.JobCancel{Job: "a", Organisation: "dobrescu"}}
-	require.Equal(t, protocol.UnknownSubject, r.put(first, cancel))
+	require.Equal(t, protocol.UnknownSubject, r.write(session1, cancel))
 	require.Equal(t, InProgress, r.job("a").Status)
 }
 
-// A job that is past its deadline ends, and its key is free again only after
-// the job is forgotten. A running job can't be forgotten.
+// A job expires at its deadline. Its idempotency key may be used again only after
+// the job has been deleted, and a running job can't be deleted.
 func TestExpireAndForget(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "key", 2))
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "key", 2))
 	forget := protocol.Record{JobForget: &protocol.JobForget{Job: "a"}}
-	require.Equal(t, protocol.Conflict, r.put(first, forget))
-	require.Equal(t, protocol.Accepted, r.put(first, protocol.Record{JobExpire: &protocol.JobExpire{Job: "a", At: 5}}))
-	require.Equal(t, protocol.AlreadyEnded, r.put(first, protocol.Record{JobExpire: &protocol.JobExpire{Job: "a"}}))
+	require.Equal(t, protocol.Conflict, r.write(session1, forget))
+	require.Equal(t, protocol.Accepted, r.write(session1, protocol.Record{JobExpire: &protocol.JobExpire{Job: "a", At: 5}}))
+	require.Equal(t, protocol.AlreadyEnded, r.write(session1, protocol.Record{JobExpire: &protocol.JobExpire{Job: "a"}}))
 	require.Equal(t, Expired, r.job("a").Status)
-	require.Equal(t, protocol.Accepted, r.put(first, forget))
-	require.Equal(t, protocol.UnknownSubject, r.put(first, resultOf("a", 0, 1, []int{0}, nil)))
-	require.Equal(t, protocol.Accepted, r.put(first, manifest("b", "key", 2)))
-}
-
-// Input and results are appended anew before retention drops them. The ledger
-// must follow both, and must not take a move of something it does not hold.
-func TestMovedDataIsFollowed(t *testing.T) {
-	r := newReplay(t)
-	r.put(first, manifest("a", "", 2, 2))
-	r.put(first, resultOf("a", 0, 500, []int{0, 1}, nil))
-	r.put(first, resultOf("a", 1, 501, []int{0}, nil))
+	require.Equal(t, protocol.Accepted, r.write(session1, forget))
+	require.Equal(t, protocol.UnknownSubject, r.write(session1, resultOf("a", 0, 1, []int{0}, nil)))
+	require.Equal(t, protocol.Accepted, r.write(session1, manifest("b", "key", 2)))
+}
+
+// Inputs and results are appended again before the log's retention drops them.
+// The ledger must update the offsets of both, and must reject a move from an
+// offset to which it does not refer.
+func TestMovedDataOffsetsAreUpdated(t *testing.T) {
+	r := newTestLedger(t)
+	r.write(session1, manifest("a", "", 2, 2))
+	r.write(session1, resultOf("a", 0, 500, []int{0, 1}, nil))
+	r.write(session1, resultOf("a", 1, 501, []int{0}, nil))
 	move := func(chunk int, from, to protocol.Offset) protocol.Verdict {
-		return r.put(first, protocol.Record{DataMoved: &protocol.DataMoved{Job: "a", Chunk: chunk, From: from, To: to}})
+		return r.write(session1, protocol.Record{DataMoved: &protocol.DataMoved{Job: "a", Chunk: chunk, From: from, To: to}})
 	}
 	require.Equal(t, protocol.Accepted, move(0, 500, 900))
 	require.Equal(t, protocol.Accepted, move(1, 501, 901))
@@ -237,9 +241,9 @@
 	for count := range protocol.MaxChunkItems + 1 {
 		b := firstBits(count)
 		require.Equal(t, count, b.Count())
-		back, ok := ParseBitmap(b.Bytes())
+		decoded, ok := ParseBitmap(b.Bytes())
 		require.True(t, ok)
-		require.Equal(t, b, back)
+		require.Equal(t, b, decoded)
 	}
 	_, ok := ParseBitmap(make([]byte, protocol.MaxChunkItems/8+1))
 	require.False(t, ok)
--- a/internal/state/ledger/property_test.go
+++ b/internal/state/ledger/property_test.go
@@ -10,14 +10,14 @@
 	"merlintiller/internal/protocol"
 )
 
-// itemID names an item in the reference.
+// itemID identifies an item in the reference model.
 type itemID struct {
 	job         protocol.JobID
 	chunk, item int
 }
 
-// reference is the rule in its plainest form: a map of the first result of
-// each item, and the position at which each job ended.
+// reference is a simple model of the ledger's rules: the offset of the first
+// result of each item, and the set of ended jobs.
 type reference struct {
 	first map[itemID]protocol.Offset
 	ended map[protocol.JobID]bool
@@ -45,7 +45,7 @@
 	items, _ := ParseBitmap(body.Items)
 	for item := range protocol.MaxChunkItems {
 		id := itemID{body.Job, body.Chunk, item}
-		if _, taken := r.first[id]; !taken && items.Has(item) {
+		if _, exists := r.first[id]; !exists && items.Has(item) {
 			r.first[id] = body.Data
 		}
 	}
@@ -57,8 +57,8 @@
 	drawnItems  = 5
 )
 
-// drawRecord draws a record as one of several executors or callers may write
-// it, late, twice or crossed.
+// drawRecord generates a record that one of several executors or callers may
+// write. Over a test, records are late, repeated or reordered.
 func drawRecord(t *rapid.T, at protocol.Offset) protocol.Record {
 	job := protocol.JobID(fmt.Sprintf("job%d", rapid.IntRange(0, drawnJobs-1).Draw(t, "job")))
 	chunk := rapid.IntRange(0, drawnChunks-1).Draw(t, "chunk")
@@ -88,8 +88,8 @@
 	return rec
 }
 
-// grouped reports several chunks in one record, of which the last may not
-// exist.
+// grouped combines results of several chunks into one record. A chunk in it may
+// not exist.
 func grouped(records ...protocol.Record) protocol.Record {
 	body := &protocol.ChunkResults{}
 	for _, rec := range records {
@@ -98,14 +98,14 @@
 	return protocol.Record{ChunkResults: body}
 }
 
-// Several executors on one stream report the same items, late and twice, while
-// callers cancel. Whatever the order, an item has the first result reported
-// before its job ended, and no other.
-func TestOneWinningResultAnItem(t *testing.T) {
+// Several executors report the same items late and repeatedly while callers
+// cancel jobs. In any order of the records, an item must have only the first
+// result that was reported before its job ended.
+func TestOneResultPerItem(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		want := &reference{first: map[itemID]protocol.Offset{}, ended: map[protocol.JobID]bool{}}
-		open := openSet{1: true, 2: true, 3: true}
+		open := openSessions{1: true, 2: true, 3: true}
 		for job := range drawnJobs {
 			rec := manifest(fmt.Sprintf("job%d", job), fmt.Sprintf("keyjob%d", job), drawnItems, drawnItems, drawnItems)
 			l.Apply(protocol.Offset(job), &rec, open)
@@ -115,13 +115,13 @@
 			open[3] = rapid.Bool().Draw(t, "third open")
 			want.apply(&rec, l.Apply(drawnJobs+at, &rec, open))
 		}
-		require.Equal(t, want.first, winners(t, l))
+		require.Equal(t, want.first, acceptedResults(t, l))
 	})
 }
 
-// winners reads the winning result of each item, and fails if two segments
-// claim one.
-func winners(t require.TestingT, l *Ledger) map[itemID]protocol.Offset {
+// acceptedResults returns the offset of the accepted result of each item. It
+// fails the test if two segments contain the same item.
+func acceptedResults(t require.TestingT, l *Ledger) map[itemID]protocol.Offset {
 	found := map[itemID]protocol.Offset{}
 	for _, job := range l.All() {
 		counted := 0
@@ -144,28 +144,28 @@
 	return found
 }
 
-// An instance starts from a snapshot that was taken at any position, and
-// replays the rest. It must come to the very state of one that replayed all,
-// or the two would disagree on who holds a chunk.
+// An instance starts from a snapshot taken at an arbitrary offset and replays the
+// remaining records. It must reach the same state as an instance that replayed
+// all records, or the two would disagree on the holder of a chunk.
 func TestReplayFromAnySnapshotEqualsReplayOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := New()
-		open := openSet{1: true, 2: true}
+		full := New()
+		open := openSessions{1: true, 2: true}
 		var restored *Ledger
 		count := rapid.IntRange(1, 60).Draw(t, "records")
-		cut := rapid.IntRange(0, count-1).Draw(t, "cut")
+		snapshotAt := rapid.IntRange(0, count-1).Draw(t, "snapshotAt")
 		for at := range protocol.Offset(count) {
-			if int(at) == cut {
-				restored = Restore(roundTrip(t, whole.Snapshot()))
+			if int(at) == snapshotAt {
+				restored = Restore(roundTrip(t, full.Snapshot()))
 			}
 			rec := drawRecord(t, at)
 			open[3] = rapid.Bool().Draw(t, "third open")
-			verdict := whole.Apply(at, &rec, open)
+			verdict := full.Apply(at, &rec, open)
 			if restored != nil {
 				require.Equal(t, verdict, restored.Apply(at, &rec, open))
 			}
 		}
-		require.Equal(t, encoded(t, whole.Snapshot()), encoded(t, restored.Snapshot()))
+		require.Equal(t, encoded(t, full.Snapshot()), encoded(t, restored.Snapshot()))
 	})
 }
 
@@ -176,7 +176,7 @@
 }
 
 func roundTrip(t require.TestingT, s Snapshot) Snapshot {
-	var back Snapshot
-	require.NoError(t, protocol.Unmarshal(encoded(t, s), &back))
-	return back
+	var decoded Snapshot
+	require.NoError(t, protocol.Unmarshal(encoded(t, s), &decoded))
+	return decoded
 }
--- a/internal/state/ledger/result.go
+++ b/internal/state/ledger/result.go
@@ -2,7 +2,8 @@
 
 import "merlintiller/internal/protocol"
 
-// results decides each part by itself.
+// results decides on each part of the record separately. The record is accepted
+// if at least one part is.
 func (l *Ledger) results(at protocol.Offset, body *protocol.ChunkResults) protocol.Verdict {
 	verdict := protocol.Malformed
 	for i := range body.Parts {
@@ -14,12 +15,12 @@
 	return verdict
 }
 
-// result gives each item that has none yet its result. The first one in stream
-// order stands: an instance that was paused past its lease, or one whose
-// append was repeated, reports results that another has reported, and taking
-// them too would complete an item twice.
+// result accepts the results of items that have none yet. The first result in
+// stream order wins. An instance that was paused beyond the end of its lease, or
+// whose append was repeated, reports items that already have a result. Accepting
+// those too would complete an item twice.
 func (l *Ledger) result(at protocol.Offset, body *protocol.ChunkResult) protocol.Verdict {
-	j, verdict := l.open(body.Job)
+	j, verdict := l.runningJob(body.Job)
 	if j == nil {
 		return verdict
 	}
@@ -28,13 +29,13 @@
 	if !ok {
 		return protocol.Malformed
 	}
-	fresh := reported.without(c.won())
-	if fresh.Count() == 0 {
+	newItems := reported.andNot(c.finished())
+	if newItems.Count() == 0 {
 		return protocol.Duplicate
 	}
-	c.add(Segment{Data: body.Data, Items: fresh, Failed: failed.and(fresh)})
-	j.done += fresh.Count()
-	j.failed += failed.and(fresh).Count()
+	c.add(Segment{Data: body.Data, Items: newItems, Failed: failed.and(newItems)})
+	j.done += newItems.Count()
+	j.failed += failed.and(newItems).Count()
 	if c.complete() {
 		c.holder = 0
 	}
@@ -44,6 +45,9 @@
 	return protocol.Accepted
 }
 
+// parseResult decodes the bitmaps of a result. ok is false if the chunk does not
+// exist, no item is reported, or a bitmap marks items that the chunk does not
+// have or, for failed items, that are not reported.
 func parseResult(c *chunk, body *protocol.ChunkResult) (reported, failed Bitmap, ok bool) {
 	if c == nil || body.Data < 0 {
 		return reported, failed, false
@@ -53,25 +57,27 @@
 	if !okItems || !okFailed || reported.Count() == 0 {
 		return reported, failed, false
 	}
-	inside := reported.without(firstBits(int(c.items))).Count() == 0
-	subset := failed.without(reported).Count() == 0
+	inside := reported.andNot(firstBits(int(c.items))).Count() == 0
+	subset := failed.andNot(reported).Count() == 0
 	return reported, failed, inside && subset
 }
 
+// add records a segment of accepted results.
 func (c *chunk) add(segment Segment) {
 	c.done += uint16(segment.Items.Count())
-	if c.parts == nil && c.complete() && segment.Failed.Count() == 0 {
-		c.whole = segment.Data
+	if c.segmentList == nil && c.complete() && segment.Failed.Count() == 0 {
+		c.soleSegment = segment.Data
 		return
 	}
-	if c.parts == nil {
-		c.parts = &[]Segment{}
+	if c.segmentList == nil {
+		c.segmentList = &[]Segment{}
 	}
-	*c.parts = append(*c.parts, segment)
+	*c.segmentList = append(*c.segmentList, segment)
 }
 
-// moved follows an entry of DataStream to its later offset.
-func (l *Ledger) moved(body *protocol.DataMoved) protocol.Verdict {
+// moveData replaces the offset of an entry of DataStream that was appended again
+// at a later offset.
+func (l *Ledger) moveData(body *protocol.DataMoved) protocol.Verdict {
 	j, ok := l.jobs[body.Job]
 	if !ok {
 		return protocol.UnknownSubject
@@ -86,24 +92,26 @@
 	return protocol.Accepted
 }
 
+// move replaces an offset wherever the chunk refers to it, and reports whether
+// the chunk does.
 func (c *chunk) move(from, to protocol.Offset) bool {
-	found := false
+	replaced := false
 	if c.input == from {
 		c.input = to
-		found = true
+		replaced = true
 	}
-	if c.whole == from && from != protocol.NoOffset {
-		c.whole = to
-		found = true
+	if c.soleSegment == from && from != protocol.NoOffset {
+		c.soleSegment = to
+		replaced = true
 	}
-	if c.parts == nil {
-		return found
+	if c.segmentList == nil {
+		return replaced
 	}
-	for i := range *c.parts {
-		if (*c.parts)[i].Data == from {
-			(*c.parts)[i].Data = to
-			found = true
+	for i := range *c.segmentList {
+		if (*c.segmentList)[i].Data == from {
+			(*c.segmentList)[i].Data = to
+			replaced = true
 		}
 	}
-	return found
+	return replaced
 }
--- a/internal/state/ledger/size_test.go
+++ b/internal/state/ledger/size_test.go
@@ -11,15 +11,16 @@
 	"merlintiller/internal/protocol"
 )
 
+// Sizes of the measured ledger: a million items, all in running jobs.
 const (
 	liveJobs   = 10
 	liveChunks = 391
 	liveItems  = liveJobs * liveChunks * protocol.MaxChunkItems
 )
 
-// millionItems is a stream of records with a million live items: jobs of
-// 100,000 items with half of their chunks done, a tenth of those in two parts
-// with failed items, and the rest claimed.
+// millionItems returns records that leave a million items in running jobs of
+// 100,000 items each. Half of the chunks are done and the rest are claimed. A
+// tenth of the done chunks have two segments and failed items.
 func millionItems() []protocol.Record {
 	var records []protocol.Record
 	for j := range liveJobs {
@@ -33,28 +34,28 @@
 			records = append(records, claimOf(name, i))
 		}
 		for i := range liveChunks / 2 {
-			records = append(records, chunkDone(name, i)...)
+			records = append(records, finishedChunk(name, i)...)
 		}
 	}
 	for i := range records {
-		records[i].ID.Session = first
+		records[i].ID.Session = session1
 	}
 	return records
 }
 
-func chunkDone(job string, chunk int) []protocol.Record {
-	whole := resultOf(job, chunk, protocol.Offset(10_000+chunk), nil, nil)
-	whole.ChunkResult.Items = firstBits(protocol.MaxChunkItems).Bytes()
+func finishedChunk(job string, chunk int) []protocol.Record {
+	full := resultOf(job, chunk, protocol.Offset(10_000+chunk), nil, nil)
+	full.ChunkResult.Items = firstBits(protocol.MaxChunkItems).Bytes()
 	if chunk%10 != 0 {
-		return []protocol.Record{whole}
+		return []protocol.Record{full}
 	}
 	part := resultOf(job, chunk, protocol.Offset(20_000+chunk), []int{3, 200}, []int{200})
-	return []protocol.Record{part, whole}
+	return []protocol.Record{part, full}
 }
 
-// itemByItem is the baseline: the claim and the result of each item is a record
-// of its own.
-func itemByItem(items int) []protocol.Record {
+// recordsPerItem returns the records of the baseline: a claim and a result for
+// each single item.
+func recordsPerItem(items int) []protocol.Record {
 	chunks := items / protocol.MaxChunkItems
 	sizes := make([]int, chunks)
 	for i := range sizes {
@@ -77,7 +78,7 @@
 	return l
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -85,36 +86,37 @@
 	return int64(stats.HeapAlloc)
 }
 
-// itemState is what a plain ledger would keep of each item.
+// itemState is the state per item of the baseline, a map with one entry per item.
 type itemState struct {
 	holder protocol.SessionID
 	data   protocol.Offset
 	failed bool
 }
 
-// An instance has 64 MB for control. The ledger must stay far below it with a
-// million live items, or instances would be killed for memory.
+// An instance has 64 MB of memory for its control state. With a million items in
+// running jobs the ledger must stay far below that limit, or instances would be
+// killed for lack of memory.
 func TestMeasureMemoryOfAMillionItems(t *testing.T) {
 	records := millionItems()
-	before := heap()
+	before := heapBytes()
 	l := replayAll(records)
-	now := heap() - before
+	used := heapBytes() - before
 	runtime.KeepAlive(records)
 	require.Len(t, l.Running(), liveJobs)
-	before = heap()
-	plain := make(map[itemID]itemState, liveItems/10)
+	before = heapBytes()
+	perItem := make(map[itemID]itemState, liveItems/10)
 	for i := range liveItems / 10 {
-		plain[itemID{"job", i / protocol.MaxChunkItems, i % protocol.MaxChunkItems}] = itemState{holder: 1, data: protocol.Offset(i), failed: false}
+		perItem[itemID{"job", i / protocol.MaxChunkItems, i % protocol.MaxChunkItems}] = itemState{holder: 1, data: protocol.Offset(i), failed: false}
 	}
-	baseline := heap() - before
-	runtime.KeepAlive(plain)
-	perHundredThousand := float64(now) / 1e6 / (liveItems / 1e5)
+	baseline := heapBytes() - before
+	runtime.KeepAlive(perItem)
+	perHundredThousand := float64(used) / 1e6 / (liveItems / 1e5)
 	t.Logf("measure name=state.mb_per_100k_items unit=MB baseline=%.2f now=%.4f", float64(baseline)/1e6, perHundredThousand)
 	require.Less(t, perHundredThousand, 0.1)
 	runtime.KeepAlive(l)
 }
 
-// encodeAll gives each record a frame of its own.
+// encodeAll encodes each record in a separate frame.
 func encodeAll(t require.TestingT, records []protocol.Record) [][]byte {
 	frames := make([][]byte, len(records))
 	for i := range records {
@@ -136,14 +138,14 @@
 	return time.Since(began)
 }
 
-// An instance that starts replays what is live before it serves. The baseline
-// has a record for each claim and result of an item; it is measured with
-// 102,400 items and stated for a million.
+// A starting instance replays the records of all running jobs before it serves
+// requests. The baseline has one record per claim and per result of an item. It
+// is measured with 102,400 items and extrapolated to a million.
 func TestMeasureReplayOfAMillionItems(t *testing.T) {
 	const sample = 102_400
 	frames := encodeAll(t, millionItems())
 	now := decodeAndReplay(t, frames)
-	baseline := decodeAndReplay(t, encodeAll(t, itemByItem(sample)))
+	baseline := decodeAndReplay(t, encodeAll(t, recordsPerItem(sample)))
 	t.Logf("measure name=start.replay_1m_s unit=s baseline=%.2f now=%.3f records=%d",
 		baseline.Seconds()*liveItems/sample, now.Seconds(), len(frames))
 	snapshot, err := protocol.Marshal(replayAll(millionItems()).Snapshot())
--- a/internal/state/ledger/snapshot.go
+++ b/internal/state/ledger/snapshot.go
@@ -7,13 +7,13 @@
 	"merlintiller/internal/protocol"
 )
 
-// Snapshot is the whole state in a form that encodes to equal bytes for equal
-// states: jobs stand in the order of their acceptance.
+// Snapshot is a copy of the full state. Equal states encode to equal bytes: jobs
+// are sorted by the offset at which they were accepted.
 type Snapshot struct {
 	Jobs []JobSnapshot `cbor:"1,keyasint"`
 }
 
-// JobSnapshot is one job of a Snapshot.
+// JobSnapshot is a job in a Snapshot.
 type JobSnapshot struct {
 	ID             protocol.JobID          `cbor:"1,keyasint"`
 	Organisation   protocol.OrganisationID `cbor:"2,keyasint"`
@@ -31,16 +31,19 @@
 	Chunks         []ChunkSnapshot         `cbor:"14,keyasint"`
 }
 
-// ChunkSnapshot is one chunk of a JobSnapshot. It encodes as an array, since
-// there are thousands of them.
+// ChunkSnapshot is a chunk in a JobSnapshot. It encodes as an array to save
+// space, since there are thousands of chunks.
 type ChunkSnapshot struct {
-	_        struct{} `cbor:",toarray"`
-	Input    protocol.Offset
-	Items    uint16
-	Holder   protocol.SessionID
+	_      struct{} `cbor:",toarray"`
+	Input  protocol.Offset
+	Items  uint16
+	Holder protocol.SessionID
+	// Whole is the offset of the only segment if that segment holds the results
+	// of all items and none failed, else NoOffset.
 	Whole    protocol.Offset
 	Segments []Segment
-	First    uint16
+	// First is the index of the chunk's first item in the entry at Input.
+	First uint16
 }
 
 // Snapshot copies the state.
@@ -77,14 +80,14 @@
 }
 
 func (c *chunk) snapshot() ChunkSnapshot {
-	s := ChunkSnapshot{Input: c.input, Items: c.items, Holder: c.holder, Whole: c.whole, First: c.first}
-	if c.parts != nil {
-		s.Segments = append(s.Segments, *c.parts...)
+	s := ChunkSnapshot{Input: c.input, Items: c.items, Holder: c.holder, Whole: c.soleSegment, First: c.firstItem}
+	if c.segmentList != nil {
+		s.Segments = append(s.Segments, *c.segmentList...)
 	}
 	return s
 }
 
-// Restore makes the state that a snapshot was taken of.
+// Restore returns the ledger that a snapshot was taken from.
 func Restore(s Snapshot) *Ledger {
 	l := New()
 	for i := range s.Jobs {
@@ -123,11 +126,11 @@
 }
 
 func (s *ChunkSnapshot) restore() chunk {
-	c := chunk{input: s.Input, items: s.Items, holder: s.Holder, whole: s.Whole, first: s.First}
+	c := chunk{input: s.Input, items: s.Items, holder: s.Holder, soleSegment: s.Whole, firstItem: s.First}
 	if len(s.Segments) > 0 {
 		parts := append([]Segment(nil), s.Segments...)
-		c.parts = &parts
+		c.segmentList = &parts
 	}
-	c.done = uint16(c.won().Count())
+	c.done = uint16(c.finished().Count())
 	return c
 }
--- a/internal/state/ledger/view.go
+++ b/internal/state/ledger/view.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/state"
 )
 
-// JobView is a copy of what the ledger knows of a job.
+// JobView is a copy of the state of a job.
 type JobView struct {
 	ID             protocol.JobID
 	Organisation   protocol.OrganisationID
@@ -22,26 +22,27 @@
 	Created        time.Time
 	Deadline       time.Time
 	Status         Status
-	// Accepted and Ended are positions in ControlStream; Ended is NoOffset
+	// Accepted and Ended are offsets in ControlStream; Ended is NoOffset
 	// while the job is in progress.
 	Accepted, Ended protocol.Offset
-	// EndedAt is in Unix seconds on the clock of the instance that ended the
-	// job, for display and for the time results stay readable.
+	// EndedAt is the time of the end in Unix seconds, by the clock of the
+	// instance that ended the job. It is displayed, and the retention of results
+	// counts from it.
 	EndedAt int64
-	// Total counts the items, Completed those with a good result and Failed
-	// those with a failed one.
+	// Total counts the items, Completed those that succeeded and Failed those
+	// that failed.
 	Total, Completed, Failed int
 	// Chunks is the number of chunks.
 	Chunks int
 }
 
 func (j *job) view() JobView {
-	view := j.brief()
+	view := j.viewWithoutMetadata()
 	view.Metadata = maps.Clone(j.metadata)
 	return view
 }
 
-func (j *job) brief() JobView {
+func (j *job) viewWithoutMetadata() JobView {
 	return JobView{
 		ID:             j.id,
 		Organisation:   j.organisation,
@@ -71,9 +72,10 @@
 	return j.view(), true
 }
 
-// JobByIdempotencyKey finds the job that won an organisation's idempotency key.
+// JobByIdempotencyKey returns the job that was accepted under an organisation's
+// idempotency key.
 func (l *Ledger) JobByIdempotencyKey(org protocol.OrganisationID, key string) (JobView, bool) {
-	id, ok := l.first[submitKey{org, key}]
+	id, ok := l.byIdempotencyKey[submitKey{org, key}]
 	if !ok {
 		return JobView{}, false
 	}
@@ -92,8 +94,8 @@
 	return views
 }
 
-// Running lists the jobs that have not ended, the oldest first, without their
-// metadata: it is called often.
+// Running lists the jobs that have not ended, the oldest first. It leaves out
+// their metadata because it is called often.
 func (l *Ledger) Running() []JobView { return sortedViews(l.running) }
 
 // CountRunning counts the jobs of an organisation that have not ended.
@@ -107,31 +109,33 @@
 	return count
 }
 
-// All lists every job, the oldest first, without their metadata.
+// All lists all jobs, the oldest first, without their metadata.
 func (l *Ledger) All() []JobView { return sortedViews(l.jobs) }
 
 func sortedViews(jobs map[protocol.JobID]*job) []JobView {
 	views := make([]JobView, 0, len(jobs))
 	for _, j := range jobs {
-		views = append(views, j.brief())
+		views = append(views, j.viewWithoutMetadata())
 	}
 	slices.SortFunc(views, func(a, b JobView) int { return cmp.Compare(a.Accepted, b.Accepted) })
 	return views
 }
 
-// Claimable lists chunks of a job that a session may take, at most limit. It
-// looks at count chunks from a number on, going round, and lists those of ended
-// sessions first.
+// Claimable lists at most limit chunks of a job that a session may claim. It
+// examines count chunks, starting at chunk number from and wrapping around.
+// Chunks held by ended sessions come first.
 func (l *Ledger) Claimable(id protocol.JobID, sessions state.Sessions, from, count, limit int) []int {
 	j, ok := l.running[id]
 	if !ok {
 		return nil
 	}
-	// First those of ended sessions: they have waited longest.
+	// Chunks of ended sessions come first because they have waited longest.
 	numbers := j.claimable(sessions, from, count, limit, true)
 	return append(numbers, j.claimable(sessions, from, count, limit-len(numbers), false)...)
 }
 
+// claimable lists the claimable chunks that an ended session holds if orphans is
+// true, else those that no session holds.
 func (j *job) claimable(sessions state.Sessions, from, count, limit int, orphans bool) (numbers []int) {
 	for i := range min(count, len(j.chunks)) {
 		if len(numbers) >= limit {
@@ -146,13 +150,13 @@
 	return numbers
 }
 
-// ChunkID names a chunk of a job.
+// ChunkID identifies a chunk of a job.
 type ChunkID struct {
 	Job   protocol.JobID
 	Chunk int
 }
 
-// HeldBy lists the chunks that a session holds, in order of job and number.
+// HeldBy lists the chunks that a session holds, sorted by job and chunk number.
 func (l *Ledger) HeldBy(session protocol.SessionID) []ChunkID {
 	var held []ChunkID
 	for _, j := range l.running {
@@ -170,15 +174,16 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Chunk, b.Chunk))
 }
 
-// ChunkView is a copy of what the ledger knows of a chunk.
+// ChunkView is a copy of the state of a chunk.
 type ChunkView struct {
-	// Input says where the items are in DataStream.
+	// Input locates the items in DataStream.
 	Input protocol.ChunkRef
-	// Holder is the session that claimed the chunk, 0 if none did.
+	// Holder is the session that claimed the chunk, or 0 if there is none. The
+	// session may have ended.
 	Holder protocol.SessionID
-	// Finished are the items that have a result.
+	// Finished marks the items that have a result.
 	Finished Bitmap
-	// Segments hold the winning results in stream order.
+	// Segments lists the entries with accepted results in stream order.
 	Segments []Segment
 }
 
@@ -193,27 +198,28 @@
 		return ChunkView{}, false
 	}
 	return ChunkView{
-		Input:    protocol.ChunkRef{Offset: c.input, Items: int(c.items), First: int(c.first)},
+		Input:    protocol.ChunkRef{Offset: c.input, Items: int(c.items), First: int(c.firstItem)},
 		Holder:   c.holder,
-		Finished:      c.won(),
+		Finished: c.finished(),
 		Segments: c.segments(),
 	}, true
 }
 
-// ResultSegments lists the entries that hold the winning results of a chunk.
+// ResultSegments lists the entries that hold the accepted results of a chunk.
 func (l *Ledger) ResultSegments(id protocol.JobID, number int) []Segment {
 	view, _ := l.Chunk(ChunkID{id, number})
 	return view.Segments
 }
 
-// DataRef says that a chunk needs an entry of DataStream.
+// DataRef is a reference from a chunk to an entry of DataStream.
 type DataRef struct {
 	ChunkID
 	Offset protocol.Offset
 }
 
-// DataBefore lists what a job still needs of DataStream at offsets below a
-// limit: the input of chunks with items that have no result, and all results.
+// DataBefore lists the entries of DataStream at offsets below a limit that a job
+// still needs: all results, and the input of chunks in which an item has no
+// result.
 func (l *Ledger) DataBefore(id protocol.JobID, limit protocol.Offset) []DataRef {
 	j, ok := l.jobs[id]
 	if !ok {
