--- a/internal/state/replica/bench_test.go
+++ b/internal/state/replica/bench_test.go
@@ -14,17 +14,19 @@
 	"merlintiller/internal/state/fleet"
 )
 
-// Sizes of a stream with a million live items.
+// Sizes of a control stream that leaves a million items in running jobs.
 const (
 	liveItems = 1_000_000
 	liveJobs  = 10
-	// framed is how many records share a frame under group commit.
-	framed = 8
+	// recordsPerFrame is the number of records that group commit puts into a
+	// frame.
+	recordsPerFrame = 8
 )
 
-// stream builds the encoded frames of a control stream that leaves a million
-// items live: the jobs, a claim of every chunk, and results of half the items.
-func stream(tb testing.TB) (payloads [][]byte, records int) {
+// controlStream returns the encoded frames of a control stream that leaves a
+// million items in running jobs: the manifests, a claim of each chunk and the
+// results of half of the items.
+func controlStream(tb testing.TB) (payloads [][]byte, records int) {
 	open := protocol.Record{
 		ID:          protocol.RecordID{Session: 1, Seq: 1},
 		SessionOpen: &protocol.SessionOpen{Instance: "i", Domain: "pnw-sea"},
@@ -42,7 +44,7 @@
 		seq++
 		rec.ID = protocol.RecordID{Session: 1, Seq: seq}
 		pending = append(pending, rec)
-		if len(pending) >= framed || rec.JobSubmit != nil {
+		if len(pending) >= recordsPerFrame || rec.JobSubmit != nil {
 			flush()
 		}
 	}
@@ -93,20 +95,20 @@
 	return state
 }
 
-// BenchmarkReplay gives the records decoded and applied in a second on one
-// core.
+// BenchmarkReplay measures how many records one core decodes and applies per
+// second.
 func BenchmarkReplay(b *testing.B) {
-	payloads, records := stream(b)
+	payloads, records := controlStream(b)
 	for b.Loop() {
 		replayAll(b, payloads)
 	}
 	b.ReportMetric(float64(records)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
 }
 
-// BenchmarkRestore gives the time to start from a snapshot of a million live
-// items, and its size.
+// BenchmarkRestore measures the time to restore a snapshot with a million items
+// in running jobs, and the size of the snapshot.
 func BenchmarkRestore(b *testing.B) {
-	payloads, _ := stream(b)
+	payloads, _ := controlStream(b)
 	data, err := replayAll(b, payloads).Snapshot()
 	require.NoError(b, err)
 	for b.Loop() {
@@ -116,18 +118,19 @@
 	b.ReportMetric(float64(len(data)), "snapshot-bytes")
 }
 
-// BenchmarkCapture gives the time for which readers of the state wait while a
-// snapshot is taken.
+// BenchmarkCapture measures how long readers of the state wait while the state is
+// copied for a snapshot.
 func BenchmarkCapture(b *testing.B) {
-	payloads, _ := stream(b)
+	payloads, _ := controlStream(b)
 	state := replayAll(b, payloads)
 	for b.Loop() {
 		state.Capture()
 	}
 }
 
-// BenchmarkFleetMemory gives the heap and the snapshot of the configuration of
-// the target size: 3,400 organisations with three keys each and 38 models.
+// BenchmarkFleetMemory measures the heap memory and the snapshot size of a
+// configuration of the intended maximum size: 3,400 organisations with three keys
+// each and 38 models.
 func BenchmarkFleetMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -169,9 +172,9 @@
 	return change
 }
 
-// BenchmarkLiveMemory gives the heap that a million live items take.
+// BenchmarkLiveMemory measures the heap memory of a million items in running jobs.
 func BenchmarkLiveMemory(b *testing.B) {
-	payloads, _ := stream(b)
+	payloads, _ := controlStream(b)
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
--- a/internal/state/replica/fuzz_test.go
+++ b/internal/state/replica/fuzz_test.go
@@ -8,11 +8,11 @@
 	"merlintiller/internal/protocol"
 )
 
-// A snapshot comes from a peer or from the platform. Damaged bytes must give an
-// error; a crash would take down every instance that starts.
+// Instances load snapshots from a peer or from the platform. A corrupted snapshot
+// must cause an error: a panic would crash every starting instance.
 func FuzzRestore(f *testing.F) {
 	for seed := range 5 {
-		data, err := play(histories().Example(seed), trueRules).state.Snapshot()
+		data, err := play(histories().Example(seed), correctApply).state.Snapshot()
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -25,13 +25,13 @@
 			require.ErrorIs(t, err, protocol.ErrMalformed)
 			return
 		}
-		again, err := state.Snapshot()
+		first, err := state.Snapshot()
 		require.NoError(t, err)
-		back, err := Restore(again)
+		restored, err := Restore(first)
 		require.NoError(t, err)
-		third, err := back.Snapshot()
+		second, err := restored.Snapshot()
 		require.NoError(t, err)
-		require.Equal(t, again, third)
+		require.Equal(t, first, second)
 		state.Apply(state.Applied()+1, protocol.Frame{Records: []protocol.Record{
 			{ID: protocol.RecordID{Session: 1, Seq: 1}, SessionOpen: &protocol.SessionOpen{Instance: "i"}},
 			{ID: protocol.RecordID{Session: 1, Seq: 2}, LeaseClaim: &protocol.LeaseClaim{Resource: "r"}},
--- a/internal/state/replica/interleaving_test.go
+++ b/internal/state/replica/interleaving_test.go
@@ -12,12 +12,13 @@
 	"merlintiller/internal/protocol"
 )
 
-const writers = 4
+const writerCount = 4
 
-// action is one step of a random history.
+// action is a step of a random history.
 type action struct {
-	// Kind chooses the record, Writer who appends it, Subject and Value what
-	// it is about. Stale makes the writer act on an outdated view.
+	// Kind selects the type of the record, Writer the instance that appends it,
+	// and Subject and Value its content. Stale makes the writer act on an
+	// outdated view of the state.
 	Kind    int
 	Writer  int
 	Subject int
@@ -29,7 +30,7 @@
 	one := rapid.Custom(func(t *rapid.T) action {
 		return action{
 			Kind:    rapid.IntRange(0, 14).Draw(t, "kind"),
-			Writer:  rapid.IntRange(0, writers-1).Draw(t, "writer"),
+			Writer:  rapid.IntRange(0, writerCount-1).Draw(t, "writer"),
 			Subject: rapid.IntRange(0, 3).Draw(t, "subject"),
 			Value:   rapid.IntRange(0, 3).Draw(t, "value"),
 			Stale:   rapid.IntRange(0, 4).Draw(t, "stale") == 0,
@@ -38,47 +39,49 @@
 	return rapid.SliceOfN(one, 1, 150)
 }
 
-// rules applies a frame; broken variants replace the true ones.
-type rules func(*State, protocol.Offset, protocol.Frame) []protocol.Verdict
+// applyFunc applies a frame to a state. Faulty variants replace correctApply to
+// show that the checks detect them.
+type applyFunc func(*State, protocol.Offset, protocol.Frame) []protocol.Verdict
 
-func trueRules(s *State, at protocol.Offset, frame protocol.Frame) []protocol.Verdict {
+func correctApply(s *State, at protocol.Offset, frame protocol.Frame) []protocol.Verdict {
 	return s.Apply(at, frame)
 }
 
-// history plays actions and collects violations of what must always hold.
+// history executes actions and collects violations of the invariants.
 type history struct {
-	rules      rules
+	applyFrame applyFunc
 	state      *State
-	sessions   [writers]protocol.SessionID
-	seqs       [writers]uint64
+	sessions   [writerCount]protocol.SessionID
+	seqs       [writerCount]uint64
 	opened     uint64
 	frames     []protocol.Frame
 	fences     map[protocol.Resource]protocol.Offset
 	withdrawn  map[protocol.KeyID]bool
 	hashes     map[protocol.KeyID]string
-	given      []givenFleet
+	returned   []returnedFleet
 	lastChange protocol.Offset
 	violations []string
 }
 
-// givenFleet is a configuration that was handed out, as it looked then.
-type givenFleet struct {
+// returnedFleet is a configuration that Fleet returned, with its encoding at
+// that time.
+type returnedFleet struct {
 	fleet *protocol.Fleet
 	bytes []byte
 }
 
-func play(actions []action, rules rules) *history {
+func play(actions []action, apply applyFunc) *history {
 	h := &history{
-		rules:     rules,
-		state:     New(),
-		fences:    map[protocol.Resource]protocol.Offset{},
-		withdrawn: map[protocol.KeyID]bool{},
-		hashes:    map[protocol.KeyID]string{},
+		applyFrame: apply,
+		state:      New(),
+		fences:     map[protocol.Resource]protocol.Offset{},
+		withdrawn:  map[protocol.KeyID]bool{},
+		hashes:     map[protocol.KeyID]string{},
 
 		lastChange: protocol.NoOffset,
 	}
 	for _, a := range actions {
-		h.act(a)
+		h.step(a)
 	}
 	return h
 }
@@ -87,15 +90,15 @@
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-func (h *history) act(a action) {
+func (h *history) step(a action) {
 	if a.Kind == 0 && len(h.frames) > 0 {
-		h.copyOld(a)
+		h.repeatOldFrame(a)
 		return
 	}
 	h.append(protocol.Frame{Records: []protocol.Record{h.record(a)}})
 }
 
-// append sends a frame through its encoding, as the log does, and applies it.
+// append encodes and decodes a frame, as the log does, and applies it.
 func (h *history) append(frame protocol.Frame) {
 	payload, err := protocol.EncodeFrame(frame)
 	if err != nil {
@@ -107,36 +110,39 @@
 	}
 	h.frames = append(h.frames, decoded)
 	at := h.state.Applied() + 1
-	verdicts := h.rules(h.state, at, decoded)
+	verdicts := h.applyFrame(h.state, at, decoded)
 	h.checkChange(at, &decoded.Records[0], verdicts[0])
 	h.check()
 }
 
-// checkChange: no change is accepted whose writer had not seen the one before.
+// checkChange checks that a change is accepted only if it is based on the last
+// accepted change or a later version.
 func (h *history) checkChange(at protocol.Offset, rec *protocol.Record, verdict protocol.Verdict) {
 	if rec.FleetChange == nil || verdict != protocol.Accepted {
 		return
 	}
 	if rec.FleetChange.BasedOn < h.lastChange {
-		h.violate("a change undid one that its operator had not seen")
+		h.violate("a change overwrote a change that its operator had not seen")
 	}
 	h.lastChange = at
 }
 
-// copyOld lets a copy of an earlier frame arrive late. It must change nothing.
-func (h *history) copyOld(a action) {
+// repeatOldFrame applies a late copy of an earlier frame, which must have no
+// effect.
+func (h *history) repeatOldFrame(a action) {
 	frame := h.frames[(a.Writer*7+a.Subject*3+a.Value)%len(h.frames)]
-	before := h.content()
+	before := h.encodedContent()
 	h.frames = append(h.frames, frame)
-	h.rules(h.state, h.state.Applied()+1, frame)
-	if !bytes.Equal(before, h.content()) {
+	h.applyFrame(h.state, h.state.Applied()+1, frame)
+	if !bytes.Equal(before, h.encodedContent()) {
 		h.violate("a late copy of %s had an effect", frame.Records[0].Kind())
 	}
 	h.check()
 }
 
-// content is the state without its position and its digest of verdicts.
-func (h *history) content() []byte {
+// encodedContent returns the encoded state with its offset and its digest of
+// verdicts set to zero.
+func (h *history) encodedContent() []byte {
 	applied, digest := h.state.applied, h.state.digest
 	h.state.applied, h.state.digest = 0, 0
 	data, err := h.state.Snapshot()
@@ -197,7 +203,7 @@
 }
 
 func (h *history) expiry(a action) *protocol.SessionExpire {
-	subject := h.sessions[a.Subject%writers]
+	subject := h.sessions[a.Subject%writerCount]
 	info, _ := h.state.Sessions.Get(subject)
 	last := info.LastRenewal
 	if a.Stale {
@@ -255,7 +261,8 @@
 	h.checkFleet()
 }
 
-// checkLeases: a holder's session is open, and fencing numbers only grow.
+// checkLeases checks that the session of each lease holder is open and that
+// fencing numbers never decrease.
 func (h *history) checkLeases() {
 	for n := range 4 {
 		resource := resourceOf(n)
@@ -264,25 +271,26 @@
 			continue
 		}
 		if !h.state.Sessions.Open(session) {
-			h.violate("%s is held by a session that has ended", resource)
+			h.violate("the session that holds %s has ended", resource)
 		}
 		if fence < h.fences[resource] {
-			h.violate("the fencing number of %s went back", resource)
+			h.violate("the fencing number of %s decreased", resource)
 		}
 		h.fences[resource] = fence
 	}
 }
 
-// checkFleet: versions only grow, a withdrawn key stays so, an id keeps its
-// secret, and what was handed out is never changed.
+// checkFleet checks that versions never decrease, a withdrawn key stays withdrawn
+// and a key id keeps its secret. It also stores the configuration for
+// checkReturned.
 func (h *history) checkFleet() {
 	fleet := h.state.Fleet.Fleet()
-	if len(h.given) > 0 && fleet.Version < h.given[len(h.given)-1].fleet.Version {
-		h.violate("configuration went back")
+	if len(h.returned) > 0 && fleet.Version < h.returned[len(h.returned)-1].fleet.Version {
+		h.violate("the configuration version decreased")
 	}
 	for id, key := range fleet.Keys {
 		if h.withdrawn[id] && !key.Withdrawn {
-			h.violate("key %s was revived", id)
+			h.violate("the withdrawal of key %s was undone", id)
 		}
 		if h.hashes[id] != "" && h.hashes[id] != key.SHA256 {
 			h.violate("key %s changed its secret", id)
@@ -291,41 +299,43 @@
 		h.hashes[id] = key.SHA256
 	}
 	data, _ := protocol.Marshal(fleet)
-	h.given = append(h.given, givenFleet{fleet: fleet, bytes: data})
+	h.returned = append(h.returned, returnedFleet{fleet: fleet, bytes: data})
 }
 
-// checkGiven looks again at every configuration that was handed out.
-func (h *history) checkGiven() {
-	for _, given := range h.given {
-		data, _ := protocol.Marshal(given.fleet)
-		if !bytes.Equal(given.bytes, data) {
-			h.violate("a configuration that was handed out changed")
+// checkReturned checks that no configuration was modified after Fleet had
+// returned it.
+func (h *history) checkReturned() {
+	for _, earlier := range h.returned {
+		data, _ := protocol.Marshal(earlier.fleet)
+		if !bytes.Equal(earlier.bytes, data) {
+			h.violate("a configuration was modified after Fleet had returned it")
 			return
 		}
 	}
 }
 
-// Several instances append to one log in any order, act on outdated views, and
-// copies of their frames arrive late. If any of it had an effect twice, or took
-// back what was agreed, two engineers would be sent to one leak.
-func TestAnyInterleavingKeepsWhatMustHold(t *testing.T) {
+// Several instances append to one log in any order and act on outdated views, and
+// copies of their frames arrive late. If a record took effect twice or undid an
+// earlier decision, a call that must run at most once could run twice and, for
+// example, send two engineers to the same leak.
+func TestAnyInterleavingKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := play(histories().Draw(t, "history"), trueRules)
-		h.checkGiven()
+		h := play(histories().Draw(t, "history"), correctApply)
+		h.checkReturned()
 		require.Empty(t, h.violations)
 	})
 }
 
-// An instance starts from a snapshot and replays the rest, while another has
-// replayed everything from the start. If their states differed by one byte,
-// they would decide some later record differently.
+// An instance starts from a snapshot and replays the remaining entries, while
+// another has replayed all entries. If their states differed by one byte, they
+// could decide differently on a later record.
 func TestReplayFromAnySnapshotEqualsReplayFromTheStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := play(histories().Draw(t, "history"), trueRules)
-		cut := rapid.IntRange(0, len(h.frames)).Draw(t, "cut")
+		h := play(histories().Draw(t, "history"), correctApply)
+		snapshotAt := rapid.IntRange(0, len(h.frames)).Draw(t, "snapshotAt")
 		state := New()
 		for at, frame := range h.frames {
-			if at == cut {
+			if at == snapshotAt {
 				state = restored(t, state)
 			}
 			state.Apply(protocol.Offset(at), frame)
@@ -341,23 +351,25 @@
 func restored(t require.TestingT, state *State) *State {
 	data, err := state.Snapshot()
 	require.NoError(t, err)
-	back, err := Restore(data)
+	copied, err := Restore(data)
 	require.NoError(t, err)
-	return back
+	return copied
 }
 
-// withoutDuplicateCheck gives every record a number that was not seen yet.
+// withoutDuplicateCheck disables the duplicate check: it gives each record an
+// unused sequence number.
 func withoutDuplicateCheck(s *State, at protocol.Offset, frame protocol.Frame) []protocol.Verdict {
-	frame = renumbered(frame, func(rec *protocol.Record) {
+	frame = withChangedRecords(frame, func(rec *protocol.Record) {
 		info, _ := s.Sessions.Get(rec.ID.Session)
 		rec.ID.Seq = info.Seq + 1
 	})
 	return s.Apply(at, frame)
 }
 
-// withoutBasedOnCheck makes every change look as if made from what is in force.
+// withoutBasedOnCheck disables the check for concurrent changes: it makes each
+// change appear to be based on the configuration in force.
 func withoutBasedOnCheck(s *State, at protocol.Offset, frame protocol.Frame) []protocol.Verdict {
-	frame = renumbered(frame, func(rec *protocol.Record) {
+	frame = withChangedRecords(frame, func(rec *protocol.Record) {
 		if rec.FleetChange != nil {
 			change := *rec.FleetChange
 			change.ChangeID = fmt.Sprint(at)
@@ -369,7 +381,9 @@
 	return s.Apply(at, frame)
 }
 
-func renumbered(frame protocol.Frame, change func(*protocol.Record)) protocol.Frame {
+// withChangedRecords returns a copy of a frame with change applied to each
+// record.
+func withChangedRecords(frame protocol.Frame, change func(*protocol.Record)) protocol.Frame {
 	records := append([]protocol.Record{}, frame.Records...)
 	for i := range records {
 		change(&records[i])
@@ -377,18 +391,19 @@
 	return protocol.Frame{Records: records}
 }
 
-// Replay without one of its checks must be found out by the same histories.
-func TestBrokenRulesAreFoundByTheHistories(t *testing.T) {
-	for name, broken := range map[string]rules{
+// The invariants must detect faulty replay: with either check disabled, the
+// histories above must show violations.
+func TestHistoriesDetectBrokenRules(t *testing.T) {
+	for name, broken := range map[string]applyFunc{
 		"no duplicate check": withoutDuplicateCheck,
 		"no based-on check":  withoutBasedOnCheck,
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := 0
+			violations := 0
 			for seed := range 100 {
-				found += len(play(histories().Example(seed), broken).violations)
+				violations += len(play(histories().Example(seed), broken).violations)
 			}
-			require.NotZero(t, found)
+			require.NotZero(t, violations)
 		})
 	}
 }
--- a/internal/state/replica/replica.go
+++ b/internal/state/replica/replica.go
@@ -1,4 +1,4 @@
-// Package replica composes the replayed state from its machines.
+// Package replica combines the state machines into the complete replayed state.
 package replica
 
 import (
@@ -14,7 +14,7 @@
 	"merlintiller/internal/state/session"
 )
 
-// State is all that is agreed, as of one position in the control stream. It is
+// State is the complete replayed state at one offset of the control stream. It is
 // not safe for concurrent use.
 type State struct {
 	Sessions *session.Table
@@ -25,11 +25,11 @@
 
 	applied protocol.Offset
 	digest  uint64
-	// scratch is reused by chain.
+	// scratch is the buffer that updateDigest reuses.
 	scratch []byte
 }
 
-// New returns the state before the first record.
+// New returns the state before the first entry.
 func New() *State {
 	return &State{
 		Sessions: session.New(),
@@ -41,35 +41,37 @@
 	}
 }
 
-// Applied is the offset of the last applied entry, NoOffset before the first.
+// Applied returns the offset of the last applied entry, NoOffset before the first.
 func (s *State) Applied() protocol.Offset { return s.applied }
 
-// Apply decides the records of the entry at an offset, which must be the next
-// one, and returns a verdict for each.
+// Apply decides on the records of the entry at an offset and returns a verdict
+// for each. The offset must follow that of the last applied entry.
 func (s *State) Apply(at protocol.Offset, frame protocol.Frame) []protocol.Verdict {
 	s.advance(at)
 	verdicts := make([]protocol.Verdict, len(frame.Records))
 	for i := range frame.Records {
 		verdicts[i] = s.applyRecord(at, &frame.Records[i])
 	}
-	s.chain(verdicts)
+	s.updateDigest(verdicts)
 	return verdicts
 }
 
-// Skip passes over an entry that does not decode. Every reader fails to decode
-// it alike, so skipping keeps them equal.
+// Skip advances past an entry that can't be decoded. All instances fail to decode
+// it, so their states stay equal when they skip it.
 func (s *State) Skip(at protocol.Offset) {
 	s.advance(at)
-	s.chain(nil)
+	s.updateDigest(nil)
 }
 
-// Digest is a hash over all verdicts up to Applied. Instances that have applied
-// the same prefix must have the same one. If instances of different releases,
-// or with damaged memory, decide a record differently, an item may complete
-// twice and nobody would see why; comparing digests shows that it happened.
+// Digest returns a hash over all verdicts up to Applied. Instances that have
+// applied the same prefix of the stream must have the same digest. Instances of
+// different releases, or with corrupted memory, may decide differently on a
+// record, and an item may then complete twice without a visible cause. Comparing
+// digests detects such a difference.
 func (s *State) Digest() uint64 { return s.digest }
 
-func (s *State) chain(verdicts []protocol.Verdict) {
+// updateDigest adds the last applied offset and its verdicts to the digest.
+func (s *State) updateDigest(verdicts []protocol.Verdict) {
 	buffer := s.scratch[:0]
 	buffer = binary.BigEndian.AppendUint64(buffer, s.digest)
 	buffer = binary.BigEndian.AppendUint64(buffer, uint64(s.applied))
@@ -81,8 +83,9 @@
 	s.scratch = buffer
 }
 
-// advance panics if an entry is missed or applied twice: the state would part
-// from that of the other instances, and an item could complete twice.
+// advance sets the applied offset. It panics if an entry was missed or is applied
+// twice, since the state would then diverge from that of the other instances and
+// an item could complete twice.
 func (s *State) advance(at protocol.Offset) {
 	if at != s.applied+1 {
 		panic("replica: entries applied out of order")
@@ -90,8 +93,8 @@
 	s.applied = at
 }
 
-// applyRecord drops second copies and records of ended sessions, and gives the
-// rest to the machine that owns the body.
+// applyRecord rejects repeated records and records of ended sessions. It passes
+// all others to the machine that owns the record's body.
 func (s *State) applyRecord(at protocol.Offset, rec *protocol.Record) protocol.Verdict {
 	if s.Sessions.IsDuplicate(rec.ID) {
 		return protocol.Duplicate
--- a/internal/state/replica/snapshot.go
+++ b/internal/state/replica/snapshot.go
@@ -11,8 +11,9 @@
 	"merlintiller/internal/state/session"
 )
 
-// snapshotFormat is raised when the meaning of a snapshot's fields changes, so
-// that an instance of another release refuses it instead of misreading it.
+// snapshotFormat is incremented when the meaning of a snapshot's fields changes.
+// An instance of another release then rejects the snapshot instead of
+// misinterpreting it.
 const snapshotFormat = 1
 
 type snapshot struct {
@@ -26,8 +27,8 @@
 	Digest   uint64           `cbor:"8,keyasint"`
 }
 
-// Capture is a copy of the state that is encoded later, so that readers of the
-// state don't have to wait for the encoding.
+// Capture is a copy of the state for later encoding, so that readers of the state
+// don't have to wait for the encoding.
 type Capture struct {
 	content snapshot
 }
@@ -46,16 +47,17 @@
 	}}
 }
 
-// Applied is the offset of the last entry that the copy covers.
+// Applied returns the offset of the last entry that the copy includes.
 func (c *Capture) Applied() protocol.Offset { return c.content.Applied }
 
-// Encode gives the bytes that Restore reads. Equal states give equal bytes.
+// Encode returns the encoding that Restore decodes. Equal states have equal
+// encodings.
 func (c *Capture) Encode() ([]byte, error) { return protocol.Marshal(c.content) }
 
-// Snapshot copies and encodes the whole state.
+// Snapshot copies and encodes the state.
 func (s *State) Snapshot() ([]byte, error) { return s.Capture().Encode() }
 
-// Restore makes the state that a snapshot was taken of. Its error wraps
+// Restore returns the state that a snapshot was taken from. Its error wraps
 // protocol.ErrMalformed.
 func Restore(data []byte) (*State, error) {
 	var snap snapshot
