--- a/internal/state/fleet/fleet.go
+++ b/internal/state/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet replays the configuration in force and the withdrawn keys.
 //
-// A change names the version that it was made from. It is accepted only if no
-// other change was accepted since, so of two operators who race one gets a
-// conflict and nothing that was in force is undone unseen.
+// A change names the version that it is based on. It is accepted only if no other
+// change was accepted after that version. If two operators publish concurrently,
+// one of them gets a conflict, and no change overwrites another unnoticed.
 package fleet
 
 import (
@@ -13,35 +13,36 @@
 	"merlintiller/internal/state"
 )
 
-// MaxHistory is how many accepted changes are remembered, for the operators'
-// history and to recognise a resent change. At 530 changes a day it reaches
-// back almost two days. It is part of the replayed rules, so it is no setting.
+// MaxHistory is the number of accepted changes that are kept, to show operators
+// the history and to recognise a change that is sent again. At 530 changes a day
+// the history covers almost two days. MaxHistory is not a setting because replay
+// depends on it: all instances must use the same value.
 const MaxHistory = 1024
 
-// Change is one accepted change, for the operators' history.
+// Change is an accepted change as shown in the history to operators.
 type Change struct {
 	// Version is the offset at which the change was accepted.
 	Version  protocol.Offset `cbor:"1,keyasint" json:"version"`
 	ChangeID string          `cbor:"2,keyasint" json:"change_id"`
 	Operator string          `cbor:"3,keyasint" json:"operator"`
-	// At is the operator's clock, for display only.
+	// At is the time by the operator's clock. It is only displayed.
 	At time.Time `cbor:"4,keyasint" json:"at"`
-	// Objects names what changed, such as "organisation harbor" or
+	// Objects lists the changed objects, such as "organisation harbor" or
 	// "remove model tiller-8b".
 	Objects []string `cbor:"5,keyasint" json:"objects"`
 }
 
-// Store is the replayed state. It is not safe for concurrent use, but every
-// *protocol.Fleet it gave out stays as it is.
+// Store is the replayed configuration. It is not safe for concurrent use, but a
+// *protocol.Fleet that it returned is never modified.
 type Store struct {
 	fleet *protocol.Fleet
-	// lastChange is the offset of the last accepted FleetChange. A withdrawal
-	// raises the fleet's version as well but conflicts with no change.
+	// lastChange is the offset of the last accepted FleetChange. The withdrawal
+	// of a key also increases the fleet's version but conflicts with no change.
 	lastChange protocol.Offset
 	history    []Change
 }
 
-// New returns the empty state.
+// New returns a store with an empty configuration.
 func New() *Store {
 	return &Store{fleet: emptyFleet(), lastChange: protocol.NoOffset}
 }
@@ -50,7 +51,7 @@
 	return normalise(&protocol.Fleet{Version: protocol.NoOffset})
 }
 
-// normalise replaces nil maps by empty ones.
+// normalise replaces nil maps with empty ones.
 func normalise(f *protocol.Fleet) *protocol.Fleet {
 	if f.Organisations == nil {
 		f.Organisations = map[protocol.OrganisationID]protocol.Organisation{}
@@ -70,14 +71,15 @@
 	return f
 }
 
-// Fleet is the configuration in force. It is never nil and never changed.
+// Fleet returns the configuration in force. It is never nil, and the returned
+// value is never modified.
 func (t *Store) Fleet() *protocol.Fleet { return t.fleet }
 
-// History returns the remembered changes, the oldest first.
+// History returns the kept changes, the oldest first.
 func (t *Store) History() []Change { return slices.Clone(t.history) }
 
-// VersionOf returns the version that an accepted change made. It answers a
-// change that was resent because its answer was lost.
+// VersionOf returns the version that an accepted change created. It is used to
+// respond to a change that was sent again because the first response was lost.
 func (t *Store) VersionOf(changeID string) (protocol.Offset, bool) {
 	for i := len(t.history) - 1; i >= 0; i-- {
 		if t.history[i].ChangeID == changeID {
@@ -115,7 +117,7 @@
 	next.Version = at
 	t.fleet = next
 	t.lastChange = at
-	t.remember(Change{
+	t.appendHistory(Change{
 		Version:  at,
 		ChangeID: change.ChangeID,
 		Operator: change.Operator,
@@ -125,7 +127,9 @@
 	return protocol.Accepted
 }
 
-func (t *Store) remember(change Change) {
+// appendHistory adds a change to the history and drops the oldest entries beyond
+// MaxHistory.
+func (t *Store) appendHistory(change Change) {
 	t.history = append(t.history, change)
 	if len(t.history) > MaxHistory {
 		t.history = slices.Clone(t.history[len(t.history)-MaxHistory:])
@@ -141,7 +145,7 @@
 	}
 	t.fleet = WithdrawKey(t.fleet, body.Key)
 	t.fleet.Version = at
-	t.remember(Change{
+	t.appendHistory(Change{
 		Version:  at,
 		Operator: body.Operator,
 		Objects:  []string{"withdraw key " + string(body.Key)},
@@ -149,8 +153,7 @@
 	return protocol.Accepted
 }
 
-// Snapshot is the whole state in a form that encodes to equal bytes for equal
-// states.
+// Snapshot is a copy of the full state. Equal states encode to equal bytes.
 type Snapshot struct {
 	Fleet      protocol.Fleet  `cbor:"1,keyasint"`
 	LastChange protocol.Offset `cbor:"2,keyasint"`
@@ -162,7 +165,7 @@
 	return Snapshot{Fleet: *t.fleet, LastChange: t.lastChange, History: append([]Change{}, t.history...)}
 }
 
-// Restore makes the state that a snapshot was taken of.
+// Restore returns the store that a snapshot was taken from.
 func Restore(s Snapshot) *Store {
 	fleet := s.Fleet
 	return &Store{fleet: normalise(&fleet), lastChange: s.LastChange, history: slices.Clone(s.History)}
--- a/internal/state/fleet/fleet_test.go
+++ b/internal/state/fleet/fleet_test.go
@@ -27,20 +27,20 @@
 	return &protocol.Record{KeyWithdraw: &protocol.KeyWithdraw{Key: id, Operator: "op"}}
 }
 
-// Two operators read the same version and publish different rates. The second
-// must be told, or the first change would be undone without anyone knowing.
-func TestSecondOfTwoRacingChangesConflicts(t *testing.T) {
+// Two operators read the same version and publish different changes. The second
+// must get a conflict, or it would overwrite the first unnoticed.
+func TestSecondOfTwoConcurrentChangesConflicts(t *testing.T) {
 	s := New()
 	require.Equal(t, protocol.Accepted, s.Apply(5, change("a", protocol.NoOffset, organisation("o")), nil))
 	require.Equal(t, protocol.Conflict, s.Apply(6, change("b", protocol.NoOffset, organisation("p")), nil))
-	require.Equal(t, protocol.Conflict, s.Apply(7, change("c", 6, organisation("p")), nil), "based on a version that never was")
+	require.Equal(t, protocol.Conflict, s.Apply(7, change("c", 6, organisation("p")), nil), "based on a version that does not exist")
 	require.Equal(t, protocol.Accepted, s.Apply(8, change("b2", 5, organisation("p")), nil))
 	require.EqualValues(t, 8, s.Fleet().Version)
 }
 
-// A key is withdrawn while an operator prepares a change. The withdrawal needs
-// no order, so the change isn't refused for it; nor does it revive the key.
-func TestWithdrawalConflictsWithNoChangeAndStays(t *testing.T) {
+// A key is withdrawn while an operator prepares a change. Withdrawals commute with
+// changes, so the change must be accepted, but it must not undo the withdrawal.
+func TestWithdrawalConflictsWithNoChangeAndPersists(t *testing.T) {
 	s := New()
 	s.Apply(0, change("a", protocol.NoOffset, organisation("o"), key("k", "o", "1")), nil)
 	require.Equal(t, protocol.Accepted, s.Apply(1, withdraw("k"), nil))
@@ -49,8 +49,8 @@
 	require.True(t, s.Fleet().Keys["k"].Withdrawn)
 }
 
-// The withdrawal overtakes the change that publishes the key. The key must not
-// start to work when the change arrives.
+// The withdrawal of a key precedes the change that publishes the key. The key must
+// not become valid with that change.
 func TestWithdrawalBeforeTheKeyIsKnown(t *testing.T) {
 	s := New()
 	require.Equal(t, protocol.Accepted, s.Apply(0, withdraw("k"), nil))
@@ -58,8 +58,9 @@
 	require.True(t, s.Fleet().Keys["k"].Withdrawn)
 }
 
-// A key id is used again for another secret, or another organisation. Its old
-// withdrawal would hit the new key, or a caller would act for a stranger.
+// A key id is reused for another secret or another organisation. A withdrawal of
+// the old key would then affect the new one, or a caller would act on behalf of
+// another organisation.
 func TestKeyIDIsNeverReused(t *testing.T) {
 	s := New()
 	s.Apply(0, change("a", protocol.NoOffset, organisation("o"), organisation("p"), key("k", "o", "1")), nil)
@@ -68,8 +69,9 @@
 	require.Equal(t, protocol.Malformed, s.Apply(3, change("d", 0, key("other", "p", "1")), nil), "one secret for two organisations")
 }
 
-// The answer to a change is lost and the tool sends it again. It is recognised,
-// with the version that it made, also when others changed things meanwhile.
+// The response to a change is lost and the tool sends the change again. The change
+// must be recognised and return the version that it created, even if other
+// changes followed.
 func TestResentChangeKeepsItsVersion(t *testing.T) {
 	s := New()
 	s.Apply(3, change("a", protocol.NoOffset, organisation("o")), nil)
@@ -80,8 +82,9 @@
 	require.EqualValues(t, 3, version)
 }
 
-// An organisation leaves while one of its keys still works. Its callers would
-// run for nobody; once the key is withdrawn the organisation can go.
+// An organisation is removed while one of its keys is still valid. Calls with that
+// key would belong to no organisation, so the removal must be rejected until the
+// key is withdrawn.
 func TestRemovingAnOrganisationNeedsItsKeysWithdrawn(t *testing.T) {
 	s := New()
 	s.Apply(0, change("a", protocol.NoOffset, organisation("o"), key("k", "o", "1")), nil)
@@ -115,21 +118,21 @@
 		edit(&s)
 		return protocol.FleetObject{Service: &s}
 	}
-	tenant := func(edit func(*protocol.Organisation)) protocol.FleetObject {
+	org := func(edit func(*protocol.Organisation)) protocol.FleetObject {
 		o := *organisation("o").Organisation
 		edit(&o)
 		return protocol.FleetObject{Organisation: &o}
 	}
 	for want, object := range map[string]protocol.FleetObject{
 		`organisation: id: missing`:                     organisation(""),
-		`organisation "o": rate`:                        tenant(func(o *protocol.Organisation) { o.Rate = -1 }),
-		`organisation "o": rate: NaN`:                   tenant(func(o *protocol.Organisation) { o.Rate = math.NaN() }),
-		`organisation "o": burst`:                       tenant(func(o *protocol.Organisation) { o.Burst = 0.5 }),
-		`organisation "o": weight`:                      tenant(func(o *protocol.Organisation) { o.Weight = -1 }),
-		`organisation "o": objectives.target`:           tenant(func(o *protocol.Organisation) { o.Objectives.Target = 1 }),
-		`organisation "o": objectives.batch_on_time`:    tenant(func(o *protocol.Organisation) { o.Objectives.BatchOnTime = 2 }),
-		`organisation "o": objectives.first_token`:      tenant(func(o *protocol.Organisation) { o.Objectives.FirstToken = -1 }),
-		`organisation "o": objectives.between_tokens`:   tenant(func(o *protocol.Organisation) { o.Objectives.BetweenTokens = -1 }),
+		`organisation "o": rate`:                        org(func(o *protocol.Organisation) { o.Rate = -1 }),
+		`organisation "o": rate: NaN`:                   org(func(o *protocol.Organisation) { o.Rate = math.NaN() }),
+		`organisation "o": burst`:                       org(func(o *protocol.Organisation) { o.Burst = 0.5 }),
+		`organisation "o": weight`:                      org(func(o *protocol.Organisation) { o.Weight = -1 }),
+		`organisation "o": objectives.target`:           org(func(o *protocol.Organisation) { o.Objectives.Target = 1 }),
+		`organisation "o": objectives.batch_on_time`:    org(func(o *protocol.Organisation) { o.Objectives.BatchOnTime = 2 }),
+		`organisation "o": objectives.first_token`:      org(func(o *protocol.Organisation) { o.Objectives.FirstToken = -1 }),
+		`organisation "o": objectives.between_tokens`:   org(func(o *protocol.Organisation) { o.Objectives.BetweenTokens = -1 }),
 		`key "k": organisation: unknown`:                key("k", "nobody", "1"),
 		`key "k": organisation: missing`:                key("k", "", "1"),
 		`key "k": sha256`:                               key("k", "o", "G"),
--- a/internal/state/fleet/merge.go
+++ b/internal/state/fleet/merge.go
@@ -7,8 +7,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// WithdrawKey returns a copy of a fleet in which a key is withdrawn. The key need
-// not be known: its id is then taken by the tombstone.
+// WithdrawKey returns a copy of a fleet in which a key is withdrawn. If the key is
+// unknown, a tombstone reserves its id.
 func WithdrawKey(base *protocol.Fleet, id protocol.KeyID) *protocol.Fleet {
 	next := *base
 	next.Keys = maps.Clone(base.Keys)
@@ -19,8 +19,8 @@
 	return &next
 }
 
-// merge returns the fleet that a change makes of base, or the reason why it
-// can't be. base is not changed.
+// merge returns the result of applying a change to base, or an error that says
+// why the change is invalid. It does not modify base.
 func merge(base *protocol.Fleet, change *protocol.FleetChange) (*protocol.Fleet, error) {
 	next := &protocol.Fleet{
 		Version:       base.Version,
@@ -31,12 +31,12 @@
 		Domains:       maps.Clone(base.Domains),
 	}
 	for i := range change.Remove {
-		if err := remove(next, &change.Remove[i]); err != nil {
+		if err := removeObject(next, &change.Remove[i]); err != nil {
 			return nil, fmt.Errorf("remove[%d]: %w", i, err)
 		}
 	}
 	for i := range change.Set {
-		if err := set(next, &change.Set[i]); err != nil {
+		if err := setObject(next, &change.Set[i]); err != nil {
 			return nil, fmt.Errorf("set[%d]: %w", i, err)
 		}
 	}
@@ -46,7 +46,7 @@
 	return next, nil
 }
 
-func remove(f *protocol.Fleet, ref *protocol.FleetRef) error {
+func removeObject(f *protocol.Fleet, ref *protocol.FleetRef) error {
 	count := 0
 	if ref.Organisation != "" {
 		delete(f.Organisations, ref.Organisation)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func set(f *protocol.Fleet, object *protocol.FleetObject) error {
+func setObject(f *protocol.Fleet, object *protocol.FleetObject) error {
 	count := 0
 	var err error
 	if object.Organisation != nil {
@@ -103,26 +103,26 @@
 	return err
 }
 
-// setKey adds a key. A withdrawn key stays withdrawn, whatever the change
-// says: the operator who published it may not have seen the withdrawal, and a
-// revived key would let a caller in who was shut out.
+// setKey adds a key. A withdrawn key stays withdrawn, whatever the change says.
+// The operator who published the change may not have seen the withdrawal, and
+// undoing it would admit a caller whose access was withdrawn.
 func setKey(f *protocol.Fleet, key protocol.Key) error {
 	if err := checkKey(&key); err != nil {
 		return err
 	}
 	old, known := f.Keys[key.ID]
 	if known && old.SHA256 != "" && old.SHA256 != key.SHA256 {
-		return fmt.Errorf("key %q: sha256: the id was used for another secret; draw a new id", key.ID)
+		return fmt.Errorf("key %q: sha256: the id was used for another secret; generate a new id", key.ID)
 	}
 	if known && old.Organisation != "" && old.Organisation != key.Organisation {
-		return fmt.Errorf("key %q: organisation: the id belongs to %q; draw a new id", key.ID, old.Organisation)
+		return fmt.Errorf("key %q: organisation: the id belongs to %q; generate a new id", key.ID, old.Organisation)
 	}
 	key.Withdrawn = key.Withdrawn || old.Withdrawn
 	f.Keys[key.ID] = key
 	return nil
 }
 
-// describe names the objects of a change for the history.
+// describe lists the objects of a change for the history.
 func describe(change *protocol.FleetChange) []string {
 	names := []string{}
 	for i := range change.Set {
--- a/internal/state/fleet/validate.go
+++ b/internal/state/fleet/validate.go
@@ -9,9 +9,10 @@
 	"merlintiller/internal/protocol"
 )
 
-// Validate says why a change can't be made to base; the error names the object
-// and the field. It is pure and the same check that replay makes, so that an
-// operator's tool can report what is wrong before anything is published.
+// Validate returns an error if a change can't be applied to base. The error names
+// the object and the field. Validate has no side effects and performs the same
+// checks as replay, so that an operator's tool can report errors before it
+// publishes a change.
 func Validate(base *protocol.Fleet, change *protocol.FleetChange) error {
 	if change.ChangeID == "" {
 		return fmt.Errorf("change_id: missing")
@@ -29,11 +30,11 @@
 	case o.ID == "":
 		return fmt.Errorf("organisation: id: missing")
 	case !finite(o.Rate) || o.Rate < 0:
-		return fmt.Errorf("organisation %q: rate: %v is not a number of requests a second, 0 or more", o.ID, o.Rate)
+		return fmt.Errorf("organisation %q: rate: %v, want a finite number of requests per second, 0 or more", o.ID, o.Rate)
 	case !finite(o.Burst) || o.Burst < 1:
-		return fmt.Errorf("organisation %q: burst: %v is less than 1 request", o.ID, o.Burst)
+		return fmt.Errorf("organisation %q: burst: %v, want a finite number of requests, 1 or more", o.ID, o.Burst)
 	case !finite(o.Weight) || o.Weight < 0:
-		return fmt.Errorf("organisation %q: weight: %v is negative", o.ID, o.Weight)
+		return fmt.Errorf("organisation %q: weight: %v, want a finite number, 0 or more", o.ID, o.Weight)
 	}
 	return checkObjectives(o)
 }
@@ -45,16 +46,18 @@
 		return fmt.Errorf("organisation %q: objectives.first_token: %v is negative", o.ID, objectives.FirstToken)
 	case objectives.BetweenTokens < 0:
 		return fmt.Errorf("organisation %q: objectives.between_tokens: %v is negative", o.ID, objectives.BetweenTokens)
-	case !isShare(objectives.Target):
-		return fmt.Errorf("organisation %q: objectives.target: %v is not between 0 and 1", o.ID, objectives.Target)
-	case !isShare(objectives.BatchOnTime):
-		return fmt.Errorf("organisation %q: objectives.batch_on_time: %v is not between 0 and 1", o.ID, objectives.BatchOnTime)
+	case !isObjectiveShare(objectives.Target):
+		return fmt.Errorf("organisation %q: objectives.target: %v, want 0 or more and less than 1", o.ID, objectives.Target)
+	case !isObjectiveShare(objectives.BatchOnTime):
+		return fmt.Errorf("organisation %q: objectives.batch_on_time: %v, want 0 or more and less than 1", o.ID, objectives.BatchOnTime)
 	}
 	return nil
 }
 
-// isShare excludes 1: an objective without any error budget burns without end.
-func isShare(value float64) bool {
+// isObjectiveShare reports whether a share is a valid objective: 0 or more and
+// less than 1. An objective of 1 leaves no error budget, so its burn rate would be
+// infinite.
+func isObjectiveShare(value float64) bool {
 	return finite(value) && value >= 0 && value < 1
 }
 
@@ -104,13 +107,13 @@
 	case d.Domain == "":
 		return fmt.Errorf("domain: domain: missing")
 	case !finite(d.Share) || d.Share < 0:
-		return fmt.Errorf("domain %q: share: %v is negative", d.Domain, d.Share)
+		return fmt.Errorf("domain %q: share: %v, want a finite number, 0 or more", d.Domain, d.Share)
 	}
 	return nil
 }
 
-// checkReferences checks what ties objects together. It walks the objects in
-// sorted order, so that every reader names the same fault.
+// checkReferences checks the references between objects. It visits the objects in
+// sorted order, so that all instances report the same error.
 func checkReferences(f *protocol.Fleet) error {
 	for _, name := range sortedKeys(f.Models) {
 		model := f.Models[name]
@@ -121,6 +124,8 @@
 	return checkKeys(f)
 }
 
+// checkKeys checks that the organisation of each key exists, unless the key is
+// withdrawn, and that no two keys have the same secret.
 func checkKeys(f *protocol.Fleet) error {
 	owner := map[string]protocol.KeyID{}
 	for _, id := range sortedKeys(f.Keys) {
@@ -132,7 +137,7 @@
 		if key.SHA256 == "" {
 			continue
 		}
-		if other, taken := owner[key.SHA256]; taken {
+		if other, used := owner[key.SHA256]; used {
 			return fmt.Errorf("key %q: sha256: same secret as key %q", id, other)
 		}
 		owner[key.SHA256] = id
