--- a/internal/state/lease/lease.go
+++ b/internal/state/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease replays which session holds a resource.
+// Package lease replays which session holds each resource.
 //
-// A lease has no clock of its own: it lasts as long as its holder's session,
-// and the offset of the winning claim is its fencing number.
+// A lease has no expiry time of its own: it is valid as long as the session of its
+// holder is open. The offset of the accepted claim is the fencing number.
 package lease
 
 import (
@@ -13,44 +13,48 @@
 	"merlintiller/internal/state"
 )
 
-// MaxEnded is how many leases of ended sessions are remembered, those that
-// ended first forgotten first. A claimer has to name the holder that it
-// replaces, since at a target that doesn't check fencing numbers it must wait
-// until the replaced holder's last order is over. It is part of the replayed
-// rules, so it is no setting.
+// MaxEnded is the number of leases of ended sessions that are kept. Beyond it, the
+// leases that ended first are evicted. The leases are kept because a claimer must
+// name the holder that it replaces: at a target that doesn't check fencing
+// numbers, the claimer must wait until the last order of the replaced holder is
+// over. MaxEnded is not a setting because replay depends on it: all instances must
+// use the same value.
 const MaxEnded = 8192
 
-// Lease is one held resource, or one whose holder's session has ended.
+// Lease is a resource that a session holds, or held until the session ended.
 type Lease struct {
 	Resource protocol.Resource  `cbor:"1,keyasint"`
 	Session  protocol.SessionID `cbor:"2,keyasint"`
-	// Fence is the offset of the winning claim.
+	// Fence is the fencing number: the offset of the accepted claim.
 	Fence protocol.Offset `cbor:"3,keyasint"`
-	// EndedAt is where the holder's session ended, NoOffset while it is open.
+	// EndedAt is the offset at which the holder's session ended, or NoOffset
+	// while it is open.
 	EndedAt protocol.Offset `cbor:"4,keyasint"`
-	// Instance is whose session it is. It outlives the session, so that a
-	// claimer can ask the process at its address whether the holder is gone.
+	// Instance is the instance that opened the session. It is kept after the
+	// session has ended, so that a claimer can ask the process at Address
+	// whether the holder has terminated.
 	Instance protocol.InstanceID `cbor:"5,keyasint,omitempty"`
-	// Address is the holder's peer address: a process with the same instance id
-	// at another address may run beside the holder and can't speak for it.
+	// Address is the holder's peer address. A process with the same instance id
+	// at another address may run at the same time as the holder, so it can't
+	// say whether the holder has terminated.
 	Address string `cbor:"6,keyasint,omitempty"`
 }
 
 func (l *Lease) held() bool { return l.EndedAt == protocol.NoOffset }
 
-// Table is the replayed state. It is not safe for concurrent use.
+// Table is the replayed state of all leases. It is not safe for concurrent use.
 type Table struct {
 	leases map[protocol.Resource]*Lease
 	// ended counts the leases whose holder's session has ended.
 	ended int
 }
 
-// New returns the empty state.
+// New returns an empty table.
 func New() *Table {
 	return &Table{leases: map[protocol.Resource]*Lease{}}
 }
 
-// Holder returns the session that holds a resource with its fencing number.
+// Holder returns the session that holds a resource and its fencing number.
 func (t *Table) Holder(resource protocol.Resource) (protocol.SessionID, protocol.Offset, bool) {
 	lease, ok := t.leases[resource]
 	if !ok || !lease.held() {
@@ -59,8 +63,9 @@
 	return lease.Session, lease.Fence, true
 }
 
-// Last returns the latest lease of a resource that was not released, held or
-// ended. A claim names its fencing number in Replaces.
+// Last returns the latest lease of a resource, held or ended by the end of its
+// session, unless the lease was released. A claim names the fencing number of
+// this lease in Replaces.
 func (t *Table) Last(resource protocol.Resource) (Lease, bool) {
 	lease, ok := t.leases[resource]
 	if !ok {
@@ -69,29 +74,31 @@
 	return *lease, true
 }
 
-// Held returns what a session holds, sorted by resource.
+// Held returns the leases that a session holds, sorted by resource.
 func (t *Table) Held(session protocol.SessionID) []Lease {
 	return t.list(func(l *Lease) bool { return l.held() && l.Session == session })
 }
 
-// WithPrefix returns the held resources that begin with a prefix, sorted.
+// WithPrefix returns the held leases of resources that begin with a prefix, sorted
+// by resource.
 func (t *Table) WithPrefix(prefix string) []Lease {
 	return t.list(func(l *Lease) bool { return l.held() && strings.HasPrefix(string(l.Resource), prefix) })
 }
 
-func (t *Table) list(want func(*Lease) bool) []Lease {
-	found := []Lease{}
+func (t *Table) list(match func(*Lease) bool) []Lease {
+	matching := []Lease{}
 	for _, lease := range t.leases {
-		if want(lease) {
-			found = append(found, *lease)
+		if match(lease) {
+			matching = append(matching, *lease)
 		}
 	}
-	slices.SortFunc(found, func(a, b Lease) int { return cmp.Compare(a.Resource, b.Resource) })
-	return found
+	slices.SortFunc(matching, func(a, b Lease) int { return cmp.Compare(a.Resource, b.Resource) })
+	return matching
 }
 
-// instances tells whose a session is, if the sessions know it.
-type instances interface {
+// instanceLookup is implemented by session tables that know which instance opened
+// a session.
+type instanceLookup interface {
 	Instance(id protocol.SessionID) (instance protocol.InstanceID, peerAddress string)
 }
 
@@ -100,9 +107,9 @@
 	switch {
 	case rec.LeaseClaim != nil:
 		verdict := t.applyClaim(at, rec.ID.Session, rec.LeaseClaim)
-		if known, ok := sessions.(instances); ok && verdict == protocol.Accepted {
+		if lookup, ok := sessions.(instanceLookup); ok && verdict == protocol.Accepted {
 			lease := t.leases[rec.LeaseClaim.Resource]
-			lease.Instance, lease.Address = known.Instance(rec.ID.Session)
+			lease.Instance, lease.Address = lookup.Instance(rec.ID.Session)
 		}
 		return verdict
 	case rec.LeaseRelease != nil:
@@ -143,7 +150,7 @@
 	return protocol.Accepted
 }
 
-// SessionEnded frees what a session held, at the offset where it ended.
+// SessionEnded ends the leases of a session that ended at an offset.
 func (t *Table) SessionEnded(at protocol.Offset, session protocol.SessionID) {
 	for _, lease := range t.leases {
 		if lease.held() && lease.Session == session {
@@ -151,23 +158,23 @@
 			t.ended++
 		}
 	}
-	t.forget()
+	t.evictEnded()
 }
 
-func (t *Table) forget() {
+// evictEnded deletes the leases that ended first, beyond MaxEnded.
+func (t *Table) evictEnded() {
 	if t.ended <= MaxEnded {
 		return
 	}
-	old := t.list(func(l *Lease) bool { return !l.held() })
-	slices.SortStableFunc(old, func(a, b Lease) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
-	for _, lease := range old[:t.ended-MaxEnded] {
+	endedLeases := t.list(func(l *Lease) bool { return !l.held() })
+	slices.SortStableFunc(endedLeases, func(a, b Lease) int { return cmp.Compare(a.EndedAt, b.EndedAt) })
+	for _, lease := range endedLeases[:t.ended-MaxEnded] {
 		delete(t.leases, lease.Resource)
 	}
 	t.ended = MaxEnded
 }
 
-// Snapshot is the whole state in a form that encodes to equal bytes for equal
-// states.
+// Snapshot is a copy of the full state. Equal states encode to equal bytes.
 type Snapshot struct {
 	Leases []Lease `cbor:"1,keyasint"`
 }
@@ -177,7 +184,7 @@
 	return Snapshot{Leases: t.list(func(*Lease) bool { return true })}
 }
 
-// Restore makes the state that a snapshot was taken of.
+// Restore returns the table that a snapshot was taken from.
 func Restore(s Snapshot) *Table {
 	t := New()
 	for _, lease := range s.Leases {
--- a/internal/state/lease/lease_test.go
+++ b/internal/state/lease/lease_test.go
@@ -23,9 +23,9 @@
 	}, nil)
 }
 
-// Two instances want the same target. One wins, and its fencing number is
-// larger than that of everyone before it.
-func TestOneHolderAndGrowingFence(t *testing.T) {
+// Two instances claim the same target. Only one of them may obtain it, and its
+// fencing number must be larger than those of all earlier holders.
+func TestOneHolderAndIncreasingFence(t *testing.T) {
 	s := New()
 	require.Equal(t, protocol.Accepted, claim(s, 3, 1, "r", protocol.NoOffset))
 	require.Equal(t, protocol.AlreadyHeld, claim(s, 4, 2, "r", protocol.NoOffset))
@@ -40,9 +40,9 @@
 	require.EqualValues(t, 6, fence)
 }
 
-// A claimer believes that nobody had the resource, while another held it and
-// died in between. At a target that doesn't check fencing numbers it would not
-// wait until the dead holder's last order is over.
+// A claimer's view shows no earlier holder, but meanwhile another instance held the
+// resource and crashed. At a target that doesn't check fencing numbers, the
+// claimer would not wait until the last order of the crashed holder is over.
 func TestClaimFromAnOutdatedViewIsRejected(t *testing.T) {
 	s := New()
 	claim(s, 3, 1, "r", protocol.NoOffset)
@@ -53,7 +53,7 @@
 	require.Equal(t, protocol.Accepted, claim(s, 7, 3, "r", protocol.NoOffset))
 }
 
-func TestListings(t *testing.T) {
+func TestListsBySessionAndPrefix(t *testing.T) {
 	s := New()
 	claim(s, 1, 1, "orders/b", protocol.NoOffset)
 	claim(s, 2, 1, "orders/a", protocol.NoOffset)
@@ -75,6 +75,6 @@
 	}
 	require.Len(t, s.Snapshot().Leases, MaxEnded)
 	_, first := s.Last(protocol.Resource(fmt.Sprintf("r%06d", MaxEnded+5)))
-	require.False(t, first, "the first that ended is forgotten first")
+	require.False(t, first, "the lease that ended first must be evicted first")
 	require.Equal(t, s.Snapshot(), Restore(s.Snapshot()).Snapshot())
 }
