--- a/internal/state/once/once.go
+++ b/internal/state/once/once.go
@@ -1,6 +1,6 @@
-// Package once replays the reservations of calls that may not be repeated: of
-// all instances that got the same call, the first reservation in stream order
-// may send it, and only that one.
+// Package once replays the reservations of calls that are not idempotent. Several
+// instances may receive the same call; only the instance whose reservation is the
+// first in stream order may send it.
 package once
 
 import (
@@ -18,51 +18,54 @@
 	"merlintiller/internal/state"
 )
 
-// Call is what is known of one reserved call. It holds no strings: a day's calls
-// are remembered by every instance.
+// Call is the state of a reserved call. It contains no strings, to save memory:
+// each instance keeps the calls of a day.
 type Call struct {
-	// Key is the hash of the call's key.
+	// Key is the hash of the call's organisation and idempotency key.
 	Key Key `cbor:"1,keyasint"`
-	// ID is the hash of the id of the only dispatch.
-	ID       uint64 `cbor:"2,keyasint"`
+	// IDHash is the hash of the id of the dispatch that the reservation permits.
+	IDHash   uint64 `cbor:"2,keyasint"`
 	BodyHash uint64 `cbor:"3,keyasint"`
-	// At is the reserving instance's wall clock in Unix seconds; replay never
-	// compares it.
+	// At is the time of the reservation in Unix seconds by the wall clock of the
+	// reserving instance. Replay never compares it.
 	At int64 `cbor:"4,keyasint"`
-	// Session is the one that reserved, and Reserved where its record stands.
-	Session  protocol.SessionID `cbor:"5,keyasint"`
-	Reserved protocol.Offset    `cbor:"6,keyasint"`
-	Data     protocol.Offset    `cbor:"7,keyasint"`
-	// Settled says that Status and Data are known. Status 0 then means that
-	// the outcome will never be known.
+	// Session is the session that made the reservation, and Offset the offset of
+	// its record in the control stream.
+	Session protocol.SessionID `cbor:"5,keyasint"`
+	Offset  protocol.Offset    `cbor:"6,keyasint"`
+	// Data is the offset of the response in DataStream, or NoOffset if none is
+	// stored.
+	Data protocol.Offset `cbor:"7,keyasint"`
+	// Settled reports whether the outcome is recorded in Status and Data. Status
+	// 0 then means that the outcome will never be known.
 	Status  uint16 `cbor:"8,keyasint,omitempty"`
 	Settled bool   `cbor:"9,keyasint,omitempty"`
 }
 
-// ReservedFor reports whether the call is reserved for a dispatch.
-func (c *Call) ReservedFor(id protocol.CallID) bool { return c.ID == hashID(id) }
+// ReservedFor reports whether the reservation permits the dispatch with an id.
+func (c *Call) ReservedFor(id protocol.CallID) bool { return c.IDHash == hashID(id) }
 
-// Key is a hash of a call's key: 128 bits of SHA-256, so that nobody can choose
-// two keys that meet.
+// Key is the hash of a call's organisation and idempotency key. It consists of
+// 128 bits of SHA-256, so that callers can't construct two keys with the same hash.
 type Key [16]byte
 
 func hashKey(key protocol.CallKey) (short Key) {
-	// The length keeps organisation and key apart.
+	// The length marks the boundary between organisation and key.
 	text := fmt.Sprintf("%d/%s/%s", len(key.Organisation), key.Organisation, key.Key)
 	long := sha256.Sum256([]byte(text))
 	copy(short[:], long[:])
 	return short
 }
 
-// hashID shortens the random id of a dispatch.
+// hashID hashes the random id of a dispatch to 64 bits.
 func hashID(id protocol.CallID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// Table is the replayed state. It is not safe for concurrent use.
+// Table is the replayed state of all reserved calls. It is not safe for concurrent use.
 type Table struct {
 	calls map[Key]Call
 }
 
-// New returns the empty state.
+// New returns an empty table.
 func New() *Table { return &Table{calls: map[Key]Call{}} }
 
 // Apply implements state.Machine.
@@ -85,24 +88,24 @@
 		return protocol.Malformed
 	}
 	key := hashKey(body.Call)
-	if _, taken := t.calls[key]; taken {
+	if _, reserved := t.calls[key]; reserved {
 		return protocol.AlreadyHeld
 	}
 	t.calls[key] = Call{
 		Key:      key,
-		ID:       hashID(body.ID),
+		IDHash:   hashID(body.ID),
 		BodyHash: body.BodyHash,
 		At:       body.At.Unix(),
 		Session:  by,
-		Reserved: at,
+		Offset:   at,
 		Data:     protocol.NoOffset,
 	}
 	return protocol.Accepted
 }
 
-// settle records the outcome of the dispatch that was reserved. Any session
-// may write it: an instance that was paused past its lease still knows what
-// the target answered.
+// settle records the outcome of the reserved dispatch. Any session may write the
+// outcome: an instance that was paused beyond the end of its lease still knows
+// the target's response.
 func (t *Table) settle(body *protocol.CallOutcome) protocol.Verdict {
 	if body.Status < 0 || body.Status > math.MaxUint16 {
 		return protocol.Malformed
@@ -118,9 +121,9 @@
 	return protocol.Accepted
 }
 
-// release makes way for another dispatch of a call that certainly did not run.
-// It needs the id of the dispatch, which only its sender has, and is rejected
-// once an outcome stands.
+// release deletes the reservation of a call that certainly did not run, so that
+// the call can be dispatched again. The record must contain the id of the
+// dispatch, which only its sender knows. It is rejected if an outcome is recorded.
 func (t *Table) release(body *protocol.CallRelease) protocol.Verdict {
 	if _, verdict := t.unsettled(body.Call, body.ID); verdict != protocol.Accepted {
 		return verdict
@@ -129,6 +132,8 @@
 	return protocol.Accepted
 }
 
+// unsettled returns the reservation of a dispatch that has no outcome yet, or the
+// verdict on the record that names the dispatch.
 func (t *Table) unsettled(key protocol.CallKey, id protocol.CallID) (Call, protocol.Verdict) {
 	call, ok := t.calls[hashKey(key)]
 	if !ok {
@@ -143,13 +148,13 @@
 	return call, protocol.Accepted
 }
 
-// forget drops reservations whose time to be remembered is over. One that is
-// not settled while its session is open stays, since it may be in flight: a
-// resend would otherwise be sent beside it.
+// forget deletes the reservations up to an offset, since their retention is over.
+// A reservation without an outcome stays while its session is open, since its call
+// may be in flight and a resend would run at the same time.
 func (t *Table) forget(body *protocol.CallForget, sessions state.Sessions) protocol.Verdict {
 	dropped := 0
 	for key, call := range t.calls {
-		if call.Reserved > body.UpTo {
+		if call.Offset > body.UpTo {
 			continue
 		}
 		if !call.Settled && sessions.Open(call.Session) {
@@ -164,29 +169,29 @@
 	return protocol.Accepted
 }
 
-// Call returns the reservation of a key.
+// Call returns the state of the call with a key.
 func (t *Table) Call(key protocol.CallKey) (Call, bool) {
 	call, ok := t.calls[hashKey(key)]
 	return call, ok
 }
 
-// Len is the number of remembered calls.
+// Len returns the number of calls in the table.
 func (t *Table) Len() int { return len(t.calls) }
 
-// LastReservedBefore is the position of the newest reservation whose writer's clock
-// was before a time, NoOffset if there is none.
+// LastReservedBefore returns the offset of the newest reservation that was made
+// before a time by its writer's clock, or NoOffset if there is none.
 func (t *Table) LastReservedBefore(limit time.Time) protocol.Offset {
 	last := protocol.NoOffset
 	for _, call := range t.calls {
 		if call.At < limit.Unix() {
-			last = max(last, call.Reserved)
+			last = max(last, call.Offset)
 		}
 	}
 	return last
 }
 
-// Snapshot is the whole state in a form that encodes to equal bytes for equal
-// states: calls stand in the order of their reservation.
+// Snapshot is a copy of the full state. Equal states encode to equal bytes: calls
+// are sorted by the offset of their reservation.
 type Snapshot struct {
 	Calls []Call `cbor:"1,keyasint"`
 }
@@ -199,14 +204,14 @@
 	}
 	slices.SortFunc(s.Calls, func(a, b Call) int {
 		return cmp.Or(
-			cmp.Compare(a.Reserved, b.Reserved),
+			cmp.Compare(a.Offset, b.Offset),
 			bytes.Compare(a.Key[:], b.Key[:]),
 		)
 	})
 	return s
 }
 
-// Restore makes the state that a snapshot was taken of.
+// Restore returns the table that a snapshot was taken from.
 func Restore(s Snapshot) *Table {
 	t := New()
 	for _, call := range s.Calls {
--- a/internal/state/once/once_test.go
+++ b/internal/state/once/once_test.go
@@ -10,9 +10,9 @@
 	"merlintiller/internal/protocol"
 )
 
-type openSet map[protocol.SessionID]bool
+type openSessions map[protocol.SessionID]bool
 
-func (o openSet) Open(id protocol.SessionID) bool { return o[id] }
+func (o openSessions) Open(id protocol.SessionID) bool { return o[id] }
 
 var key = protocol.CallKey{Organisation: "dobrescu", Key: "swap-17"}
 
@@ -32,11 +32,12 @@
 }
 
 func apply(t *Table, at protocol.Offset, rec protocol.Record) protocol.Verdict {
-	return t.Apply(at, &rec, openSet{1: true})
+	return t.Apply(at, &rec, openSessions{1: true})
 }
 
-// A caller resends a swap request through another instance while the first one
-// is on its way. Two sends would swap twice; the first reservation wins.
+// A caller resends a swap request through another instance while the first request
+// is in flight. Sending both would swap twice, so only the first reservation may
+// be accepted.
 func TestFirstReservationWins(t *testing.T) {
 	table := New()
 	require.Equal(t, protocol.Accepted, apply(table, 0, reserve("a")))
@@ -48,9 +49,9 @@
 	require.EqualValues(t, 1, call.Session)
 }
 
-// The loser of a reservation reports or withdraws. It must not touch what the
-// winner did.
-func TestOnlyTheReservedDispatchSettles(t *testing.T) {
+// An instance whose reservation was rejected writes an outcome or a release. The
+// record must not change the reservation that was accepted.
+func TestOnlyReservedDispatchMaySettle(t *testing.T) {
 	table := New()
 	apply(table, 0, reserve("a"))
 	require.Equal(t, protocol.NotHolder, apply(table, 1, outcome("b", 200)))
@@ -61,8 +62,8 @@
 	require.EqualValues(t, 200, call.Status)
 }
 
-// A call ran, and its release arrives late. Releasing it would let a resend
-// run it again.
+// A release arrives after the outcome of its call. Releasing the call would allow
+// a resend to run it again.
 func TestSettledCallIsNotReleased(t *testing.T) {
 	table := New()
 	apply(table, 0, reserve("a"))
@@ -72,7 +73,7 @@
 }
 
 // A target refused the connection, so the call certainly did not run. A resend
-// may try again.
+// must be able to reserve it again.
 func TestReleasedCallMayBeReservedAgain(t *testing.T) {
 	table := New()
 	apply(table, 0, reserve("a"))
@@ -81,8 +82,8 @@
 	require.Equal(t, protocol.Accepted, apply(table, 3, reserve("b")))
 }
 
-// Old reservations are dropped to bound memory. One whose call may still be in
-// flight must stay, or a resend would run beside it.
+// Old reservations are deleted to bound memory. A reservation whose call may still
+// be in flight must stay, or a resend would run at the same time.
 func TestCallInFlightIsNotForgotten(t *testing.T) {
 	table := New()
 	apply(table, 0, reserve("a"))
@@ -95,29 +96,30 @@
 	require.Zero(t, table.Len())
 }
 
-// The holder died with the call in flight. Its reservation is forgotten when
-// its time is over, and not before.
+// The reserving instance crashed while the call was in flight. The reservation must
+// be deleted when its retention is over, and not earlier.
 func TestUnsettledCallOfAnEndedSessionIsForgotten(t *testing.T) {
 	table := New()
 	apply(table, 5, reserve("a"))
 	early := protocol.Record{CallForget: &protocol.CallForget{UpTo: 4}}
-	require.Equal(t, protocol.UnknownSubject, table.Apply(6, &early, openSet{}))
+	require.Equal(t, protocol.UnknownSubject, table.Apply(6, &early, openSessions{}))
 	due := protocol.Record{CallForget: &protocol.CallForget{UpTo: 5}}
-	require.Equal(t, protocol.Accepted, table.Apply(7, &due, openSet{}))
+	require.Equal(t, protocol.Accepted, table.Apply(7, &due, openSessions{}))
 	require.Zero(t, table.Len())
 }
 
-// Reservations, outcomes and releases come in any order from several
-// instances. A key has one dispatch at a time, and after an outcome no other
-// ever. A state restored from any snapshot goes on like the whole one.
-func TestOneDispatchAKeyInAnyOrder(t *testing.T) {
+// Several instances write reservations, outcomes and releases in any order. A key
+// must have at most one dispatch at a time, and none after an outcome. A table
+// restored from a snapshot at any offset must give the same verdicts as the
+// original.
+func TestOneDispatchPerKeyInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New()
-		cut := rapid.IntRange(0, 30).Draw(t, "cut")
+		snapshotAt := rapid.IntRange(0, 30).Draw(t, "snapshotAt")
 		var restored *Table
 		winner, settled := protocol.CallID(""), false
 		for at := range protocol.Offset(30) {
-			if int(at) == cut {
+			if int(at) == snapshotAt {
 				restored = Restore(roundTrip(t, table.Snapshot()))
 			}
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -148,9 +150,9 @@
 	})
 }
 
-// Two organisations choose the same key, or two whose names run into it. Taking
-// one for the other would hand an answer to a stranger.
-func TestKeysOfOrganisationsAreApart(t *testing.T) {
+// Two organisations use the same key, or keys that are equal once organisation and
+// key are joined. Confusing them would return a response to another organisation.
+func TestKeysOfOrganisationsAreDistinct(t *testing.T) {
 	table := New()
 	for _, key := range []protocol.CallKey{{Organisation: "a", Key: "b/c"}, {Organisation: "a/b", Key: "c"}, {Organisation: "x", Key: "b/c"}} {
 		rec := reserve("id")
@@ -162,7 +164,7 @@
 func roundTrip(t require.TestingT, s Snapshot) Snapshot {
 	data, err := protocol.Marshal(s)
 	require.NoError(t, err)
-	var back Snapshot
-	require.NoError(t, protocol.Unmarshal(data, &back))
-	return back
+	var decoded Snapshot
+	require.NoError(t, protocol.Unmarshal(data, &decoded))
+	return decoded
 }
--- a/internal/state/once/size_test.go
+++ b/internal/state/once/size_test.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/protocol"
 )
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -18,11 +18,11 @@
 	return int64(stats.HeapAlloc)
 }
 
-// Every instance remembers every key for its time. What one takes decides for
-// how long that can be.
+// Each instance keeps all calls until their retention is over. The memory per call
+// determines how long the retention can be.
 func TestMeasureMemoryOfCalls(t *testing.T) {
 	const calls = 50_000
-	before := heap()
+	before := heapBytes()
 	table := New()
 	for i := range calls {
 		key := protocol.CallKey{Organisation: "dobrescu", Key: fmt.Sprintf("%036d", i)}
@@ -32,6 +32,6 @@
 		}
 		require.Equal(t, protocol.Accepted, apply(table, protocol.Offset(i), rec))
 	}
-	t.Logf("measure name=state.bytes_per_call unit=B now=%d", (heap()-before)/calls)
+	t.Logf("measure name=state.bytes_per_call unit=B now=%d", (heapBytes()-before)/calls)
 	runtime.KeepAlive(table)
 }
