--- a/internal/state/session/session.go
+++ b/internal/state/session/session.go
@@ -1,8 +1,8 @@
 // Package session replays which sessions are open.
 //
-// A session is the incarnation of an instance. All that an instance holds
-// exclusively hangs on its session, so one renewal keeps everything alive and
-// one expiry frees everything.
+// A session is the incarnation of an instance. Whatever an instance holds
+// exclusively depends on its session: one renewal keeps all of it and one expiry
+// releases all of it.
 package session
 
 import (
@@ -13,15 +13,16 @@
 	"merlintiller/internal/state"
 )
 
-// MaxEnded is how many ended sessions are remembered, oldest forgotten first.
-// A late second copy of an ended session's open record would otherwise open it
-// again, and an instance would seem alive that left long ago. At 463 restarts
-// and crashes a day the memory reaches back more than a week, far longer than
-// an append can be delayed. It is part of the replayed rules, so it is no
-// setting: instances that disagreed on it would disagree on the state.
+// MaxEnded is the number of ended sessions that are kept; beyond it, the oldest are
+// evicted. They are kept because a late copy of an ended session's open record
+// would open the session again, and an instance that terminated long ago would
+// appear to be running. At 463 restarts and crashes a day the ended sessions of
+// more than a week are kept, far longer than an append can be delayed. MaxEnded is
+// not a setting because replay depends on it: instances with different values
+// would have different states.
 const MaxEnded = 4096
 
-// Info is one open session.
+// Info describes an open session.
 type Info struct {
 	Session       protocol.SessionID  `cbor:"1,keyasint"`
 	Instance      protocol.InstanceID `cbor:"2,keyasint"`
@@ -31,19 +32,19 @@
 	OpenedAt      protocol.Offset     `cbor:"6,keyasint"`
 	// LastRenewal is the offset of the latest renewal, or of the open record.
 	LastRenewal protocol.Offset `cbor:"7,keyasint"`
-	// Seq is the highest record number seen of the session.
+	// Seq is the highest sequence number among the session's records so far.
 	Seq uint64 `cbor:"8,keyasint"`
 }
 
-// Table is the replayed state. It is not safe for concurrent use.
+// Table is the replayed state of all sessions. It is not safe for concurrent use.
 type Table struct {
 	open  map[protocol.SessionID]*Info
 	ended map[protocol.SessionID]bool
-	// order lists the ended sessions, the oldest first.
-	order []protocol.SessionID
+	// endedOrder lists the ended sessions, the oldest first.
+	endedOrder []protocol.SessionID
 }
 
-// New returns the empty state.
+// New returns an empty table.
 func New() *Table {
 	return &Table{
 		open:  map[protocol.SessionID]*Info{},
@@ -57,7 +58,7 @@
 	return ok
 }
 
-// Ended reports whether the session is remembered as ended.
+// Ended reports whether the session is among the kept ended sessions.
 func (t *Table) Ended(id protocol.SessionID) bool { return t.ended[id] }
 
 // Get returns an open session.
@@ -69,8 +70,8 @@
 	return *info, true
 }
 
-// Instance is whose an open session is and its peer address, empty if it is not
-// open.
+// Instance returns the instance of an open session and its peer address. Both are
+// empty if the session is not open.
 func (t *Table) Instance(id protocol.SessionID) (instance protocol.InstanceID, peerAddress string) {
 	info, _ := t.Get(id)
 	return info.Instance, info.PeerAddress
@@ -82,29 +83,32 @@
 	for _, info := range t.open {
 		all = append(all, *info)
 	}
-	slices.SortFunc(all, compare)
+	slices.SortFunc(all, compareByOpening)
 	return all
 }
 
-func compare(a, b Info) int {
+func compareByOpening(a, b Info) int {
 	return cmp.Or(cmp.Compare(a.OpenedAt, b.OpenedAt), cmp.Compare(a.Session, b.Session))
 }
 
-// ByInstance returns the open sessions of one instance, the newest last. There
-// are several while a former process of the instance has not expired yet.
+// ByInstance returns the open sessions of an instance, the newest last. There are
+// several while the session of an earlier process of the instance has not expired
+// yet.
 func (t *Table) ByInstance(id protocol.InstanceID) []Info {
 	all := t.All()
 	return slices.DeleteFunc(all, func(info Info) bool { return info.Instance != id })
 }
 
-// IsDuplicate reports whether a record of an open session was applied before. Writers
-// number their records upwards, so the highest number tells.
+// IsDuplicate reports whether a record of an open session was applied before. A
+// writer numbers its records in increasing order, so a record up to the highest
+// applied number is a duplicate.
 func (t *Table) IsDuplicate(id protocol.RecordID) bool {
 	info, ok := t.open[id.Session]
 	return ok && id.Seq <= info.Seq
 }
 
-// RecordSeq remembers the number of a record of an open session.
+// RecordSeq stores the sequence number of a record of an open session for
+// IsDuplicate.
 func (t *Table) RecordSeq(id protocol.RecordID) {
 	if info, ok := t.open[id.Session]; ok {
 		info.Seq = max(info.Seq, id.Seq)
@@ -154,8 +158,9 @@
 	return protocol.Accepted
 }
 
-// applyExpire ends a silent session. An observer that lagged, or whose record
-// was delayed, names an old renewal and must not end a session that lives.
+// applyExpire ends a session that was not renewed. An observer that lagged behind,
+// or whose record was delayed, names an old renewal and must not end a session
+// that was renewed since.
 func (t *Table) applyExpire(body *protocol.SessionExpire) protocol.Verdict {
 	if t.ended[body.Session] {
 		return protocol.AlreadyEnded
@@ -179,18 +184,19 @@
 	return protocol.Accepted
 }
 
+// end moves a session to the ended sessions and evicts the oldest of those beyond
+// MaxEnded.
 func (t *Table) end(id protocol.SessionID) {
 	delete(t.open, id)
 	t.ended[id] = true
-	t.order = append(t.order, id)
-	for len(t.order) > MaxEnded {
-		delete(t.ended, t.order[0])
-		t.order = t.order[1:]
+	t.endedOrder = append(t.endedOrder, id)
+	for len(t.endedOrder) > MaxEnded {
+		delete(t.ended, t.endedOrder[0])
+		t.endedOrder = t.endedOrder[1:]
 	}
 }
 
-// Snapshot is the whole state in a form that encodes to equal bytes for equal
-// states.
+// Snapshot is a copy of the full state. Equal states encode to equal bytes.
 type Snapshot struct {
 	Open  []Info               `cbor:"1,keyasint"`
 	Ended []protocol.SessionID `cbor:"2,keyasint"`
@@ -198,10 +204,10 @@
 
 // Snapshot copies the state.
 func (t *Table) Snapshot() Snapshot {
-	return Snapshot{Open: t.All(), Ended: append([]protocol.SessionID{}, t.order...)}
+	return Snapshot{Open: t.All(), Ended: append([]protocol.SessionID{}, t.endedOrder...)}
 }
 
-// Restore makes the state that a snapshot was taken of.
+// Restore returns the table that a snapshot was taken from.
 func Restore(s Snapshot) *Table {
 	t := New()
 	for _, info := range s.Open {
@@ -210,6 +216,6 @@
 	for _, id := range s.Ended {
 		t.ended[id] = true
 	}
-	t.order = append([]protocol.SessionID{}, s.Ended...)
+	t.endedOrder = append([]protocol.SessionID{}, s.Ended...)
 	return t
 }
--- a/internal/state/session/session_test.go
+++ b/internal/state/session/session_test.go
@@ -21,8 +21,8 @@
 	return t.Apply(at, &protocol.Record{SessionExpire: &protocol.SessionExpire{Session: id, LastRenewal: last}}, t)
 }
 
-// An observer's proposal is delayed on its way, and the session is renewed
-// meanwhile. A session that lives must not be ended by it.
+// An observer's expiry proposal is delayed, and the session is renewed meanwhile.
+// The proposal must not end the session.
 func TestExpiryFromAnOutdatedViewIsRejected(t *testing.T) {
 	s := New()
 	require.Equal(t, protocol.Accepted, open(s, 0, 7, "a"))
@@ -35,8 +35,8 @@
 	require.Equal(t, protocol.NoSession, renew(s, 6, 7))
 }
 
-// A copy of the open record arrives after the session has ended. The session
-// must stay ended, or an instance that left would seem to hold its leases.
+// A copy of the open record arrives after the session has ended. The session must
+// stay ended, or a terminated instance would appear to hold its leases.
 func TestEndedSessionIsNotOpenedAgain(t *testing.T) {
 	s := New()
 	open(s, 0, 7, "a")
@@ -45,8 +45,8 @@
 	require.Equal(t, protocol.Malformed, open(s, 3, 0, "a"))
 }
 
-// A process is restarted before its old session has expired. The old process
-// may still run, so its session stays until it expires or closes.
+// An instance is restarted before its old session has expired. The old process may
+// still be running, so its session must stay open until it expires or is closed.
 func TestNewSessionDoesNotEndTheOldOne(t *testing.T) {
 	s := New()
 	open(s, 0, 7, "a")
@@ -58,7 +58,7 @@
 	require.Len(t, s.ByInstance("a"), 1)
 }
 
-func TestEndedSessionsAreForgottenOldestFirst(t *testing.T) {
+func TestOldestEndedSessionsAreEvicted(t *testing.T) {
 	s := New()
 	for i := range MaxEnded + 1 {
 		id := protocol.SessionID(i + 1)
