--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -15,10 +15,10 @@
 type batchWork struct {
 	service  *batch.Service
 	executor *batch.Executor
-	keeper   *batch.Keeper
-	carrier  *batch.Carrier
+	keeper   *batch.JobReaper
+	carrier  *batch.DataRefresher
 	once     *oncecall.Caller
-	notices  *batch.CancelNotices
+	notices  *batch.CancelNotifier
 }
 
 func (b *batchWork) services() []suture.Service {
@@ -38,13 +38,13 @@
 	d.batch = batchWork{
 		service:  batch.NewService(j, opts, d.logger),
 		executor: batch.NewExecutor("batch.results", j, d.fleet.headroom, runner, opts, d.logger),
-		keeper:   batch.NewKeeper(j, opts, d.logger),
-		carrier:  batch.NewCarrier(j, opts, d.logger),
+		keeper:   batch.NewJobReaper(j, opts, d.logger),
+		carrier:  batch.NewDataRefresher(j, opts, d.logger),
 		once: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
 			Retention:      d.settings.Calls.Remember,
 		}, d.logger),
-		notices: batch.NewCancelNotices("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
+		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
-	d.batch.service.Cancelled = d.batch.notices.Tell
+	d.batch.service.OnCancel = d.batch.notices.Notify
 }
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -40,22 +40,22 @@
 
 func batchOptions(s *settings.Settings) batch.Options {
 	return batch.Options{
-		MaxLineBytes:    s.Batch.LineBytes,
-		MaxFileBytes:    s.Limits.FileBytes,
-		MaxFileItems:    s.Batch.FileItems,
-		MaxResultBytes:  s.Batch.ResultBytes,
-		FileKept:        s.Batch.FileKept,
-		MaxWindow:       s.Batch.LongestWindow,
-		ResultsReadable: s.Batch.ResultsReadable,
-		MaxHeldChunks:   s.Batch.HeldChunks,
-		MaxInFlight:     s.Batch.InFlight,
-		UrgentLaxity:    s.Batch.UrgentLaxity,
-		MaxAttempts:     s.Batch.Attempts,
-		BackoffFirst:    s.Batch.FirstBackoff,
-		BackoffMax:      s.Batch.LongestBackoff,
-		FlushAfter:      s.Batch.ResultFlush,
-		BufferBytes:     s.Batch.ResultBufferBytes,
-		CarryAge:        s.Batch.CarryAge,
+		MaxLineBytes:   s.Batch.LineBytes,
+		MaxFileBytes:   s.Limits.FileBytes,
+		MaxFileItems:   s.Batch.FileItems,
+		MaxResultBytes: s.Batch.ResultBytes,
+		FileTTL:        s.Batch.FileKept,
+		MaxWindow:      s.Batch.LongestWindow,
+		ResultTTL:      s.Batch.ResultsReadable,
+		MaxHeldChunks:  s.Batch.HeldChunks,
+		MaxInFlight:    s.Batch.InFlight,
+		UrgentLaxity:   s.Batch.UrgentLaxity,
+		MaxAttempts:    s.Batch.Attempts,
+		BackoffFirst:   s.Batch.FirstBackoff,
+		BackoffMax:     s.Batch.LongestBackoff,
+		FlushAfter:     s.Batch.ResultFlush,
+		BufferBytes:    s.Batch.ResultBufferBytes,
+		RefreshAge:     s.Batch.CarryAge,
 	}
 }
 
@@ -76,13 +76,13 @@
 		Domain:          s.Domain,
 		Seed:            seedOf(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
-		SpillGain:       s.Routing.SpillGain,
+		SpillMargin:     s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
-		AffinityLoad:    s.Routing.AffinityLoad,
+		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
-		EjectFor:        s.Routing.EjectFor,
-		EjectMost:       s.Routing.LongestEjection,
-		EjectShare:      s.Routing.EjectShare,
+		InitialEjection: s.Routing.EjectFor,
+		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
 }
@@ -108,8 +108,8 @@
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
-		ListEvery:      s.Timings.ListPoll,
-		LoadEvery:      s.Timings.LoadPoll,
+		ListInterval:   s.Timings.ListPoll,
+		LoadInterval:   s.Timings.LoadPoll,
 		LoadsPerSecond: s.Routing.LoadsPerSecond,
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -233,8 +233,8 @@
 	}{
 		{"calls.retry_share", s.Calls.RetryShare},
 		{"routing.eject_share", s.Routing.EjectShare},
-		{"headroom.spare", s.Headroom.Spare},
-		{"headroom.grow_part", s.Headroom.GrowPart},
+		{"headroom.spare", s.Headroom.SpareShare},
+		{"headroom.grow_part", s.Headroom.GrowStep},
 		{"admission.hold_memory", s.Admission.HoldTimeSmoothing},
 	}
 	for _, share := range shares {
--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -49,7 +49,7 @@
 		CreatedAt:        unix(job.Created),
 		InProgressAt:     unix(job.Created),
 		ExpiresAt:        unix(job.Deadline),
-		ResultsUntil:     unix(job.ResultsUntil),
+		ResultsUntil:     unix(job.ResultsExpireAt),
 		RequestCounts:    requestCounts{Total: job.Total, Completed: job.Completed, Failed: job.Failed},
 		Metadata:         job.Metadata,
 	}
@@ -105,10 +105,10 @@
 		return
 	}
 	request := batch.JobRequest{
-		InputFile: body.InputFileID,
-		Endpoint:  body.Endpoint,
-		Window:    body.CompletionWindow,
-		Metadata:  body.Metadata,
+		InputFile:        body.InputFileID,
+		Endpoint:         body.Endpoint,
+		CompletionWindow: body.CompletionWindow,
+		Metadata:         body.Metadata,
 	}
 	job, refusal := a.service.CreateBatch(r.Context(), a.organisation(r), request, r.Header.Get(idempotencyHeader))
 	a.answer(w, job, refusal)
@@ -161,7 +161,7 @@
 }
 
 func newBatchList(page batch.JobPage) batchList {
-	list := batchList{Object: "list", Data: make([]batchObject, 0, len(page.Jobs)), HasMore: page.More}
+	list := batchList{Object: "list", Data: make([]batchObject, 0, len(page.Jobs)), HasMore: page.HasMore}
 	for _, job := range page.Jobs {
 		list.Data = append(list.Data, newBatchObject(job))
 	}
