--- a/internal/coordination/batch/claimer.go
+++ b/internal/coordination/batch/claimer.go
@@ -211,7 +211,7 @@
 					organisation: job.Organisation,
 					endpoint:     job.Endpoint,
 					deadline:     job.Deadline,
-					won:          view.Won,
+					won:          view.Finished,
 				},
 				input: view.Input,
 			})
