--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -163,7 +163,7 @@
 // ErrStaleFence reports that a target rejected an order with an old fencing number.
 var ErrStaleFence = errors.New("target rejected an old fencing number")
 
-// OrderState is the state of orders that a target reports.
+// OrderState is the order that a target currently runs, as reported by the target.
 type OrderState struct {
 	Fence protocol.Offset `json:"fence"`
 	Order Order           `json:"order"`
@@ -175,7 +175,7 @@
 type OrderClient interface {
 	// Send sends an order to the target at an address.
 	Send(ctx context.Context, address string, order Order) error
-	// Current returns the target's state of orders.
+	// Current returns the order that the target currently runs.
 	Current(ctx context.Context, address string) (OrderState, error)
 }
 
