--- a/internal/coordination/routed/mesh/beat.go
+++ b/internal/coordination/routed/mesh/beat.go
@@ -21,8 +21,8 @@
 	Strength int
 }
 
-// Beat is what an instance tells of itself.
-type Beat struct {
+// Heartbeat is what an instance tells of itself.
+type Heartbeat struct {
 	From Instance
 	// Seq grows with each message of one life.
 	Seq uint64
--- a/internal/coordination/routed/mesh/bench_test.go
+++ b/internal/coordination/routed/mesh/bench_test.go
@@ -34,13 +34,13 @@
 		b.Fatal(err)
 	}
 	go func() { _ = server.Serve(b.Context()) }()
-	beat := Beat{From: instance("a", 2), Admitted: local.own, Informed: true, Partitions: []int{1, 2}}
+	beat := Heartbeat{From: instance("a", 2), Admitted: local.own, Informed: true, Partitions: []int{1, 2}}
 	for i := range 10 {
 		beat.Held = append(beat.Held, placement.Held{Target: fmt.Sprint("i-9c9397eba", i), Online: 2, Batch: 1})
 	}
 	for b.Loop() {
 		beat.Seq++
-		var reply Beat
+		var reply Heartbeat
 		if err := client.Call(context.Background(), listener.Addr().String(), methodExchange, &beat, &reply); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/coordination/routed/mesh/catchup.go
+++ b/internal/coordination/routed/mesh/catchup.go
@@ -26,7 +26,7 @@
 var snapshots = metrics.NewCounter(`peer_snapshots_total`)
 
 // catchUp fetches what another instance has that is newer, from one at a time.
-func (m *Mesh) catchUp(beat Beat) {
+func (m *Mesh) catchUp(beat Heartbeat) {
 	own := m.local.Versions()
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/coordination/routed/mesh/cost_test.go
+++ b/internal/coordination/routed/mesh/cost_test.go
@@ -19,7 +19,7 @@
 	for _, domain := range []string{"a", "b", "c"} {
 		for n := range 30 {
 			other := instance(domain, n+1)
-			m.view.Heard(now, Beat{From: other, Seq: 1, Admitted: quota.Counts{"o": 1}, Partitions: []int{n}})
+			m.view.Heard(now, Heartbeat{From: other, Seq: 1, Admitted: quota.Counts{"o": 1}, Partitions: []int{n}})
 			m.link(other.Address).nextAt = now.Add(time.Hour)
 		}
 	}
@@ -58,7 +58,7 @@
 			case 0:
 				v.Listed(now, []Instance{other})
 			case 1:
-				v.Heard(now, Beat{From: other, Seq: uint64(rapid.IntRange(1, 9).Draw(t, "seq"))})
+				v.Heard(now, Heartbeat{From: other, Seq: uint64(rapid.IntRange(1, 9).Draw(t, "seq"))})
 			default:
 				v.Forget(now)
 			}
--- a/internal/coordination/routed/mesh/entry.go
+++ b/internal/coordination/routed/mesh/entry.go
@@ -12,7 +12,7 @@
 // entry is what is known of one instance.
 type entry struct {
 	Instance
-	beat  Beat
+	beat  Heartbeat
 	heard time.Time
 	down  bool
 	// hash is the part of the instance in the digest.
@@ -57,7 +57,7 @@
 }
 
 // note keeps what an instance told, to be passed on.
-func (e *entry) note(beat *Beat) {
+func (e *entry) note(beat *Heartbeat) {
 	e.complete = e.complete || beat.Whole
 	for org, count := range beat.Admitted {
 		if e.counts[org] == count {
--- a/internal/coordination/routed/mesh/exchange.go
+++ b/internal/coordination/routed/mesh/exchange.go
@@ -97,7 +97,7 @@
 	defer cancel()
 	args := m.beatFor(to, false)
 	args.Pull = m.pull(to)
-	var reply Beat
+	var reply Heartbeat
 	err := m.caller.Call(ctx, to.Address, methodExchange, &args, &reply)
 	m.mu.Lock()
 	l := m.link(to.Address)
@@ -156,7 +156,7 @@
 // beatFor tells another instance of this one, without what that knows or has no
 // use for. In a large fleet an answer tells all counts: it may overtake a message that
 // goes the same way, and what only that one told would be lost.
-func (m *Mesh) beatFor(to Instance, answers bool) Beat {
+func (m *Mesh) beatFor(to Instance, answers bool) Heartbeat {
 	beat := m.described(time.Now())
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,12 +188,12 @@
 // described gives what all instances are told of this one, with the number of the
 // message: one with a larger number never tells less. Its maps and slices are shared and
 // must not be changed.
-func (m *Mesh) described(now time.Time) Beat {
+func (m *Mesh) described(now time.Time) Heartbeat {
 	m.describing.Lock()
 	defer m.describing.Unlock()
 	if m.describedAt.IsZero() || now.Sub(m.describedAt) >= describedFresh {
 		versions := m.local.Versions()
-		m.description = Beat{
+		m.description = Heartbeat{
 			From: m.Self(), Uptime: now.Sub(m.began), Young: now.Sub(m.began) < youngFor,
 			ConfigVersion: versions.Config, RosterMark: versions.RosterMark, RosterDigest: versions.RosterDigest,
 			StoreAge: versions.StoreAge, Reads: !m.Follows(),
@@ -207,7 +207,7 @@
 }
 
 // trim leaves the counts that changed since they were told.
-func (l *link) trim(beat *Beat) {
+func (l *link) trim(beat *Heartbeat) {
 	counts := beat.Admitted
 	beat.Whole = l.told == nil || l.messages >= wholeEvery
 	l.messages++
@@ -226,7 +226,7 @@
 }
 
 // take takes over a message and fetches what the sender has that is newer.
-func (m *Mesh) take(beat Beat) {
+func (m *Mesh) take(beat Heartbeat) {
 	feed := beat.Feed
 	beat.Pull, beat.Feed = nil, nil
 	if m.hear(beat) {
@@ -238,7 +238,7 @@
 }
 
 // hear takes over what an instance tells of itself.
-func (m *Mesh) hear(beat Beat) (fresh bool) {
+func (m *Mesh) hear(beat Heartbeat) (fresh bool) {
 	m.applying.Lock()
 	defer m.applying.Unlock()
 	m.mu.Lock()
--- a/internal/coordination/routed/mesh/intake.go
+++ b/internal/coordination/routed/mesh/intake.go
@@ -109,7 +109,7 @@
 }
 
 // read enters what a relay passes on, and gives what of it is new.
-func (m *Mesh) read(relay string, feed *Feed, news []News) (beats []Beat, alive []quota.Sign) {
+func (m *Mesh) read(relay string, feed *Feed, news []News) (beats []Heartbeat, alive []quota.Sign) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,7 +119,7 @@
 		m.intakes[relay] = in
 	}
 	in.next = feed.Next
-	beats = make([]Beat, 0, len(news))
+	beats = make([]Heartbeat, 0, len(news))
 	alive = make([]quota.Sign, 0, len(feed.Ages))
 	for i := range news {
 		from, known := in.introduce(&news[i])
@@ -144,9 +144,9 @@
 
 // Relayed takes over what a relay passes on of an instance, and gives it as the
 // instance's message. It is not fresh if a later one came before.
-func (v *View) Relayed(now time.Time, from Instance, news *News) (beat Beat, fresh bool) {
+func (v *View) Relayed(now time.Time, from Instance, news *News) (beat Heartbeat, fresh bool) {
 	if from.Name == v.self.Name {
-		return Beat{}, false
+		return Heartbeat{}, false
 	}
 	e := v.peers[from.Name]
 	if e == nil {
@@ -155,13 +155,13 @@
 	}
 	switch {
 	case from.Start < e.Start:
-		return Beat{}, false
+		return Heartbeat{}, false
 	case from.Start > e.Start:
 		v.rename(e, from)
 		e.down = false
 	}
 	if e.beat.From.Start != from.Start {
-		e.beat = Beat{}
+		e.beat = Heartbeat{}
 	}
 	if e.born.IsZero() && news.Uptime > 0 {
 		e.born = now.Add(-news.Uptime)
@@ -170,7 +170,7 @@
 		e.down, e.downAt, e.dirty = true, at, true
 	}
 	if news.Seq <= e.beat.Seq && (e.complete || !news.Whole) {
-		return Beat{}, false
+		return Heartbeat{}, false
 	}
 	beat = e.beat
 	if news.Standing != nil && news.Seq > e.beat.Seq {
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -53,14 +53,14 @@
 	// Versions gives what this instance has.
 	Versions() Versions
 	// Describe fills in what else this instance knows of itself.
-	Describe(*Beat)
+	Describe(*Heartbeat)
 	// Newer gives what is newer here than the caller's versions.
 	Newer(SnapshotArgs) SnapshotReply
 	// Adopt takes over what another instance has that is newer.
 	Adopt(SnapshotReply)
 	// PeerHeard takes over another instance's message. After the patience without
 	// a further one the instance counts as silent.
-	PeerHeard(beat Beat, patience time.Duration)
+	PeerHeard(beat Heartbeat, patience time.Duration)
 	// PeersAlive takes over when relays heard of other instances.
 	PeersAlive([]quota.Sign)
 	// PeerSilent tells that an instance is silent, PeerGone that its process
@@ -115,7 +115,7 @@
 	// the number of the last message.
 	describing  sync.Mutex
 	seq         uint64
-	description Beat
+	description Heartbeat
 	describedAt time.Time
 }
 
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -39,7 +39,7 @@
 	var err error
 	switch method {
 	case methodExchange:
-		err = to.Receiver().Exchange(args.(*Beat), reply.(*Beat))
+		err = to.Receiver().Exchange(args.(*Heartbeat), reply.(*Heartbeat))
 	case methodSnapshot:
 		err = to.Receiver().Snapshot(args.(*SnapshotArgs), reply.(*SnapshotReply))
 	}
@@ -59,7 +59,7 @@
 
 func (l *told) Versions() Versions { return Versions{} }
 
-func (l *told) Describe(beat *Beat) {
+func (l *told) Describe(beat *Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	beat.Admitted = maps.Clone(l.own)
@@ -73,7 +73,7 @@
 func (l *told) PeerListed(string)                {}
 func (l *told) PeersAlive([]quota.Sign)          {}
 
-func (l *told) PeerHeard(beat Beat, _ time.Duration) {
+func (l *told) PeerHeard(beat Heartbeat, _ time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seen++
--- a/internal/coordination/routed/mesh/relay.go
+++ b/internal/coordination/routed/mesh/relay.go
@@ -30,7 +30,7 @@
 	storeAgeMost = 4 * time.Second
 )
 
-func standingOf(b *Beat) Standing {
+func standingOf(b *Heartbeat) Standing {
 	return Standing{
 		Leaving: b.Leaving, Informed: b.Informed, HasLost: b.HasLost, Young: b.Young,
 		Partitions: b.Partitions, Generation: b.Generation, Claims: b.Claims,
@@ -44,7 +44,7 @@
 		slices.Equal(s.Partitions, other.Partitions) && slices.Equal(s.Claims, other.Claims)
 }
 
-func (s *Standing) apply(b *Beat) {
+func (s *Standing) apply(b *Heartbeat) {
 	b.Leaving, b.Informed, b.HasLost, b.Young = s.Leaving, s.Informed, s.HasLost, s.Young
 	b.Partitions, b.Generation, b.Claims, b.StoreAge = s.Partitions, s.Generation, s.Claims, s.StoreAge
 }
--- a/internal/coordination/routed/mesh/relay_test.go
+++ b/internal/coordination/routed/mesh/relay_test.go
@@ -53,7 +53,7 @@
 	}
 	pass(time.Millisecond)
 	if method == methodExchange {
-		return to.Receiver().Exchange(args.(*Beat), reply.(*Beat))
+		return to.Receiver().Exchange(args.(*Heartbeat), reply.(*Heartbeat))
 	}
 	return to.Receiver().Snapshot(args.(*SnapshotArgs), reply.(*SnapshotReply))
 }
@@ -306,12 +306,12 @@
 	now := viewStart
 	v, f := NewView(instance("a", 0), ForgetAfter), newFeed(1)
 	other := instance("b", 1)
-	v.Heard(now, Beat{From: other, Seq: 1, Admitted: quota.Counts{"x": 1}, Whole: true})
+	v.Heard(now, Heartbeat{From: other, Seq: 1, Admitted: quota.Counts{"x": 1}, Whole: true})
 	first, err := f.answer(now, v, Pull{})
 	require.NoError(t, err)
 
 	later := now.Add(batchEvery / 2)
-	v.Heard(later, Beat{From: other, Seq: 2, Admitted: quota.Counts{"x": 9}})
+	v.Heard(later, Heartbeat{From: other, Seq: 2, Admitted: quota.Counts{"x": 9}})
 	second, err := f.answer(later, v, Pull{Feed: first.ID, Next: first.Next})
 	require.NoError(t, err)
 	require.Empty(t, second.Batches)
--- a/internal/coordination/routed/mesh/rpc.go
+++ b/internal/coordination/routed/mesh/rpc.go
@@ -10,7 +10,7 @@
 func (m *Mesh) Receiver() *Receiver { return &Receiver{mesh: m} }
 
 // Exchange takes over what the caller tells and tells of this instance.
-func (r *Receiver) Exchange(args *Beat, reply *Beat) error {
+func (r *Receiver) Exchange(args *Heartbeat, reply *Heartbeat) error {
 	r.mesh.take(*args)
 	*reply = r.mesh.beatFor(args.From, true)
 	reply.Superseded = r.mesh.superseded(args.From)
--- a/internal/coordination/routed/mesh/view.go
+++ b/internal/coordination/routed/mesh/view.go
@@ -25,7 +25,7 @@
 type Peer struct {
 	Instance
 	State State
-	Beat  Beat
+	Beat  Heartbeat
 	// Heard is when its last message came.
 	Heard time.Time
 }
@@ -115,7 +115,7 @@
 }
 
 // Heard takes over a message. It is not fresh if a later one came before.
-func (v *View) Heard(now time.Time, beat Beat) (fresh bool) {
+func (v *View) Heard(now time.Time, beat Heartbeat) (fresh bool) {
 	name := beat.From.Name
 	if name == v.self.Name {
 		return false
--- a/internal/coordination/routed/mesh/view_test.go
+++ b/internal/coordination/routed/mesh/view_test.go
@@ -16,7 +16,7 @@
 }
 
 func heard(v *View, now time.Time, i Instance, seq uint64) bool {
-	return v.Heard(now, Beat{From: i, Seq: seq})
+	return v.Heard(now, Heartbeat{From: i, Seq: seq})
 }
 
 func stateOf(t *testing.T, v *View, now time.Time, i Instance) State {
@@ -93,8 +93,8 @@
 // hold one; a call that went to the old holder would get old results.
 func TestHolderIsTheOneWithTheLatestGeneration(t *testing.T) {
 	v := NewView(instance("a", 0), ForgetAfter)
-	v.Heard(viewStart, Beat{From: instance("a", 1), Seq: 1, Partitions: []int{3}, Generation: 7})
-	v.Heard(viewStart, Beat{From: instance("a", 2), Seq: 1, Partitions: []int{3}, Generation: 8})
+	v.Heard(viewStart, Heartbeat{From: instance("a", 1), Seq: 1, Partitions: []int{3}, Generation: 7})
+	v.Heard(viewStart, Heartbeat{From: instance("a", 2), Seq: 1, Partitions: []int{3}, Generation: 8})
 	holder, ok := v.Holder(viewStart, 3)
 	require.True(t, ok)
 	require.Equal(t, instance("a", 2).Name, holder.Name)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -17,7 +17,7 @@
 }
 
 // Describe implements mesh.Local.
-func (l *local) Describe(beat *mesh.Beat) {
+func (l *local) Describe(beat *mesh.Heartbeat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
 	beat.Held = l.placer.Held()
@@ -48,7 +48,7 @@
 }
 
 // PeerHeard implements mesh.Local.
-func (l *local) PeerHeard(beat mesh.Beat, patience time.Duration) {
+func (l *local) PeerHeard(beat mesh.Heartbeat, patience time.Duration) {
 	if !beat.Relayed {
 		l.view.TakeDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -24,7 +24,7 @@
 		require.NoError(t, err)
 		defer fresh.closeConnections()
 		fresh.meter.SetOrganisations([]route.Organisation{{Name: "two", Rate: 10, Burst: 10}})
-		beat := mesh.Beat{
+		beat := mesh.Heartbeat{
 			From: mesh.Instance{Name: "other", Domain: "d0", Address: "10.0.1.9:82", Start: 1},
 			Seq:  1, Informed: true, Whole: true, Uptime: time.Hour,
 		}
