--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -48,7 +48,7 @@
 		if p.State != mesh.Up {
 			continue
 		}
-		if p.Beat.HasLost || !p.Beat.Young {
+		if p.Heartbeat.HasLost || !p.Heartbeat.Young {
 			return held.Add(claimWait), held.Add(claimWait)
 		}
 	}
--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -74,7 +74,7 @@
 func (d *Desk) elsewhere(ctx context.Context, ask func(ctx context.Context, address string) bool) {
 	asked := 0
 	for _, p := range d.opts.Peers.Peers() {
-		if p.State != mesh.Up || p.Beat.Leaving || p.Beat.StoreAge >= storeAway {
+		if p.State != mesh.Up || p.Heartbeat.Leaving || p.Heartbeat.StoreAge >= storeAway {
 			continue
 		}
 		if asked == mostElsewhere || ctx.Err() != nil {
--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -113,9 +113,9 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number := range k.held {
-		if other, ok := k.opts.Peers.Holder(number); ok && other.Beat.Generation > k.generation {
+		if other, ok := k.opts.Peers.Holder(number); ok && other.Heartbeat.Generation > k.generation {
 			_ = level.Info(k.opts.Logger).Log("event", "jobs_given_way", "partition", number, "holder", other.Name,
-				"generation", other.Beat.Generation, "own", k.generation)
+				"generation", other.Heartbeat.Generation, "own", k.generation)
 			k.end(number)
 		}
 	}
--- a/internal/coordination/routed/batchjobs/orphans.go
+++ b/internal/coordination/routed/batchjobs/orphans.go
@@ -54,7 +54,7 @@
 	var mu sync.Mutex
 	var asked sync.WaitGroup
 	for _, p := range d.opts.Peers.Peers() {
-		if p.State != mesh.Up || len(p.Beat.Partitions) == 0 {
+		if p.State != mesh.Up || len(p.Heartbeat.Partitions) == 0 {
 			continue
 		}
 		asked.Go(func() {
--- a/internal/coordination/routed/mesh/entry.go
+++ b/internal/coordination/routed/mesh/entry.go
@@ -34,7 +34,7 @@
 }
 
 func (e *entry) peer(state State) Peer {
-	return Peer{Instance: e.Instance, State: state, Beat: e.beat, Heard: e.heard}
+	return Peer{Instance: e.Instance, State: state, Heartbeat: e.beat, Heard: e.heard}
 }
 
 // quiet says that an instance was not heard for a while.
--- a/internal/coordination/routed/mesh/settle.go
+++ b/internal/coordination/routed/mesh/settle.go
@@ -54,7 +54,7 @@
 
 func (m *Mesh) changed(p Peer) {
 	_ = level.Info(m.logger).Log("event", "peer_state", "peer", p.Name, "domain", p.Domain, "state", stateNames[p.State],
-		"heard", p.Heard.UnixMilli(), "seq", p.Beat.Seq)
+		"heard", p.Heard.UnixMilli(), "seq", p.Heartbeat.Seq)
 	switch p.State {
 	case Unheard:
 		m.local.PeerListed(p.Name)
--- a/internal/coordination/routed/mesh/view.go
+++ b/internal/coordination/routed/mesh/view.go
@@ -25,7 +25,7 @@
 type Peer struct {
 	Instance
 	State State
-	Beat  Heartbeat
+	Heartbeat  Heartbeat
 	// Heard is when its last message came.
 	Heard time.Time
 }
@@ -341,7 +341,7 @@
 		if state != Up || !slices.Contains(e.beat.Partitions, partition) {
 			return
 		}
-		if !found || e.beat.Generation > best.Beat.Generation {
+		if !found || e.beat.Generation > best.Heartbeat.Generation {
 			best, found = e.peer(state), true
 		}
 	})
