--- a/internal/coordination/routed/mesh/rank.go
+++ b/internal/coordination/routed/mesh/rank.go
@@ -17,8 +17,8 @@
 	return weak<<(64-strengthBits) | xxhash.Sum64String(duty+"/"+i.Name)>>strengthBits
 }
 
-// StrengthOf puts processor, in cores, on the scale of Instance.Strength.
-func StrengthOf(processor float64) int {
+// CapacityOf puts processor, in cores, on the scale of Instance.Strength.
+func CapacityOf(processor float64) int {
 	const step, middle = 1.5, 128
 	if processor <= 0 {
 		return 0
--- a/internal/coordination/routed/mesh/rank_test.go
+++ b/internal/coordination/routed/mesh/rank_test.go
@@ -12,9 +12,9 @@
 	var list []Instance
 	for n := range 20 {
 		i := instance("a", n)
-		i.Strength = StrengthOf(0.2)
+		i.Strength = CapacityOf(0.2)
 		if n%5 == 0 {
-			i.Strength = StrengthOf(0.8)
+			i.Strength = CapacityOf(0.8)
 		}
 		list = append(list, i)
 	}
@@ -27,7 +27,7 @@
 			return 1
 		})
 		for place, i := range list {
-			require.Equal(t, place < 4, i.Strength == StrengthOf(0.8), "%s at %d", i.Name, place)
+			require.Equal(t, place < 4, i.Strength == CapacityOf(0.8), "%s at %d", i.Name, place)
 		}
 		firstOf[list[0].Name] = duty
 	}
@@ -37,9 +37,9 @@
 // Strength goes in steps of half as much again, so that instances of about the same
 // processor share the duties.
 func TestStrengthGoesInCoarseSteps(t *testing.T) {
-	require.Equal(t, StrengthOf(0.7), StrengthOf(0.8))
-	require.Equal(t, StrengthOf(1)+1, StrengthOf(1.5))
-	require.Less(t, StrengthOf(0.192), StrengthOf(0.8))
-	require.Less(t, StrengthOf(1), StrengthOf(2))
-	require.Zero(t, StrengthOf(0))
+	require.Equal(t, CapacityOf(0.7), CapacityOf(0.8))
+	require.Equal(t, CapacityOf(1)+1, CapacityOf(1.5))
+	require.Less(t, CapacityOf(0.192), CapacityOf(0.8))
+	require.Less(t, CapacityOf(1), CapacityOf(2))
+	require.Zero(t, CapacityOf(0))
 }
