--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -48,8 +48,8 @@
 	StoreAge time.Duration
 }
 
-// Local is what the mesh tells of this instance and whom it tells what it hears.
-type Local interface {
+// Delegate is what the mesh tells of this instance and whom it tells what it hears.
+type Delegate interface {
 	// Versions gives what this instance has.
 	Versions() Versions
 	// Describe fills in what else this instance knows of itself.
@@ -78,7 +78,7 @@
 type Mesh struct {
 	self   Instance
 	caller protocol.Caller
-	local  Local
+	local  Delegate
 	logger log.Logger
 
 	// applying orders what is told of other instances: what one let in must be taken over
@@ -141,7 +141,7 @@
 }
 
 // Attach gives the mesh what it speaks of. It must come before Serve.
-func (m *Mesh) Attach(local Local) { m.local = local }
+func (m *Mesh) Attach(local Delegate) { m.local = local }
 
 // Self names this life of this instance.
 func (m *Mesh) Self() Instance {
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -11,12 +11,12 @@
 // local joins what instances tell each other with those who know and use it.
 type local struct{ *Daemon }
 
-// Versions implements mesh.Local.
+// Versions implements mesh.Delegate.
 func (l *local) Versions() mesh.Versions {
 	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.Mark(), RosterDigest: l.view.Digest(), StoreAge: l.view.StoreAge()}
 }
 
-// Describe implements mesh.Local.
+// Describe implements mesh.Delegate.
 func (l *local) Describe(beat *mesh.Heartbeat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
@@ -30,14 +30,14 @@
 	beat.Claims = l.runner.Claims()
 }
 
-// Newer implements mesh.Local.
+// Newer implements mesh.Delegate.
 func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
 	reply := mesh.SnapshotReply{Config: l.view.Config(args.ConfigVersion)}
 	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
 	return reply
 }
 
-// Adopt implements mesh.Local.
+// Adopt implements mesh.Delegate.
 func (l *local) Adopt(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
 		l.view.TakeConfig(reply.Config, "peer")
@@ -47,7 +47,7 @@
 	}
 }
 
-// PeerHeard implements mesh.Local.
+// PeerHeard implements mesh.Delegate.
 func (l *local) PeerHeard(beat mesh.Heartbeat, patience time.Duration) {
 	if !beat.Relayed {
 		l.view.TakeDrains(beat.Drains, "peer")
@@ -64,10 +64,10 @@
 	})
 }
 
-// PeersAlive implements mesh.Local.
+// PeersAlive implements mesh.Delegate.
 func (l *local) PeersAlive(signs []quota.Sign) { l.meter.Alive(signs) }
 
-// PeerSilent implements mesh.Local. What a silent instance has at targets is not
+// PeerSilent implements mesh.Delegate. What a silent instance has at targets is not
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
@@ -75,15 +75,15 @@
 	l.calls.Forget(i.Address)
 }
 
-// PeerGone implements mesh.Local.
+// PeerGone implements mesh.Delegate.
 func (l *local) PeerGone(name string) {
 	l.placer.SetPeer(name, nil)
 	l.broker.Gone(name)
 	l.meter.Gone(name)
 }
 
-// DomainSilent implements mesh.Local.
+// DomainSilent implements mesh.Delegate.
 func (l *local) DomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
 
-// PeerListed implements mesh.Local.
+// PeerListed implements mesh.Delegate.
 func (l *local) PeerListed(name string) { l.meter.Expect(name) }
