--- a/internal/coordination/routed/mesh/bench_test.go
+++ b/internal/coordination/routed/mesh/bench_test.go
@@ -29,7 +29,7 @@
 	for i := range 8 {
 		local.own[fmt.Sprint("organisation-", i)] = int64(i)
 	}
-	there.Attach(local)
+	there.SetDelegate(local)
 	if err := server.Register(ServiceName, there.Receiver()); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/coordination/routed/mesh/cost_test.go
+++ b/internal/coordination/routed/mesh/cost_test.go
@@ -15,7 +15,7 @@
 // largeFleet is a mesh that has heard of 90 instances, none of which is due a message.
 func largeFleet(now time.Time) *Mesh {
 	m := New(Config{Self: instance("a", 0), Logger: log.NewNopLogger()})
-	m.Attach(&told{own: quota.Counts{}, of: map[string]quota.Counts{}})
+	m.SetDelegate(&told{own: quota.Counts{}, of: map[string]quota.Counts{}})
 	for _, domain := range []string{"a", "b", "c"} {
 		for n := range 30 {
 			other := instance(domain, n+1)
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// Attach gives the mesh what it speaks of. It must come before Serve.
-func (m *Mesh) Attach(local Delegate) { m.local = local }
+// SetDelegate gives the mesh what it speaks of. It must come before Serve.
+func (m *Mesh) SetDelegate(local Delegate) { m.local = local }
 
 // Self names this life of this instance.
 func (m *Mesh) Self() Instance {
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -100,7 +100,7 @@
 			self := instance(domain, n)
 			m := New(Config{Self: self, Seeds: []string{seed}, Caller: w, Logger: log.NewNopLogger()})
 			local := &told{own: quota.Counts{}, of: map[string]quota.Counts{}}
-			m.Attach(local)
+			m.SetDelegate(local)
 			w.meshes[self.Address] = m
 			locals = append(locals, local)
 		}
--- a/internal/coordination/routed/mesh/relay_test.go
+++ b/internal/coordination/routed/mesh/relay_test.go
@@ -79,7 +79,7 @@
 	ctx, stop := context.WithCancel(c.t.Context())
 	m := New(Config{Self: self, Caller: callerAt{c, self}, Logger: log.NewNopLogger()})
 	member := &clusterMember{Mesh: m, told: &told{own: quota.Counts{}, of: map[string]quota.Counts{}}, stop: stop}
-	m.Attach(member.told)
+	m.SetDelegate(member.told)
 	c.mu.Lock()
 	c.at[self.Address] = member
 	c.mu.Unlock()
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -138,7 +138,7 @@
 	}
 	d.peers = peer.NewServer(listener, nil, d.logger)
 	d.mesh = mesh.New(mesh.Config{Self: d.self, Seeds: d.settings.Seeds, Caller: d.calls, Logger: d.logger})
-	d.mesh.Attach(&local{Daemon: d})
+	d.mesh.SetDelegate(&local{Daemon: d})
 	return nil
 }
 
