--- a/internal/coordination/routed/mesh/exchange.go
+++ b/internal/coordination/routed/mesh/exchange.go
@@ -198,7 +198,7 @@
 			ConfigVersion: versions.Config, RosterMark: versions.RosterMark, RosterDigest: versions.RosterDigest,
 			StoreAge: versions.StoreAge, Reads: !m.Follows(),
 		}
-		m.local.Describe(&m.description)
+		m.local.FillHeartbeat(&m.description)
 		m.describedAt = now
 	}
 	m.seq++
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -52,8 +52,8 @@
 type Delegate interface {
 	// Versions gives what this instance has.
 	Versions() Versions
-	// Describe fills in what else this instance knows of itself.
-	Describe(*Heartbeat)
+	// FillHeartbeat fills in what else this instance knows of itself.
+	FillHeartbeat(*Heartbeat)
 	// Newer gives what is newer here than the caller's versions.
 	Newer(SnapshotArgs) SnapshotReply
 	// Adopt takes over what another instance has that is newer.
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -59,7 +59,7 @@
 
 func (l *told) Versions() Versions { return Versions{} }
 
-func (l *told) Describe(beat *Heartbeat) {
+func (l *told) FillHeartbeat(beat *Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	beat.Admitted = maps.Clone(l.own)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -16,8 +16,8 @@
 	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.Mark(), RosterDigest: l.view.Digest(), StoreAge: l.view.StoreAge()}
 }
 
-// Describe implements mesh.Delegate.
-func (l *local) Describe(beat *mesh.Heartbeat) {
+// FillHeartbeat implements mesh.Delegate.
+func (l *local) FillHeartbeat(beat *mesh.Heartbeat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
 	beat.Held = l.placer.Held()
