--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -54,8 +54,8 @@
 	Versions() Versions
 	// FillHeartbeat fills in what else this instance knows of itself.
 	FillHeartbeat(*Heartbeat)
-	// Newer gives what is newer here than the caller's versions.
-	Newer(SnapshotArgs) SnapshotReply
+	// SnapshotSince gives what is newer here than the caller's versions.
+	SnapshotSince(SnapshotArgs) SnapshotReply
 	// Adopt takes over what another instance has that is newer.
 	Adopt(SnapshotReply)
 	// PeerHeard takes over another instance's message. After the patience without
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -65,7 +65,7 @@
 	beat.Admitted = maps.Clone(l.own)
 }
 
-func (l *told) Newer(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
+func (l *told) SnapshotSince(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
 func (l *told) Adopt(SnapshotReply)              {}
 func (l *told) PeerSilent(Instance)              {}
 func (l *told) PeerGone(string)                  {}
--- a/internal/coordination/routed/mesh/rpc.go
+++ b/internal/coordination/routed/mesh/rpc.go
@@ -22,7 +22,7 @@
 
 // Snapshot gives the caller what is newer here.
 func (r *Receiver) Snapshot(args *SnapshotArgs, reply *SnapshotReply) error {
-	*reply = r.mesh.local.Newer(*args)
+	*reply = r.mesh.local.SnapshotSince(*args)
 	r.mesh.mu.Lock()
 	defer r.mesh.mu.Unlock()
 	reply.Instances = r.mesh.view.Known()
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -30,8 +30,8 @@
 	beat.Claims = l.runner.Claims()
 }
 
-// Newer implements mesh.Delegate.
-func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
+// SnapshotSince implements mesh.Delegate.
+func (l *local) SnapshotSince(args mesh.SnapshotArgs) mesh.SnapshotReply {
 	reply := mesh.SnapshotReply{Config: l.view.Config(args.ConfigVersion)}
 	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
 	return reply
