--- a/internal/coordination/routed/mesh/catchup.go
+++ b/internal/coordination/routed/mesh/catchup.go
@@ -73,5 +73,5 @@
 	}
 	snapshots.Inc()
 	m.Listed(reply.Instances)
-	m.local.Adopt(reply)
+	m.local.ApplySnapshot(reply)
 }
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -56,8 +56,8 @@
 	FillHeartbeat(*Heartbeat)
 	// SnapshotSince gives what is newer here than the caller's versions.
 	SnapshotSince(SnapshotArgs) SnapshotReply
-	// Adopt takes over what another instance has that is newer.
-	Adopt(SnapshotReply)
+	// ApplySnapshot takes over what another instance has that is newer.
+	ApplySnapshot(SnapshotReply)
 	// PeerHeard takes over another instance's message. After the patience without
 	// a further one the instance counts as silent.
 	PeerHeard(beat Heartbeat, patience time.Duration)
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -66,7 +66,7 @@
 }
 
 func (l *told) SnapshotSince(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
-func (l *told) Adopt(SnapshotReply)              {}
+func (l *told) ApplySnapshot(SnapshotReply)              {}
 func (l *told) PeerSilent(Instance)              {}
 func (l *told) PeerGone(string)                  {}
 func (l *told) DomainSilent(string, bool)        {}
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -37,8 +37,8 @@
 	return reply
 }
 
-// Adopt implements mesh.Delegate.
-func (l *local) Adopt(reply mesh.SnapshotReply) {
+// ApplySnapshot implements mesh.Delegate.
+func (l *local) ApplySnapshot(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
 		l.view.TakeConfig(reply.Config, "peer")
 	}
