--- a/internal/coordination/routed/mesh/exchange.go
+++ b/internal/coordination/routed/mesh/exchange.go
@@ -246,7 +246,7 @@
 	patience := m.view.pace().silentAfter
 	m.mu.Unlock()
 	if fresh {
-		m.local.PeerHeard(beat, patience)
+		m.local.HeartbeatReceived(beat, patience)
 	}
 	return fresh
 }
--- a/internal/coordination/routed/mesh/intake.go
+++ b/internal/coordination/routed/mesh/intake.go
@@ -103,7 +103,7 @@
 	defer m.applying.Unlock()
 	beats, alive := m.read(relay, feed, news)
 	for i := range beats {
-		m.local.PeerHeard(beats[i], relayedSilentAfter)
+		m.local.HeartbeatReceived(beats[i], relayedSilentAfter)
 	}
 	m.local.PeersAlive(alive)
 }
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -58,9 +58,9 @@
 	SnapshotSince(SnapshotArgs) SnapshotReply
 	// ApplySnapshot takes over what another instance has that is newer.
 	ApplySnapshot(SnapshotReply)
-	// PeerHeard takes over another instance's message. After the patience without
+	// HeartbeatReceived takes over another instance's message. After the patience without
 	// a further one the instance counts as silent.
-	PeerHeard(beat Heartbeat, patience time.Duration)
+	HeartbeatReceived(beat Heartbeat, patience time.Duration)
 	// PeersAlive takes over when relays heard of other instances.
 	PeersAlive([]quota.Sign)
 	// PeerSilent tells that an instance is silent, PeerGone that its process
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -73,7 +73,7 @@
 func (l *told) PeerListed(string)                {}
 func (l *told) PeersAlive([]quota.Sign)          {}
 
-func (l *told) PeerHeard(beat Heartbeat, _ time.Duration) {
+func (l *told) HeartbeatReceived(beat Heartbeat, _ time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seen++
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// PeerHeard implements mesh.Delegate.
-func (l *local) PeerHeard(beat mesh.Heartbeat, patience time.Duration) {
+// HeartbeatReceived implements mesh.Delegate.
+func (l *local) HeartbeatReceived(beat mesh.Heartbeat, patience time.Duration) {
 	if !beat.Relayed {
 		l.view.TakeDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -29,10 +29,10 @@
 			Seq:  1, Informed: true, Whole: true, Uptime: time.Hour,
 		}
 		knows := &local{fresh}
-		knows.PeerHeard(beat, time.Second)
+		knows.HeartbeatReceived(beat, time.Second)
 		require.Nil(t, fresh.meter.Levels())
 		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.Levels{"two": -3}
-		knows.PeerHeard(beat, time.Second)
+		knows.HeartbeatReceived(beat, time.Second)
 		require.NotNil(t, fresh.meter.Levels())
 	})
 }
