--- a/internal/coordination/routed/mesh/intake.go
+++ b/internal/coordination/routed/mesh/intake.go
@@ -105,7 +105,7 @@
 	for i := range beats {
 		m.local.HeartbeatReceived(beats[i], relayedSilentAfter)
 	}
-	m.local.PeersAlive(alive)
+	m.local.PeersConfirmedAlive(alive)
 }
 
 // read enters what a relay passes on, and gives what of it is new.
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -61,8 +61,8 @@
 	// HeartbeatReceived takes over another instance's message. After the patience without
 	// a further one the instance counts as silent.
 	HeartbeatReceived(beat Heartbeat, patience time.Duration)
-	// PeersAlive takes over when relays heard of other instances.
-	PeersAlive([]quota.Sign)
+	// PeersConfirmedAlive takes over when relays heard of other instances.
+	PeersConfirmedAlive([]quota.Sign)
 	// PeerSilent tells that an instance is silent, PeerGone that its process
 	// is not there or was forgotten.
 	PeerSilent(Instance)
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -71,7 +71,7 @@
 func (l *told) PeerGone(string)                  {}
 func (l *told) DomainSilent(string, bool)        {}
 func (l *told) PeerListed(string)                {}
-func (l *told) PeersAlive([]quota.Sign)          {}
+func (l *told) PeersConfirmedAlive([]quota.Sign)          {}
 
 func (l *told) HeartbeatReceived(beat Heartbeat, _ time.Duration) {
 	l.mu.Lock()
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// PeersAlive implements mesh.Delegate.
-func (l *local) PeersAlive(signs []quota.Sign) { l.meter.Alive(signs) }
+// PeersConfirmedAlive implements mesh.Delegate.
+func (l *local) PeersConfirmedAlive(signs []quota.Sign) { l.meter.Alive(signs) }
 
 // PeerSilent implements mesh.Delegate. What a silent instance has at targets is not
 // known any more; targets tell of it themselves.
