--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -66,7 +66,7 @@
 	// PeerSilent tells that an instance is silent, PeerGone that its process
 	// is not there or was forgotten.
 	PeerSilent(Instance)
-	PeerGone(name string)
+	PeerDown(name string)
 	// DomainSilent tells whether nobody of another failure domain is heard. It is
 	// called again and again.
 	DomainSilent(domain string, silent bool)
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -68,7 +68,7 @@
 func (l *told) SnapshotSince(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
 func (l *told) ApplySnapshot(SnapshotReply)              {}
 func (l *told) PeerSilent(Instance)              {}
-func (l *told) PeerGone(string)                  {}
+func (l *told) PeerDown(string)                  {}
 func (l *told) DomainSilent(string, bool)        {}
 func (l *told) PeerListed(string)                {}
 func (l *told) PeersConfirmedAlive([]quota.Sign)          {}
--- a/internal/coordination/routed/mesh/settle.go
+++ b/internal/coordination/routed/mesh/settle.go
@@ -61,7 +61,7 @@
 	case Silent:
 		m.local.PeerSilent(p.Instance)
 	case Down:
-		m.local.PeerGone(p.Name)
+		m.local.PeerDown(p.Name)
 	case Up:
 	}
 }
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -75,8 +75,8 @@
 	l.calls.Forget(i.Address)
 }
 
-// PeerGone implements mesh.Delegate.
-func (l *local) PeerGone(name string) {
+// PeerDown implements mesh.Delegate.
+func (l *local) PeerDown(name string) {
 	l.placer.SetPeer(name, nil)
 	l.broker.Gone(name)
 	l.meter.Gone(name)
