--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -70,8 +70,8 @@
 	// DomainSilent tells whether nobody of another failure domain is heard. It is
 	// called again and again.
 	DomainSilent(domain string, silent bool)
-	// PeerListed tells that an instance exists that was not heard yet.
-	PeerListed(name string)
+	// PeerDiscovered tells that an instance exists that was not heard yet.
+	PeerDiscovered(name string)
 }
 
 // Mesh is the duty that keeps in touch.
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -70,7 +70,7 @@
 func (l *told) PeerSilent(Instance)              {}
 func (l *told) PeerDown(string)                  {}
 func (l *told) DomainSilent(string, bool)        {}
-func (l *told) PeerListed(string)                {}
+func (l *told) PeerDiscovered(string)                {}
 func (l *told) PeersConfirmedAlive([]quota.Sign)          {}
 
 func (l *told) HeartbeatReceived(beat Heartbeat, _ time.Duration) {
--- a/internal/coordination/routed/mesh/settle.go
+++ b/internal/coordination/routed/mesh/settle.go
@@ -57,7 +57,7 @@
 		"heard", p.Heard.UnixMilli(), "seq", p.Heartbeat.Seq)
 	switch p.State {
 	case Unheard:
-		m.local.PeerListed(p.Name)
+		m.local.PeerDiscovered(p.Name)
 	case Silent:
 		m.local.PeerSilent(p.Instance)
 	case Down:
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -85,5 +85,5 @@
 // DomainSilent implements mesh.Delegate.
 func (l *local) DomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
 
-// PeerListed implements mesh.Delegate.
-func (l *local) PeerListed(name string) { l.meter.Expect(name) }
+// PeerDiscovered implements mesh.Delegate.
+func (l *local) PeerDiscovered(name string) { l.meter.Expect(name) }
