--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -67,9 +67,9 @@
 	// is not there or was forgotten.
 	PeerSilent(Instance)
 	PeerDown(name string)
-	// DomainSilent tells whether nobody of another failure domain is heard. It is
+	// SetDomainSilent tells whether nobody of another failure domain is heard. It is
 	// called again and again.
-	DomainSilent(domain string, silent bool)
+	SetDomainSilent(domain string, silent bool)
 	// PeerDiscovered tells that an instance exists that was not heard yet.
 	PeerDiscovered(name string)
 }
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -69,7 +69,7 @@
 func (l *told) ApplySnapshot(SnapshotReply)              {}
 func (l *told) PeerSilent(Instance)              {}
 func (l *told) PeerDown(string)                  {}
-func (l *told) DomainSilent(string, bool)        {}
+func (l *told) SetDomainSilent(string, bool)        {}
 func (l *told) PeerDiscovered(string)                {}
 func (l *told) PeersConfirmedAlive([]quota.Sign)          {}
 
--- a/internal/coordination/routed/mesh/settle.go
+++ b/internal/coordination/routed/mesh/settle.go
@@ -49,7 +49,7 @@
 		m.silent[domain] = silent
 		_ = level.Info(m.logger).Log("event", "domain_silent", "domain", domain, "silent", silent)
 	}
-	m.local.DomainSilent(domain, silent)
+	m.local.SetDomainSilent(domain, silent)
 }
 
 func (m *Mesh) changed(p Peer) {
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -82,8 +82,8 @@
 	l.meter.Gone(name)
 }
 
-// DomainSilent implements mesh.Delegate.
-func (l *local) DomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
+// SetDomainSilent implements mesh.Delegate.
+func (l *local) SetDomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
 
 // PeerDiscovered implements mesh.Delegate.
 func (l *local) PeerDiscovered(name string) { l.meter.Expect(name) }
