--- a/internal/coordination/routed/mesh/catchup.go
+++ b/internal/coordination/routed/mesh/catchup.go
@@ -72,6 +72,6 @@
 		return
 	}
 	snapshots.Inc()
-	m.Listed(reply.Instances)
+	m.AddInstances(reply.Instances)
 	m.local.ApplySnapshot(reply)
 }
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -157,9 +157,9 @@
 	m.seeds = addresses
 }
 
-// Listed makes instances known that the platform's store or another instance
+// AddInstances makes instances known that the platform's store or another instance
 // names.
-func (m *Mesh) Listed(list []Instance) {
+func (m *Mesh) AddInstances(list []Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.Listed(time.Now(), list)
--- a/internal/coordination/routed/mesh/relay_test.go
+++ b/internal/coordination/routed/mesh/relay_test.go
@@ -87,7 +87,7 @@
 	for _, other := range c.members {
 		list = append(list, other.Self())
 	}
-	m.Listed(list)
+	m.AddInstances(list)
 	c.members = append(c.members, member)
 	go func() { _ = m.Serve(ctx) }()
 	return member
--- a/internal/daemon/routed/registration.go
+++ b/internal/daemon/routed/registration.go
@@ -72,7 +72,7 @@
 	}
 	d.view.StoreAnswered()
 	list := r.decode(page)
-	d.mesh.Listed(list)
+	d.mesh.AddInstances(list)
 	r.rounds++
 	listed := map[string]int64{}
 	for _, i := range list {
