--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -165,8 +165,8 @@
 	m.view.Listed(time.Now(), list)
 }
 
-// Lost gives instances that are not there any more, as far as can be told.
-func (m *Mesh) Lost() []Instance {
+// PresumedDead gives instances that are not there any more, as far as can be told.
+func (m *Mesh) PresumedDead() []Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Lost(time.Now(), ForgetAfter/2)
--- a/internal/daemon/routed/registration.go
+++ b/internal/daemon/routed/registration.go
@@ -101,7 +101,7 @@
 // good, and each instance that starts leaves them a part of the rates.
 func (r *registration) remove(ctx context.Context, listed map[string]int64) error {
 	var records []external.KeyedRecord
-	for _, i := range r.daemon.mesh.Lost() {
+	for _, i := range r.daemon.mesh.PresumedDead() {
 		if start, ok := listed[i.Name]; ok && start == i.Start {
 			records = append(records, external.KeyedRecord{Key: i.Name})
 		}
