--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -194,8 +194,8 @@
 	return m.view.Alive(time.Now(), domain)
 }
 
-// CutOff says that nobody of another failure domain is heard any more.
-func (m *Mesh) CutOff() bool {
+// Isolated says that nobody of another failure domain is heard any more.
+func (m *Mesh) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.CutOff(time.Now())
--- a/internal/coordination/routed/mesh/relay_test.go
+++ b/internal/coordination/routed/mesh/relay_test.go
@@ -252,7 +252,7 @@
 		c.setCut(func(from, to Instance) bool { return (from.Domain == "a") != (to.Domain == "a") })
 		pass(time.Second)
 		for _, m := range c.members {
-			require.Equal(t, m.Self().Domain == "a", m.CutOff(), m.Self().Name)
+			require.Equal(t, m.Self().Domain == "a", m.Isolated(), m.Self().Name)
 		}
 		pass(1500 * time.Millisecond)
 		for _, m := range c.members {
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -100,7 +100,7 @@
 	d.joinBroker()
 	d.joinJobs()
 	d.isolation = &isolation{
-		cutOff: d.mesh.CutOff, storeAge: d.view.StoreAge, logger: d.logger,
+		cutOff: d.mesh.Isolated, storeAge: d.view.StoreAge, logger: d.logger,
 		takesJobs: func() bool {
 			table := d.view.Table()
 			return table != nil && table.TakesJobs()
