--- a/internal/coordination/routed/mesh/exchange.go
+++ b/internal/coordination/routed/mesh/exchange.go
@@ -196,7 +196,7 @@
 		m.description = Heartbeat{
 			From: m.Self(), Uptime: now.Sub(m.began), Young: now.Sub(m.began) < youngFor,
 			ConfigVersion: versions.Config, RosterMark: versions.RosterMark, RosterDigest: versions.RosterDigest,
-			StoreAge: versions.StoreAge, Reads: !m.Follows(),
+			StoreAge: versions.StoreAge, Reads: !m.GetsTargetListFromRelay(),
 		}
 		m.local.FillHeartbeat(&m.description)
 		m.describedAt = now
--- a/internal/coordination/routed/mesh/partners.go
+++ b/internal/coordination/routed/mesh/partners.go
@@ -121,13 +121,13 @@
 	return out
 }
 
-// Follows says that this instance learns through relays what the store's list of targets
+// GetsTargetListFromRelay says that this instance learns through relays what the store's list of targets
 // holds: it is no relay itself, and one of its relays answered it a moment ago, reads the
 // list and is answered by the store.
 //
 // The load it answers: each target renews its entry about once a second. With hundreds of
 // instances that each read all of it, every renewal is sent and decoded hundreds of times.
-func (m *Mesh) Follows() bool {
+func (m *Mesh) GetsTargetListFromRelay() bool {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		Follows: func() bool { return d.mesh.Follows() && !d.slots.First() },
+		Follows: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.slots.First() },
 	})
 }
 
--- a/internal/daemon/routed/follow_test.go
+++ b/internal/daemon/routed/follow_test.go
@@ -29,7 +29,7 @@
 
 func (w *world) followers() (found []*node) {
 	for _, n := range w.nodes {
-		if n.daemon.mesh.Follows() {
+		if n.daemon.mesh.GetsTargetListFromRelay() {
 			found = append(found, n)
 		}
 	}
