--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -47,9 +47,9 @@
 type Peers interface {
 	// Up gives the instances of a failure domain that are heard and do not leave.
 	Up(domain string) []mesh.Instance
-	// Alive counts the instances of a failure domain whose processes are not known to be
+	// CountNotDown counts the instances of a failure domain whose processes are not known to be
 	// gone.
-	Alive(domain string) int
+	CountNotDown(domain string) int
 }
 
 // ClientOptions make a Client.
--- a/internal/coordination/routed/broker/telling.go
+++ b/internal/coordination/routed/broker/telling.go
@@ -79,7 +79,7 @@
 		return false
 	}
 	own := c.opts.Self.Domain
-	heard, others := len(c.opts.Peers.Up(own)), c.opts.Peers.Alive(own)
+	heard, others := len(c.opts.Peers.Up(own)), c.opts.Peers.CountNotDown(own)
 	return 2*(heard+1) > others+1
 }
 
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -188,7 +188,7 @@
 
 // Alive counts the other instances of a failure domain whose processes are not known to be
 // gone, heard or not.
-func (m *Mesh) Alive(domain string) int {
+func (m *Mesh) CountNotDown(domain string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Alive(time.Now(), domain)
