--- a/internal/coordination/routed/batchjobs/desk.go
+++ b/internal/coordination/routed/batchjobs/desk.go
@@ -57,7 +57,7 @@
 
 // ask calls the holder of a partition.
 func (d *Desk) ask(ctx context.Context, number int, method string, args, reply any) bool {
-	holder, ok := d.opts.Peers.Holder(number)
+	holder, ok := d.opts.Peers.OwnerOf(number)
 	if !ok {
 		return false
 	}
@@ -131,7 +131,7 @@
 }
 
 func (d *Desk) askResults(ctx context.Context, number int, call ResultsCall) (ResultsReply, bool) {
-	holder, ok := d.opts.Peers.Holder(number)
+	holder, ok := d.opts.Peers.OwnerOf(number)
 	if !ok {
 		return ResultsReply{}, false
 	}
--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -82,7 +82,7 @@
 }
 
 func (r *Runner) callHolder(ctx context.Context, number int, method string, args any) bool {
-	holder, ok := r.opts.Peers.Holder(number)
+	holder, ok := r.opts.Peers.OwnerOf(number)
 	if !ok {
 		return false
 	}
--- a/internal/coordination/routed/batchjobs/holding_test.go
+++ b/internal/coordination/routed/batchjobs/holding_test.go
@@ -51,7 +51,7 @@
 type nobody struct{}
 
 func (nobody) Peers() []mesh.Peer           { return nil }
-func (nobody) Holder(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
+func (nobody) OwnerOf(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
 func (nobody) Claimed() []mesh.Claim        { return nil }
 
 // hold begins to hold the partition.
--- a/internal/coordination/routed/batchjobs/keeper.go
+++ b/internal/coordination/routed/batchjobs/keeper.go
@@ -113,7 +113,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for number := range k.held {
-		if other, ok := k.opts.Peers.Holder(number); ok && other.Heartbeat.Generation > k.generation {
+		if other, ok := k.opts.Peers.OwnerOf(number); ok && other.Heartbeat.Generation > k.generation {
 			_ = level.Info(k.opts.Logger).Log("event", "jobs_given_way", "partition", number, "holder", other.Name,
 				"generation", other.Heartbeat.Generation, "own", k.generation)
 			k.end(number)
--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -19,7 +19,7 @@
 // Peers are the other instances.
 type Peers interface {
 	Peers() []mesh.Peer
-	Holder(partition int) (mesh.Peer, bool)
+	OwnerOf(partition int) (mesh.Peer, bool)
 	// Claimed are the items that instances which are heard run for others.
 	Claimed() []mesh.Claim
 }
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -209,7 +209,7 @@
 }
 
 // Holder gives the instance that holds a partition, as far as it is known.
-func (m *Mesh) Holder(partition int) (Peer, bool) {
+func (m *Mesh) OwnerOf(partition int) (Peer, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Holder(time.Now(), partition)
