--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -32,7 +32,7 @@
 	}
 	r.claimedAt = now
 	r.claimed = map[itemID]bool{}
-	for _, c := range r.opts.Peers.Claimed() {
+	for _, c := range r.opts.Peers.Claims() {
 		r.claimed[itemID{c.Job, c.Item}] = true
 	}
 }
--- a/internal/coordination/routed/batchjobs/holding_test.go
+++ b/internal/coordination/routed/batchjobs/holding_test.go
@@ -52,7 +52,7 @@
 
 func (nobody) Peers() []mesh.Peer           { return nil }
 func (nobody) OwnerOf(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
-func (nobody) Claimed() []mesh.Claim        { return nil }
+func (nobody) Claims() []mesh.Claim        { return nil }
 
 // hold begins to hold the partition.
 func (p *place) hold() *holding {
--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -20,8 +20,8 @@
 type Peers interface {
 	Peers() []mesh.Peer
 	OwnerOf(partition int) (mesh.Peer, bool)
-	// Claimed are the items that instances which are heard run for others.
-	Claimed() []mesh.Claim
+	// Claims are the items that instances which are heard run for others.
+	Claims() []mesh.Claim
 }
 
 // Placer chooses targets.
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -202,7 +202,7 @@
 }
 
 // Claimed gives the batch items that instances which are heard run for others.
-func (m *Mesh) Claimed() []Claim {
+func (m *Mesh) Claims() []Claim {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Claims(time.Now())
