--- a/internal/coordination/routed/batchjobs/holding_test.go
+++ b/internal/coordination/routed/batchjobs/holding_test.go
@@ -50,9 +50,9 @@
 // nobody is a fleet without other instances.
 type nobody struct{}
 
-func (nobody) Peers() []mesh.Peer           { return nil }
+func (nobody) Peers() []mesh.Peer            { return nil }
 func (nobody) OwnerOf(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
-func (nobody) Claims() []mesh.Claim        { return nil }
+func (nobody) Claims() []mesh.Claim          { return nil }
 
 // hold begins to hold the partition.
 func (p *place) hold() *holding {
--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -155,7 +155,7 @@
 }
 
 func (c *crowd) Up(string) []mesh.Instance { return c.up }
-func (c *crowd) CountNotDown(string) int          { return c.alive }
+func (c *crowd) CountNotDown(string) int   { return c.alive }
 
 // Guards against two instances that each take themselves for the only broker of a domain
 // whose instances are cut off from each other.
