--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -14,15 +14,15 @@
 	"merlintiller/internal/state/route"
 )
 
-// Meter is a Ledger that many goroutines use.
-type Meter struct {
+// Limiter is a Ledger that many goroutines use.
+type Limiter struct {
 	mu     sync.Mutex
 	ledger *Ledger
 }
 
 // NewMeter returns a meter of an instance that starts now.
-func NewMeter() *Meter {
-	m := &Meter{ledger: New(time.Now())}
+func NewMeter() *Limiter {
+	m := &Limiter{ledger: New(time.Now())}
 	metrics.RegisterMetricsWriter(m.writeLevels)
 	return m
 }
@@ -32,7 +32,7 @@
 
 // writeLevels writes what is left of the rates of organisations whose buckets are
 // not full.
-func (m *Meter) writeLevels(w io.Writer) {
+func (m *Limiter) writeLevels(w io.Writer) {
 	levels := m.Levels()
 	names := slices.SortedFunc(maps.Keys(levels), func(a, b string) int {
 		return cmp.Or(cmp.Compare(levels[a], levels[b]), cmp.Compare(a, b))
@@ -43,7 +43,7 @@
 }
 
 // SetOrganisations takes over the limits of a configuration.
-func (m *Meter) SetOrganisations(list []route.Organisation) {
+func (m *Limiter) SetOrganisations(list []route.Organisation) {
 	limits := make(map[string]Limit, len(list))
 	for i := range list {
 		limits[list[i].Name] = Limit{Rate: list[i].Rate, Burst: list[i].Burst}
@@ -54,56 +54,56 @@
 }
 
 // Admit lets a request in, or says how long it takes until one more may come.
-func (m *Meter) Admit(org string) Decision {
+func (m *Limiter) Admit(org string) Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Admit(time.Now(), org)
 }
 
 // GiveBack returns the token of a request that did not run.
-func (m *Meter) GiveBack(org string) {
+func (m *Limiter) GiveBack(org string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.GiveBack(org)
 }
 
 // Own gives what this instance let in since its start.
-func (m *Meter) Own() Counts {
+func (m *Limiter) Own() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Own()
 }
 
 // Heard takes over what another instance tells.
-func (m *Meter) Heard(r Report) {
+func (m *Limiter) Heard(r Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.Heard(time.Now(), r)
 }
 
 // Alive takes over signs of instances that told nothing new.
-func (m *Meter) Alive(signs []Sign) {
+func (m *Limiter) Alive(signs []Sign) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.Alive(time.Now(), signs)
 }
 
 // Levels gives the buckets that are not full, nil if they are not known.
-func (m *Meter) Levels() Levels {
+func (m *Limiter) Levels() Levels {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Levels(time.Now())
 }
 
 // Expect makes an instance known that was not heard yet.
-func (m *Meter) Expect(name string) {
+func (m *Limiter) Expect(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.Expect(time.Now(), name)
 }
 
 // Gone notes that an instance can let nothing in any more.
-func (m *Meter) Gone(name string) {
+func (m *Limiter) Gone(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.Gone(name)
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -54,7 +54,7 @@
 	placer  *placement.Placer
 	broker  *broker.Broker
 	slots   *broker.Client
-	meter   *quota.Meter
+	meter   *quota.Limiter
 	mesh    *mesh.Mesh
 	peers   *peer.Server
 	calls   *peer.Client
