--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -20,8 +20,8 @@
 	ledger *Ledger
 }
 
-// NewMeter returns a meter of an instance that starts now.
-func NewMeter() *Limiter {
+// NewLimiter returns a meter of an instance that starts now.
+func NewLimiter() *Limiter {
 	m := &Limiter{ledger: New(time.Now())}
 	metrics.RegisterMetricsWriter(m.writeLevels)
 	return m
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -90,7 +90,7 @@
 		}),
 		calls: peer.NewClientOn(network),
 	}
-	d.meter = quota.NewMeter()
+	d.meter = quota.NewLimiter()
 	d.killed, d.kill = context.WithCancel(context.Background())
 	d.placer = placement.NewPlacer(d.self.Domain, d.targets.Connected, xxhash.Sum64String(d.self.Name))
 	d.joinView()
