--- a/internal/coordination/routed/mesh/beat.go
+++ b/internal/coordination/routed/mesh/beat.go
@@ -52,7 +52,7 @@
 	// Levels are the buckets that are not full, if TellsLevels: an empty map is lost on the
 	// way. An instance that is informed itself is not told them.
 	TellsLevels bool
-	Levels      quota.Levels
+	Levels      quota.BucketLevels
 	// Partitions are those of batch jobs that it holds, as of a generation.
 	Partitions []int
 	Generation int64
--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -89,7 +89,7 @@
 }
 
 // Levels gives the buckets that are not full, nil if they are not known.
-func (m *Limiter) Levels() Levels {
+func (m *Limiter) Levels() BucketLevels {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Levels(time.Now())
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -56,8 +56,8 @@
 // those that were given back.
 type Counts map[string]int64
 
-// Levels are the buckets that are not full. Nil says that they are not known.
-type Levels map[string]float64
+// BucketLevels are the buckets that are not full. Nil says that they are not known.
+type BucketLevels map[string]float64
 
 // Ledger keeps the buckets. It is pure and not safe for concurrent use.
 type Ledger struct {
@@ -137,7 +137,7 @@
 	Uptime time.Duration
 	// Informed says that it knows the buckets, Levels are those, nil if they are not told.
 	Informed bool
-	Levels   Levels
+	Levels   BucketLevels
 	// Patience is the silence after which its part is left to it.
 	Patience time.Duration
 }
@@ -228,7 +228,7 @@
 }
 
 // inform takes the buckets over, once, and not before it is known whose there are.
-func (l *Ledger) inform(now time.Time, levels Levels) {
+func (l *Ledger) inform(now time.Time, levels BucketLevels) {
 	if l.informed || levels == nil || len(l.limits) == 0 {
 		return
 	}
@@ -244,12 +244,12 @@
 }
 
 // Levels gives the buckets that are not full, nil if they are not known.
-func (l *Ledger) Levels(now time.Time) Levels {
+func (l *Ledger) Levels(now time.Time) BucketLevels {
 	l.now = now
 	if !l.knows(now) {
 		return nil
 	}
-	levels := Levels{}
+	levels := BucketLevels{}
 	parts := l.parts(now)
 	for org, a := range l.accounts {
 		l.refill(now, org, parts)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -53,9 +53,9 @@
 		l.view.TakeDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
 	}
-	var levels quota.Levels
+	var levels quota.BucketLevels
 	if beat.TellsLevels {
-		levels = quota.Levels{}
+		levels = quota.BucketLevels{}
 		maps.Copy(levels, beat.Levels)
 	}
 	l.meter.Heard(quota.Report{
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -31,7 +31,7 @@
 		knows := &local{fresh}
 		knows.HeartbeatReceived(beat, time.Second)
 		require.Nil(t, fresh.meter.Levels())
-		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.Levels{"two": -3}
+		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.BucketLevels{"two": -3}
 		knows.HeartbeatReceived(beat, time.Second)
 		require.NotNil(t, fresh.meter.Levels())
 	})
