--- a/internal/coordination/routed/mesh/intake.go
+++ b/internal/coordination/routed/mesh/intake.go
@@ -109,7 +109,7 @@
 }
 
 // read enters what a relay passes on, and gives what of it is new.
-func (m *Mesh) read(relay string, feed *Feed, news []News) (beats []Heartbeat, alive []quota.Sign) {
+func (m *Mesh) read(relay string, feed *Feed, news []News) (beats []Heartbeat, alive []quota.Liveness) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 	in.next = feed.Next
 	beats = make([]Heartbeat, 0, len(news))
-	alive = make([]quota.Sign, 0, len(feed.Ages))
+	alive = make([]quota.Liveness, 0, len(feed.Ages))
 	for i := range news {
 		from, known := in.introduce(&news[i])
 		if !known {
@@ -136,7 +136,7 @@
 		}
 		at := now.Add(-time.Duration(age) * ageStep)
 		if from := in.instances[i]; m.view.Vouch(at, from) {
-			alive = append(alive, quota.Sign{Instance: from.Name, Start: from.Start, At: at})
+			alive = append(alive, quota.Liveness{Instance: from.Name, Start: from.Start, At: at})
 		}
 	}
 	return beats, alive
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -62,7 +62,7 @@
 	// a further one the instance counts as silent.
 	HeartbeatReceived(beat Heartbeat, patience time.Duration)
 	// PeersConfirmedAlive takes over when relays heard of other instances.
-	PeersConfirmedAlive([]quota.Sign)
+	PeersConfirmedAlive([]quota.Liveness)
 	// PeerSilent tells that an instance is silent, PeerGone that its process
 	// is not there or was forgotten.
 	PeerSilent(Instance)
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -71,7 +71,7 @@
 func (l *told) PeerDown(string)                  {}
 func (l *told) SetDomainSilent(string, bool)        {}
 func (l *told) PeerDiscovered(string)                {}
-func (l *told) PeersConfirmedAlive([]quota.Sign)          {}
+func (l *told) PeersConfirmedAlive([]quota.Liveness)          {}
 
 func (l *told) HeartbeatReceived(beat Heartbeat, _ time.Duration) {
 	l.mu.Lock()
--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -82,7 +82,7 @@
 }
 
 // Alive takes over signs of instances that told nothing new.
-func (m *Limiter) Alive(signs []Sign) {
+func (m *Limiter) Alive(signs []Liveness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ledger.Alive(time.Now(), signs)
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -204,8 +204,8 @@
 	return p
 }
 
-// Sign says when an instance was heard of by another one.
-type Sign struct {
+// Liveness says when an instance was heard of by another one.
+type Liveness struct {
 	Instance string
 	// Start tells its lives apart.
 	Start int64
@@ -213,7 +213,7 @@
 }
 
 // Alive takes over signs of instances that told nothing new.
-func (l *Ledger) Alive(now time.Time, signs []Sign) {
+func (l *Ledger) Alive(now time.Time, signs []Liveness) {
 	l.now = now
 	for _, s := range signs {
 		p := l.peers[s.Instance]
