--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -132,7 +132,7 @@
 	// Counts are what it let in since its start: all if Whole, else those that
 	// changed.
 	Counts Counts
-	Whole  bool
+	Full  bool
 	// Uptime is the time since its start.
 	Uptime time.Duration
 	// Informed says that it knows the buckets, Levels are those, nil if they are not told.
@@ -192,7 +192,7 @@
 	}
 	// It has been there for longer. What it let in before counts in the buckets
 	// that are taken over.
-	if r.Whole {
+	if r.Full {
 		p.met = true
 		p.counts = maps.Clone(r.Counts)
 		if p.counts == nil {
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -61,7 +61,7 @@
 		for _, to := range f.members {
 			if from != to && from.side == to.side {
 				to.Heard(f.now, Report{
-					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.Own(), Whole: true,
+					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.Own(), Full: true,
 					Informed: from.Levels(f.now) != nil, Levels: from.Levels(f.now), Patience: silentAfter,
 				})
 			}
@@ -257,7 +257,7 @@
 	l.Expect(start, "old")
 	report := func(counts Counts, whole bool) {
 		l.Heard(start, Report{
-			Instance: "old", Start: 1, Uptime: time.Hour, Counts: counts, Whole: whole,
+			Instance: "old", Start: 1, Uptime: time.Hour, Counts: counts, Full: whole,
 			Informed: true, Levels: BucketLevels{}, Patience: silentAfter,
 		})
 	}
@@ -301,7 +301,7 @@
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	l.Heard(start, Report{
 		Instance: "ahead", Start: start.Add(time.Minute).UnixMilli(), Uptime: time.Hour,
-		Counts: Counts{"o": 30_000}, Whole: true, Informed: true, Levels: BucketLevels{}, Patience: silentAfter,
+		Counts: Counts{"o": 30_000}, Full: true, Informed: true, Levels: BucketLevels{}, Patience: silentAfter,
 	})
 	require.True(t, l.Admit(start, "o").Admitted)
 }
@@ -311,7 +311,7 @@
 func TestInstanceThatOthersVouchForIsNotSilent(t *testing.T) {
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	l.Heard(start, Report{Instance: "far", Start: 1, Informed: true, Levels: BucketLevels{}, Whole: true, Patience: silentAfter})
+	l.Heard(start, Report{Instance: "far", Start: 1, Informed: true, Levels: BucketLevels{}, Full: true, Patience: silentAfter})
 	now := start
 	for range 10 {
 		now = now.Add(silentAfter)
@@ -334,7 +334,7 @@
 	report := func(count int64) {
 		for i := range peers {
 			l.Heard(now, Report{
-				Instance: fmt.Sprint("n", i), Start: 1, Counts: Counts{"o": count}, Whole: true,
+				Instance: fmt.Sprint("n", i), Start: 1, Counts: Counts{"o": count}, Full: true,
 				Informed: true, Levels: BucketLevels{}, Patience: patience,
 			})
 		}
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -59,7 +59,7 @@
 		maps.Copy(levels, beat.Levels)
 	}
 	l.meter.Heard(quota.Report{
-		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Whole: beat.Whole,
+		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Full: beat.Whole,
 		Informed: beat.Informed, Levels: levels, Patience: patience,
 	})
 }
