--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -135,8 +135,8 @@
 	Full  bool
 	// Uptime is the time since its start.
 	Uptime time.Duration
-	// Informed says that it knows the buckets, Levels are those, nil if they are not told.
-	Informed bool
+	// HasQuotaState says that it knows the buckets, Levels are those, nil if they are not told.
+	HasQuotaState bool
 	Levels   BucketLevels
 	// Patience is the silence after which its part is left to it.
 	Patience time.Duration
@@ -152,7 +152,7 @@
 	if p.met && len(r.Counts) > 0 {
 		l.take(now, p, r.Counts)
 	}
-	p.heard, p.informed, p.patience = now, r.Informed, r.Patience
+	p.heard, p.informed, p.patience = now, r.HasQuotaState, r.Patience
 	l.inform(now, r.Levels)
 }
 
