--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -138,8 +138,8 @@
 	// HasQuotaState says that it knows the buckets, Levels are those, nil if they are not told.
 	HasQuotaState bool
 	Levels   BucketLevels
-	// Patience is the silence after which its part is left to it.
-	Patience time.Duration
+	// SilenceTimeout is the silence after which its part is left to it.
+	SilenceTimeout time.Duration
 }
 
 // Heard takes over what another instance tells.
@@ -152,7 +152,7 @@
 	if p.met && len(r.Counts) > 0 {
 		l.take(now, p, r.Counts)
 	}
-	p.heard, p.informed, p.patience = now, r.HasQuotaState, r.Patience
+	p.heard, p.informed, p.patience = now, r.HasQuotaState, r.SilenceTimeout
 	l.inform(now, r.Levels)
 }
 
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -62,7 +62,7 @@
 			if from != to && from.side == to.side {
 				to.Heard(f.now, Report{
 					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.Own(), Full: true,
-					HasQuotaState: from.Levels(f.now) != nil, Levels: from.Levels(f.now), Patience: silentAfter,
+					HasQuotaState: from.Levels(f.now) != nil, Levels: from.Levels(f.now), SilenceTimeout: silentAfter,
 				})
 			}
 		}
@@ -258,7 +258,7 @@
 	report := func(counts Counts, whole bool) {
 		l.Heard(start, Report{
 			Instance: "old", Start: 1, Uptime: time.Hour, Counts: counts, Full: whole,
-			HasQuotaState: true, Levels: BucketLevels{}, Patience: silentAfter,
+			HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: silentAfter,
 		})
 	}
 	report(Counts{}, false)
@@ -301,7 +301,7 @@
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	l.Heard(start, Report{
 		Instance: "ahead", Start: start.Add(time.Minute).UnixMilli(), Uptime: time.Hour,
-		Counts: Counts{"o": 30_000}, Full: true, HasQuotaState: true, Levels: BucketLevels{}, Patience: silentAfter,
+		Counts: Counts{"o": 30_000}, Full: true, HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: silentAfter,
 	})
 	require.True(t, l.Admit(start, "o").Admitted)
 }
@@ -311,7 +311,7 @@
 func TestInstanceThatOthersVouchForIsNotSilent(t *testing.T) {
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	l.Heard(start, Report{Instance: "far", Start: 1, HasQuotaState: true, Levels: BucketLevels{}, Full: true, Patience: silentAfter})
+	l.Heard(start, Report{Instance: "far", Start: 1, HasQuotaState: true, Levels: BucketLevels{}, Full: true, SilenceTimeout: silentAfter})
 	now := start
 	for range 10 {
 		now = now.Add(silentAfter)
@@ -335,7 +335,7 @@
 		for i := range peers {
 			l.Heard(now, Report{
 				Instance: fmt.Sprint("n", i), Start: 1, Counts: Counts{"o": count}, Full: true,
-				HasQuotaState: true, Levels: BucketLevels{}, Patience: patience,
+				HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: patience,
 			})
 		}
 	}
--- a/internal/coordination/routed/quota/relayed_test.go
+++ b/internal/coordination/routed/quota/relayed_test.go
@@ -38,7 +38,7 @@
 		levels := from.Levels(r.now)
 		r.onWay = append(r.onWay, told{at: r.now, from: from, side: from.side, report: Report{
 			Instance: from.name, Start: from.start, Counts: from.Own(), Full: true,
-			HasQuotaState: levels != nil, Levels: levels, Patience: r.patience,
+			HasQuotaState: levels != nil, Levels: levels, SilenceTimeout: r.patience,
 		}})
 	}
 	for len(r.onWay) > 0 && !r.now.Before(r.onWay[0].at.Add(r.lag)) {
@@ -180,7 +180,7 @@
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	require.Nil(t, l.Levels(start))
-	l.Heard(start, Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, Patience: silentAfter})
+	l.Heard(start, Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter})
 	require.InDelta(t, -4, l.Levels(start)["o"], 0.01)
 	alone := New(start)
 	require.NotNil(t, alone.Levels(start.Add(aloneAfter+1)))
@@ -190,7 +190,7 @@
 // are, forgets them, and takes all rates for unused.
 func TestBucketsAreTakenOverOnceTheLimitsAreKnown(t *testing.T) {
 	l := New(start)
-	report := Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, Patience: silentAfter}
+	report := Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter}
 	l.Heard(start, report)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	require.Nil(t, l.Levels(start))
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -60,7 +60,7 @@
 	}
 	l.meter.Heard(quota.Report{
 		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Full: beat.Whole,
-		HasQuotaState: beat.Informed, Levels: levels, Patience: patience,
+		HasQuotaState: beat.Informed, Levels: levels, SilenceTimeout: patience,
 	})
 }
 
