--- a/internal/coordination/routed/quota/bench_test.go
+++ b/internal/coordination/routed/quota/bench_test.go
@@ -19,7 +19,7 @@
 	l := New(now)
 	l.SetLimits(now, limits)
 	report := func(i int, counts Counts) {
-		l.Heard(now, Report{Instance: fmt.Sprint("n", i), Start: 2, Counts: counts, Full: true, HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: time.Second})
+		l.ApplyReport(now, Report{Instance: fmt.Sprint("n", i), Start: 2, Counts: counts, Full: true, HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: time.Second})
 	}
 	for i := range instances {
 		report(i, Counts{})
--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -74,11 +74,11 @@
 	return m.ledger.Own()
 }
 
-// Heard takes over what another instance tells.
-func (m *Limiter) Heard(r Report) {
+// ApplyReport takes over what another instance tells.
+func (m *Limiter) ApplyReport(r Report) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ledger.Heard(time.Now(), r)
+	m.ledger.ApplyReport(time.Now(), r)
 }
 
 // Alive takes over signs of instances that told nothing new.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -142,8 +142,8 @@
 	SilenceTimeout time.Duration
 }
 
-// Heard takes over what another instance tells.
-func (l *Ledger) Heard(now time.Time, r Report) {
+// ApplyReport takes over what another instance tells.
+func (l *Ledger) ApplyReport(now time.Time, r Report) {
 	l.now = now
 	p := l.peers[r.Instance]
 	if p == nil || p.start != r.Start || p.gone {
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -60,7 +60,7 @@
 	for _, from := range f.members {
 		for _, to := range f.members {
 			if from != to && from.side == to.side {
-				to.Heard(f.now, Report{
+				to.ApplyReport(f.now, Report{
 					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.Own(), Full: true,
 					HasQuotaState: from.Levels(f.now) != nil, Levels: from.Levels(f.now), SilenceTimeout: silentAfter,
 				})
@@ -256,7 +256,7 @@
 	l.SetLimits(start, map[string]Limit{org: {Rate: 10, Burst: 10}})
 	l.Expect(start, "old")
 	report := func(counts Counts, whole bool) {
-		l.Heard(start, Report{
+		l.ApplyReport(start, Report{
 			Instance: "old", Start: 1, Uptime: time.Hour, Counts: counts, Full: whole,
 			HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: silentAfter,
 		})
@@ -299,7 +299,7 @@
 func TestClockAheadDoesNotMakeOldRequestsNews(t *testing.T) {
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	l.Heard(start, Report{
+	l.ApplyReport(start, Report{
 		Instance: "ahead", Start: start.Add(time.Minute).UnixMilli(), Uptime: time.Hour,
 		Counts: Counts{"o": 30_000}, Full: true, HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: silentAfter,
 	})
@@ -311,7 +311,7 @@
 func TestInstanceThatOthersVouchForIsNotSilent(t *testing.T) {
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	l.Heard(start, Report{Instance: "far", Start: 1, HasQuotaState: true, Levels: BucketLevels{}, Full: true, SilenceTimeout: silentAfter})
+	l.ApplyReport(start, Report{Instance: "far", Start: 1, HasQuotaState: true, Levels: BucketLevels{}, Full: true, SilenceTimeout: silentAfter})
 	now := start
 	for range 10 {
 		now = now.Add(silentAfter)
@@ -333,7 +333,7 @@
 	l.SetLimits(now, map[string]Limit{"o": limit})
 	report := func(count int64) {
 		for i := range peers {
-			l.Heard(now, Report{
+			l.ApplyReport(now, Report{
 				Instance: fmt.Sprint("n", i), Start: 1, Counts: Counts{"o": count}, Full: true,
 				HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: patience,
 			})
--- a/internal/coordination/routed/quota/relayed_test.go
+++ b/internal/coordination/routed/quota/relayed_test.go
@@ -50,7 +50,7 @@
 			}
 			// Relays tell the uptime as of now.
 			m.report.Uptime = r.now.Sub(m.from.began)
-			to.Heard(r.now, m.report)
+			to.ApplyReport(r.now, m.report)
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	require.Nil(t, l.Levels(start))
-	l.Heard(start, Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter})
+	l.ApplyReport(start, Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter})
 	require.InDelta(t, -4, l.Levels(start)["o"], 0.01)
 	alone := New(start)
 	require.NotNil(t, alone.Levels(start.Add(aloneAfter+1)))
@@ -191,9 +191,9 @@
 func TestBucketsAreTakenOverOnceTheLimitsAreKnown(t *testing.T) {
 	l := New(start)
 	report := Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter}
-	l.Heard(start, report)
+	l.ApplyReport(start, report)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
 	require.Nil(t, l.Levels(start))
-	l.Heard(start, report)
+	l.ApplyReport(start, report)
 	require.InDelta(t, -4, l.Levels(start)["o"], 0.01)
 }
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -58,7 +58,7 @@
 		levels = quota.BucketLevels{}
 		maps.Copy(levels, beat.Levels)
 	}
-	l.meter.Heard(quota.Report{
+	l.meter.ApplyReport(quota.Report{
 		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Full: beat.Whole,
 		HasQuotaState: beat.Informed, Levels: levels, SilenceTimeout: patience,
 	})
