--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -81,11 +81,11 @@
 	m.ledger.ApplyReport(time.Now(), r)
 }
 
-// Alive takes over signs of instances that told nothing new.
-func (m *Limiter) Alive(signs []Liveness) {
+// ConfirmAlive takes over signs of instances that told nothing new.
+func (m *Limiter) ConfirmAlive(signs []Liveness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ledger.Alive(time.Now(), signs)
+	m.ledger.ConfirmAlive(time.Now(), signs)
 }
 
 // Levels gives the buckets that are not full, nil if they are not known.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -212,8 +212,8 @@
 	At    time.Time
 }
 
-// Alive takes over signs of instances that told nothing new.
-func (l *Ledger) Alive(now time.Time, signs []Liveness) {
+// ConfirmAlive takes over signs of instances that told nothing new.
+func (l *Ledger) ConfirmAlive(now time.Time, signs []Liveness) {
 	l.now = now
 	for _, s := range signs {
 		p := l.peers[s.Instance]
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -315,10 +315,10 @@
 	now := start
 	for range 10 {
 		now = now.Add(silentAfter)
-		l.Alive(now, []Liveness{{Instance: "far", Start: 1, At: now.Add(-silentAfter / 2)}})
+		l.ConfirmAlive(now, []Liveness{{Instance: "far", Start: 1, At: now.Add(-silentAfter / 2)}})
 		require.InDelta(t, 1, l.Admit(now, "o").Share, 0)
 	}
-	l.Alive(now.Add(silentAfter), []Liveness{{Instance: "far", Start: 0, At: now.Add(silentAfter)}})
+	l.ConfirmAlive(now.Add(silentAfter), []Liveness{{Instance: "far", Start: 0, At: now.Add(silentAfter)}})
 	require.InDelta(t, 0.5, l.Admit(now.Add(silentAfter), "o").Share, 0.01)
 }
 
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -65,7 +65,7 @@
 }
 
 // PeersConfirmedAlive implements mesh.Delegate.
-func (l *local) PeersConfirmedAlive(signs []quota.Liveness) { l.meter.Alive(signs) }
+func (l *local) PeersConfirmedAlive(signs []quota.Liveness) { l.meter.ConfirmAlive(signs) }
 
 // PeerSilent implements mesh.Delegate. What a silent instance has at targets is not
 // known any more; targets tell of it themselves.
