--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -102,9 +102,9 @@
 	m.ledger.Expect(time.Now(), name)
 }
 
-// Gone notes that an instance can let nothing in any more.
-func (m *Limiter) Gone(name string) {
+// MarkDown notes that an instance can let nothing in any more.
+func (m *Limiter) MarkDown(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ledger.Gone(name)
+	m.ledger.MarkDown(name)
 }
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// Gone notes that an instance can let nothing in any more.
-func (l *Ledger) Gone(name string) {
+// MarkDown notes that an instance can let nothing in any more.
+func (l *Ledger) MarkDown(name string) {
 	if p := l.peers[name]; p != nil && !p.gone {
 		l.divide(l.now, func() { p.gone = true })
 	}
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -182,7 +182,7 @@
 		f.members[i] = f.fresh(old.name)
 		for _, m := range f.members {
 			if m.name != old.name {
-				m.Gone(old.name)
+				m.MarkDown(old.name)
 			}
 		}
 		f.tell()
@@ -202,7 +202,7 @@
 		f.members[i] = f.fresh(old.name)
 		for _, m := range f.members {
 			if m.name != old.name {
-				m.Gone(old.name)
+				m.MarkDown(old.name)
 			}
 		}
 		f.play(random, 5*limit.Rate, 500*time.Millisecond)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -79,7 +79,7 @@
 func (l *local) PeerDown(name string) {
 	l.placer.SetPeer(name, nil)
 	l.broker.Gone(name)
-	l.meter.Gone(name)
+	l.meter.MarkDown(name)
 }
 
 // SetDomainSilent implements mesh.Delegate.
