--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -95,11 +95,11 @@
 	return m.ledger.Levels(time.Now())
 }
 
-// Expect makes an instance known that was not heard yet.
-func (m *Limiter) Expect(name string) {
+// AddPeer makes an instance known that was not heard yet.
+func (m *Limiter) AddPeer(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ledger.Expect(time.Now(), name)
+	m.ledger.AddPeer(time.Now(), name)
 }
 
 // MarkDown notes that an instance can let nothing in any more.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -287,8 +287,8 @@
 	return true
 }
 
-// Expect makes an instance known that was not heard yet.
-func (l *Ledger) Expect(now time.Time, name string) {
+// AddPeer makes an instance known that was not heard yet.
+func (l *Ledger) AddPeer(now time.Time, name string) {
 	l.now = now
 	if l.peers[name] == nil {
 		l.divide(now, func() { l.peers[name] = &peer{known: now, counts: Counts{}} })
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -50,7 +50,7 @@
 	m.SetLimits(f.now, f.limits)
 	for _, other := range f.members {
 		if other.name != name {
-			m.Expect(f.now, other.name)
+			m.AddPeer(f.now, other.name)
 		}
 	}
 	return m
@@ -222,7 +222,7 @@
 	for _, m := range f.members {
 		for _, other := range f.members {
 			if m != other {
-				m.Expect(f.now, other.name)
+				m.AddPeer(f.now, other.name)
 			}
 		}
 	}
@@ -254,7 +254,7 @@
 	const org = "o"
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{org: {Rate: 10, Burst: 10}})
-	l.Expect(start, "old")
+	l.AddPeer(start, "old")
 	report := func(counts Counts, whole bool) {
 		l.ApplyReport(start, Report{
 			Instance: "old", Start: 1, Uptime: time.Hour, Counts: counts, Full: whole,
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -86,4 +86,4 @@
 func (l *local) SetDomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
 
 // PeerDiscovered implements mesh.Delegate.
-func (l *local) PeerDiscovered(name string) { l.meter.Expect(name) }
+func (l *local) PeerDiscovered(name string) { l.meter.AddPeer(name) }
