--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -67,11 +67,11 @@
 	m.ledger.GiveBack(org)
 }
 
-// Own gives what this instance let in since its start.
-func (m *Limiter) Own() Counts {
+// AdmittedCounts gives what this instance let in since its start.
+func (m *Limiter) AdmittedCounts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ledger.Own()
+	return m.ledger.AdmittedCounts()
 }
 
 // ApplyReport takes over what another instance tells.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -341,8 +341,8 @@
 	}
 }
 
-// Own gives what this instance let in since its start.
-func (l *Ledger) Own() Counts {
+// AdmittedCounts gives what this instance let in since its start.
+func (l *Ledger) AdmittedCounts() Counts {
 	counts := make(Counts, len(l.accounts))
 	for name, a := range l.accounts {
 		if a.own != 0 {
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -61,7 +61,7 @@
 		for _, to := range f.members {
 			if from != to && from.side == to.side {
 				to.ApplyReport(f.now, Report{
-					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.Own(), Full: true,
+					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.AdmittedCounts(), Full: true,
 					HasQuotaState: from.Levels(f.now) != nil, Levels: from.Levels(f.now), SilenceTimeout: silentAfter,
 				})
 			}
--- a/internal/coordination/routed/quota/relayed_test.go
+++ b/internal/coordination/routed/quota/relayed_test.go
@@ -37,7 +37,7 @@
 	for _, from := range r.members {
 		levels := from.Levels(r.now)
 		r.onWay = append(r.onWay, told{at: r.now, from: from, side: from.side, report: Report{
-			Instance: from.name, Start: from.start, Counts: from.Own(), Full: true,
+			Instance: from.name, Start: from.start, Counts: from.AdmittedCounts(), Full: true,
 			HasQuotaState: levels != nil, Levels: levels, SilenceTimeout: r.patience,
 		}})
 	}
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -21,7 +21,7 @@
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
 	beat.Held = l.placer.Held()
-	beat.Admitted = l.meter.Own()
+	beat.Admitted = l.meter.AdmittedCounts()
 	beat.Levels = l.meter.Levels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
