--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -60,11 +60,11 @@
 	return m.ledger.Admit(time.Now(), org)
 }
 
-// GiveBack returns the token of a request that did not run.
-func (m *Limiter) GiveBack(org string) {
+// Refund returns the token of a request that did not run.
+func (m *Limiter) Refund(org string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ledger.GiveBack(org)
+	m.ledger.Refund(org)
 }
 
 // AdmittedCounts gives what this instance let in since its start.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -333,8 +333,8 @@
 	return d
 }
 
-// GiveBack returns the token of a request that did not run.
-func (l *Ledger) GiveBack(org string) {
+// Refund returns the token of a request that did not run.
+func (l *Ledger) Refund(org string) {
 	if a := l.accounts[org]; a != nil {
 		a.level++
 		a.own--
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -241,7 +241,7 @@
 	d := m.Admit(f.now, "o")
 	require.False(t, d.Admitted)
 	require.Equal(t, 500*time.Millisecond, d.Wait)
-	m.GiveBack("o")
+	m.Refund("o")
 	require.True(t, m.Admit(f.now, "o").Admitted)
 	require.True(t, m.Admit(f.now, "unknown").Admitted)
 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -36,7 +36,7 @@
 		Began: v.began, Deadline: v.began.Add(v.patience()),
 	}, sink)
 	if outcome.Runs == 0 {
-		v.opts.Quota.GiveBack(organisation)
+		v.opts.Quota.Refund(organisation)
 	}
 	v.end(&outcome)
 }
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -51,7 +51,7 @@
 // Quota holds organisations to their rates.
 type Quota interface {
 	Admit(organisation string) quota.Decision
-	GiveBack(organisation string)
+	Refund(organisation string)
 }
 
 // Relay serves online requests.
