--- a/internal/coordination/routed/quota/meter.go
+++ b/internal/coordination/routed/quota/meter.go
@@ -33,7 +33,7 @@
 // writeLevels writes what is left of the rates of organisations whose buckets are
 // not full.
 func (m *Limiter) writeLevels(w io.Writer) {
-	levels := m.Levels()
+	levels := m.BucketLevels()
 	names := slices.SortedFunc(maps.Keys(levels), func(a, b string) int {
 		return cmp.Or(cmp.Compare(levels[a], levels[b]), cmp.Compare(a, b))
 	})
@@ -88,11 +88,11 @@
 	m.ledger.ConfirmAlive(time.Now(), signs)
 }
 
-// Levels gives the buckets that are not full, nil if they are not known.
-func (m *Limiter) Levels() BucketLevels {
+// BucketLevels gives the buckets that are not full, nil if they are not known.
+func (m *Limiter) BucketLevels() BucketLevels {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ledger.Levels(time.Now())
+	return m.ledger.BucketLevels(time.Now())
 }
 
 // AddPeer makes an instance known that was not heard yet.
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// Levels gives the buckets that are not full, nil if they are not known.
-func (l *Ledger) Levels(now time.Time) BucketLevels {
+// BucketLevels gives the buckets that are not full, nil if they are not known.
+func (l *Ledger) BucketLevels(now time.Time) BucketLevels {
 	l.now = now
 	if !l.knows(now) {
 		return nil
--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -62,7 +62,7 @@
 			if from != to && from.side == to.side {
 				to.ApplyReport(f.now, Report{
 					Instance: from.name, Start: from.start, Uptime: f.now.Sub(from.began), Counts: from.AdmittedCounts(), Full: true,
-					HasQuotaState: from.Levels(f.now) != nil, Levels: from.Levels(f.now), SilenceTimeout: silentAfter,
+					HasQuotaState: from.BucketLevels(f.now) != nil, Levels: from.BucketLevels(f.now), SilenceTimeout: silentAfter,
 				})
 			}
 		}
@@ -265,9 +265,9 @@
 	report(Counts{org: 5000}, false)
 	report(Counts{org: 5000}, true)
 	require.True(t, l.Admit(start, org).Admitted)
-	before := l.Levels(start)[org]
+	before := l.BucketLevels(start)[org]
 	report(Counts{org: 5003}, false)
-	require.InDelta(t, before-3, l.Levels(start)[org], 0.01)
+	require.InDelta(t, before-3, l.BucketLevels(start)[org], 0.01)
 }
 
 // An instance loses its power for good. Nobody hears of that, and if its part of the
--- a/internal/coordination/routed/quota/relayed_test.go
+++ b/internal/coordination/routed/quota/relayed_test.go
@@ -35,7 +35,7 @@
 // before a cut still arrives.
 func (r *relayed) tell() {
 	for _, from := range r.members {
-		levels := from.Levels(r.now)
+		levels := from.BucketLevels(r.now)
 		r.onWay = append(r.onWay, told{at: r.now, from: from, side: from.side, report: Report{
 			Instance: from.name, Start: from.start, Counts: from.AdmittedCounts(), Full: true,
 			HasQuotaState: levels != nil, Levels: levels, SilenceTimeout: r.patience,
@@ -179,11 +179,11 @@
 func TestInstanceThatKnowsNobodyKnowsNoBuckets(t *testing.T) {
 	l := New(start)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	require.Nil(t, l.Levels(start))
+	require.Nil(t, l.BucketLevels(start))
 	l.ApplyReport(start, Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter})
-	require.InDelta(t, -4, l.Levels(start)["o"], 0.01)
+	require.InDelta(t, -4, l.BucketLevels(start)["o"], 0.01)
 	alone := New(start)
-	require.NotNil(t, alone.Levels(start.Add(aloneAfter+1)))
+	require.NotNil(t, alone.BucketLevels(start.Add(aloneAfter+1)))
 }
 
 // Guards against a restarted instance that hears of the buckets before it has read whose they
@@ -193,7 +193,7 @@
 	report := Report{Instance: "old", Start: 1, Uptime: time.Hour, Full: true, HasQuotaState: true, Levels: BucketLevels{"o": -4}, SilenceTimeout: silentAfter}
 	l.ApplyReport(start, report)
 	l.SetLimits(start, map[string]Limit{"o": {Rate: 10, Burst: 10}})
-	require.Nil(t, l.Levels(start))
+	require.Nil(t, l.BucketLevels(start))
 	l.ApplyReport(start, report)
-	require.InDelta(t, -4, l.Levels(start)["o"], 0.01)
+	require.InDelta(t, -4, l.BucketLevels(start)["o"], 0.01)
 }
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -22,7 +22,7 @@
 	beat.Drains = l.view.Drains()
 	beat.Held = l.placer.Held()
 	beat.Admitted = l.meter.AdmittedCounts()
-	beat.Levels = l.meter.Levels()
+	beat.Levels = l.meter.BucketLevels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
 	beat.Partitions, beat.Generation = l.keeper.Holding()
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -30,9 +30,9 @@
 		}
 		knows := &local{fresh}
 		knows.HeartbeatReceived(beat, time.Second)
-		require.Nil(t, fresh.meter.Levels())
+		require.Nil(t, fresh.meter.BucketLevels())
 		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.BucketLevels{"two": -3}
 		knows.HeartbeatReceived(beat, time.Second)
-		require.NotNil(t, fresh.meter.Levels())
+		require.NotNil(t, fresh.meter.BucketLevels())
 	})
 }
