--- a/internal/coordination/routed/mesh/catchup.go
+++ b/internal/coordination/routed/mesh/catchup.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// snapshotTimeout bounds the fetching of a configuration.
+	// snapshotTimeout bounds a Snapshot call.
 	snapshotTimeout = time.Second
-	// compareEvery is the least time between two comparisons of the lists of known
-	// instances. They differ for a moment whenever one comes or goes.
-	compareEvery = 700 * time.Millisecond
-	// staleStore is how much longer than another instance this one must have been
-	// without the store before it asks for the list of targets: two periods of its
-	// own reads.
-	staleStore = 1200 * time.Millisecond
-	// storeFirst is how long an instance of a large fleet waits for the store to tell it of
-	// a configuration that another one has.
-	storeFirst = 700 * time.Millisecond
+	// compareInterval is the minimum time between two snapshots that are fetched because
+	// the sets of known instances differ. The sets differ briefly whenever an instance
+	// starts or ends.
+	compareInterval = 700 * time.Millisecond
+	// staleStoreMargin is how much older the store's last answer must be here than at the
+	// peer before this instance fetches the list of targets from the peer. It is two
+	// periods of this instance's own reads.
+	staleStoreMargin = 1200 * time.Millisecond
+	// storeGracePeriod is how long an instance of a large fleet waits for the store to
+	// deliver a configuration that a peer already has.
+	storeGracePeriod = 700 * time.Millisecond
 )
 
-var snapshots = metrics.NewCounter(`peer_snapshots_total`)
+var snapshotsFetched = metrics.NewCounter(`peer_snapshots_total`)
 
-// catchUp fetches what another instance has that is newer, from one at a time.
-func (m *Mesh) catchUp(beat Heartbeat) {
-	own := m.local.Versions()
+// catchUp starts fetching what the sender of a heartbeat has that is newer. Only one fetch
+// runs at a time.
+func (m *Mesh) catchUp(heartbeat Heartbeat) {
+	own := m.delegate.Versions()
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	stale := own.StoreAge > beat.StoreAge+staleStore
-	newer := m.behind(now, beat.ConfigVersion > own.Config, stale) ||
-		beat.RosterMark > own.RosterMark && beat.RosterDigest != own.RosterDigest && (stale || m.follows(now))
-	if !newer && beat.Known != m.view.Digest() && now.Sub(m.comparedAt) > compareEvery {
+	stale := own.StoreAge > heartbeat.StoreAge+staleStoreMargin
+	newer := m.shouldFetchConfig(now, heartbeat.ConfigVersion > own.Config, stale) ||
+		heartbeat.RosterMark > own.RosterMark && heartbeat.RosterDigest != own.RosterDigest && (stale || m.getsTargetListFromRelay(now))
+	if !newer && heartbeat.Known != m.view.Digest() && now.Sub(m.comparedAt) > compareInterval {
 		m.comparedAt = now
 		newer = true
 	}
@@ -42,21 +44,22 @@
 		return
 	}
 	m.fetching = true
-	go m.fetch(beat.From.Address, SnapshotArgs{ConfigVersion: own.Config, RosterMark: own.RosterMark})
+	go m.fetch(heartbeat.From.Address, SnapshotArgs{ConfigVersion: own.Config, RosterMark: own.RosterMark})
 }
 
-// behind says whether the configuration should be fetched from an instance that has a
-// newer one. In a large fleet only few can be asked, and their links would be full of it
-// for seconds, so that the store goes first. It needs the lock.
-func (m *Mesh) behind(now time.Time, newer, stale bool) bool {
+// shouldFetchConfig reports whether to fetch the configuration from a peer that has a newer
+// one. In a large fleet only the few relays can be asked, and the configuration would fill
+// their links for seconds. So the store is given storeGracePeriod to deliver it first. The
+// caller must hold mu.
+func (m *Mesh) shouldFetchConfig(now time.Time, newer, stale bool) bool {
 	if !newer {
-		m.behindSince = time.Time{}
+		m.configBehindSince = time.Time{}
 		return false
 	}
-	if m.behindSince.IsZero() {
-		m.behindSince = now
+	if m.configBehindSince.IsZero() {
+		m.configBehindSince = now
 	}
-	return stale || !m.view.large() || now.Sub(m.behindSince) > storeFirst
+	return stale || !m.view.usesRelays() || now.Sub(m.configBehindSince) > storeGracePeriod
 }
 
 func (m *Mesh) fetch(address string, args SnapshotArgs) {
@@ -71,7 +74,7 @@
 		_ = level.Warn(m.logger).Log("event", "peer_snapshot_failed", "peer", address, "err", err)
 		return
 	}
-	snapshots.Inc()
+	snapshotsFetched.Inc()
 	m.AddInstances(reply.Instances)
-	m.local.ApplySnapshot(reply)
+	m.delegate.ApplySnapshot(reply)
 }
--- a/internal/coordination/routed/mesh/doc.go
+++ b/internal/coordination/routed/mesh/doc.go
@@ -1,19 +1,20 @@
-// Package mesh keeps an instance in touch with the others of its fleet by small
-// direct messages, without a leader.
+// Package mesh keeps the instances of a fleet informed about each other. They exchange
+// small heartbeats directly, without a leader.
 //
-// Each message carries what one instance knows of itself: the requests that it
-// has at targets, those that it let in for each organisation, the version of the
-// configuration in force, how far it has read the list of targets, and the
-// partitions of batch jobs that it holds. All of that may be merged in any
-// order, lost or repeated: counts are totals since the sender's start, versions
-// only grow, and a sender's later message replaces its earlier one.
+// A heartbeat carries the sender's own state: the slots that it occupies at targets, the
+// requests that it has admitted for each organisation, the version of the configuration in
+// force, how far it has read the list of targets, and the partitions of batch jobs that it
+// owns. Heartbeats may be merged in any order, lost or repeated: counts are totals since
+// the sender's start, versions only increase, and a sender's later heartbeat replaces its
+// earlier one.
 //
-// In a small fleet each instance speaks to all others. In a larger one it speaks to the
-// relays of its failure domain, which speak to those of the other domains and pass on what
-// they hear: what each instance told, never a sum of several, so that it may come by any
-// number of ways.
+// In a small fleet each instance exchanges heartbeats with all others. In a larger fleet
+// each instance exchanges them with the relays of its failure domain only. The relays
+// exchange them with the relays of the other domains and pass on what they receive. A relay
+// passes on each instance's own state, never a sum over several instances, so that the same
+// state may arrive over several paths.
 //
-// A message is a hint, never a proof of death. Only a refused connection says
-// that a process is not there; silence may be a cut, and whoever is silent may
-// serve callers of its own.
+// A missing heartbeat does not prove that an instance is dead. Only a refused connection
+// shows that its process does not run. Silence may be caused by a network partition, and a
+// silent instance may still serve callers.
 package mesh
--- a/internal/coordination/routed/mesh/entry.go
+++ b/internal/coordination/routed/mesh/entry.go
@@ -9,70 +9,73 @@
 	"merlintiller/internal/coordination/routed/quota"
 )
 
-// entry is what is known of one instance.
+// entry is the state kept for one peer.
 type entry struct {
 	Instance
-	beat  Heartbeat
-	heard time.Time
-	down  bool
-	// hash is the part of the instance in the digest.
+	heartbeat Heartbeat
+	lastSeen  time.Time
+	down      bool
+	// hash is the peer's contribution to View.digest.
 	hash uint64
-	// rank orders the instances of a failure domain as relays.
+	// rank orders the instances of a failure domain as relays, the smallest first.
 	rank uint64
 
-	// downAt is when a connection was refused, born when this life started by the
-	// steady clock here.
-	downAt, born time.Time
-	// counts are all that it told of its requests in this life, complete that none is
-	// missing. changed are those that were not passed on yet.
-	counts, changed quota.Counts
-	complete        bool
-	// standing is what it told last, moved that it was not passed on yet, introduced
-	// that this life was, and dirty that there is anything to pass on.
-	standing                 Standing
-	moved, introduced, dirty bool
+	// downAt is when a connection was refused. startedAt is when this incarnation started,
+	// on the local monotonic clock.
+	downAt, startedAt time.Time
+	// counts are the admitted requests that the peer has reported in this incarnation.
+	// pendingCounts are those that changed since the last feed batch. complete reports that
+	// counts includes all organisations.
+	counts, pendingCounts quota.Counts
+	complete              bool
+	// status is the status that the peer reported last, and statusPending reports that it
+	// has changed since the last feed batch. announced reports that this incarnation was
+	// put into a batch. dirty reports that the next batch must include the peer.
+	status                          PeerStatus
+	statusPending, announced, dirty bool
 }
 
 func (e *entry) peer(state State) Peer {
-	return Peer{Instance: e.Instance, State: state, Heartbeat: e.beat, Heard: e.heard}
+	return Peer{Instance: e.Instance, State: state, Heartbeat: e.heartbeat, LastSeen: e.lastSeen}
 }
 
-// quiet says that an instance was not heard for a while.
-func (e *entry) quiet(now time.Time) bool { return e.down || now.Sub(e.heard) > SilentAfter }
+// silent reports that the peer is down or has not been seen for SilenceTimeout, the timeout
+// by which failure domains are judged in fleets of any size.
+func (e *entry) silent(now time.Time) bool { return e.down || now.Sub(e.lastSeen) > SilenceTimeout }
 
-// uptime is the time since the instance's start.
+// uptime returns the time since the peer's start, 0 if it is unknown.
 func (e *entry) uptime(now time.Time) time.Duration {
-	if e.born.IsZero() {
+	if e.startedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(e.born)
+	return now.Sub(e.startedAt)
 }
 
-// refused is the time since a connection was refused, 0 if none was.
-func (e *entry) refused(now time.Time) time.Duration {
+// sinceRefused returns the time since a connection was refused, 0 if the peer is not down.
+func (e *entry) sinceRefused(now time.Time) time.Duration {
 	if !e.down {
 		return 0
 	}
 	return now.Sub(e.downAt)
 }
 
-// note keeps what an instance told, to be passed on.
-func (e *entry) note(beat *Heartbeat) {
-	e.complete = e.complete || beat.Whole
-	for org, count := range beat.Admitted {
+// record stores what the peer reported and marks the changes for the next feed batch.
+func (e *entry) record(heartbeat *Heartbeat) {
+	e.complete = e.complete || heartbeat.Whole
+	for org, count := range heartbeat.Admitted {
 		if e.counts[org] == count {
 			continue
 		}
-		if e.changed == nil {
-			e.changed = quota.Counts{}
+		if e.pendingCounts == nil {
+			e.pendingCounts = quota.Counts{}
 		}
-		e.counts[org], e.changed[org] = count, count
+		e.counts[org], e.pendingCounts[org] = count, count
 		e.dirty = true
 	}
-	if standing := standingOf(beat); !e.standing.equal(&standing) {
-		e.standing, e.moved, e.dirty = standing, true, true
+	if status := statusOf(heartbeat); !e.status.equal(&status) {
+		e.status, e.statusPending, e.dirty = status, true, true
 	}
-	e.dirty = e.dirty || !e.introduced
+	e.dirty = e.dirty || !e.announced
 }
 
 func hashOf(i Instance) uint64 {
--- a/internal/coordination/routed/mesh/exchange.go
+++ b/internal/coordination/routed/mesh/exchange.go
@@ -12,72 +12,76 @@
 	"merlintiller/internal/coordination/routed/quota"
 )
 
-// wholeEvery is how many messages go to an instance until it is told all counts
-// again, and not only those that changed. A message may be lost.
-const wholeEvery = 16
+// fullCountsEvery is the number of messages to a peer after which all counts are sent again
+// instead of only the changed ones. A message may be lost.
+const fullCountsEvery = 16
 
-// link is what is known of the messages to one address.
+// link is the state of the message exchange with one address.
 type link struct {
-	// busy says that a message is on its way, nextAt when the next one is due.
-	busy   bool
-	nextAt time.Time
-	// failedAt is when a message stayed without an answer last, answeredAt when one came,
-	// and storeAge what it said.
+	// inFlight reports that a message awaits its answer. nextAt is when the next message is
+	// due.
+	inFlight bool
+	nextAt   time.Time
+	// failedAt is when a message last failed, answeredAt when one was last answered.
+	// storeAge and readsTargetList are from that answer.
 	failedAt, answeredAt time.Time
 	storeAge             time.Duration
-	reads                bool
-	// start is the life of the instance there, as it told last.
+	readsTargetList      bool
+	// start identifies the incarnation that the sent counts were meant for.
 	start int64
-	// told are the counts that it was told, messages how many since all were.
-	told     quota.Counts
-	messages int
+	// sentCounts are the counts that were sent last. sinceFull is the number of messages
+	// since all counts were sent.
+	sentCounts quota.Counts
+	sinceFull  int
 }
 
-// due gives the instances to which a message is due.
-func (m *Mesh) due(now time.Time) []Instance {
+// dueExchanges returns the instances to which a message is due, and marks their links as in
+// flight.
+func (m *Mesh) dueExchanges(now time.Time) []Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Instance
 	anyUp := false
-	pace := m.view.pace()
+	t := m.view.timing()
 	m.view.each(now, func(e *entry, state State) {
 		anyUp = anyUp || state == Up
-		if !m.view.large() {
-			out = m.add(now, out, e.Instance, pace.period(e.Domain == m.self.Domain))
+		if !m.view.usesRelays() {
+			out = m.appendDue(now, out, e.Instance, t.interval(e.Domain == m.self.Domain))
 		}
 	})
-	if m.view.large() {
-		for _, p := range m.partners(now) {
-			out = m.add(now, out, p.Instance, p.period)
+	if m.view.usesRelays() {
+		for _, p := range m.currentPartners(now) {
+			out = m.appendDue(now, out, p.Instance, p.interval)
 		}
 	}
 	if !anyUp {
 		for _, seed := range m.seeds {
 			if seed != m.self.Address {
-				out = m.add(now, out, Instance{Address: seed}, pace.near)
+				out = m.appendDue(now, out, Instance{Address: seed}, t.sameDomain)
 			}
 		}
 	}
 	return out
 }
 
-func (m *Mesh) add(now time.Time, out []Instance, to Instance, period time.Duration) []Instance {
+func (m *Mesh) appendDue(now time.Time, out []Instance, to Instance, interval time.Duration) []Instance {
 	l := m.link(to.Address)
-	if l.busy || now.Add(m.slack()).Before(l.nextAt) {
+	if l.inFlight || now.Add(m.earlySend()).Before(l.nextAt) {
 		return out
 	}
 	if l.nextAt.IsZero() {
-		// The first messages go out at once, and later ones spread over time.
-		period = time.Duration(rand.Int64N(int64(period)))
+		// The first message goes out at once. The second one is due after a random part of
+		// the interval, so that the messages spread over time.
+		interval = time.Duration(rand.Int64N(int64(interval)))
 	}
-	l.busy, l.nextAt = true, now.Add(period)
+	l.inFlight, l.nextAt = true, now.Add(interval)
 	return append(out, to)
 }
 
-// slack is how much too early a message may go.
-func (m *Mesh) slack() time.Duration {
-	if m.view.large() && !m.relay {
-		return relayedTickEvery / 2
+// earlySend is how much before its due time a message may be sent.
+func (m *Mesh) earlySend() time.Duration {
+	if m.view.usesRelays() && !m.isRelay {
+		return relayedTickInterval / 2
 	}
 	return 0
 }
@@ -91,43 +95,44 @@
 	return l
 }
 
-// exchange tells an instance of this one and hears of it.
+// exchange sends a heartbeat to a peer and processes the peer's heartbeat in the answer.
 func (m *Mesh) exchange(ctx context.Context, to Instance) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	args := m.beatFor(to, false)
-	args.Pull = m.pull(to)
+	args := m.heartbeatFor(to, false)
+	args.Pull = m.feedRequestFor(to)
 	var reply Heartbeat
 	err := m.caller.Call(ctx, to.Address, methodExchange, &args, &reply)
 	m.mu.Lock()
 	l := m.link(to.Address)
-	l.busy = false
+	l.inFlight = false
 	if err != nil {
-		l.told, l.failedAt = nil, time.Now()
-		m.failed(to.Address, l, err)
+		l.sentCounts, l.failedAt = nil, time.Now()
+		m.exchangeFailed(to.Address, l, err)
 	} else {
-		l.answeredAt, l.storeAge, l.reads = time.Now(), reply.StoreAge, reply.Reads
+		l.answeredAt, l.storeAge, l.readsTargetList = time.Now(), reply.StoreAge, reply.Reads
 	}
 	m.mu.Unlock()
 	if err != nil {
-		unheard.Inc()
+		exchangesFailed.Inc()
 		return
 	}
-	sent.Inc()
+	exchangesAnswered.Inc()
 	if reply.Superseded != 0 {
-		m.outlive(reply.Superseded)
+		m.raiseStart(reply.Superseded)
 	}
-	m.take(reply)
+	m.receive(reply)
 }
 
-func (m *Mesh) superseded(sender Instance) int64 {
+func (m *Mesh) newerStart(sender Instance) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Superseded(sender)
+	return m.view.NewerStart(sender)
 }
 
-// outlive gives this life a later start than one that others know of this instance.
-func (m *Mesh) outlive(start int64) {
+// raiseStart moves this instance's start to a later time than the given one, which a peer
+// knows from a previous incarnation.
+func (m *Mesh) raiseStart(start int64) {
 	m.mu.Lock()
 	before := m.self.Start
 	if start >= before {
@@ -139,114 +144,117 @@
 	if after.Start == before {
 		return
 	}
-	m.describing.Lock()
-	m.describedAt = time.Time{}
-	m.describing.Unlock()
+	m.heartbeatMu.Lock()
+	m.heartbeatAt = time.Time{}
+	m.heartbeatMu.Unlock()
 	_ = level.Warn(m.logger).Log("event", "start_raised", "start", after.Start, "before", before)
 }
 
-// failed notes a message without an answer.
-func (m *Mesh) failed(address string, l *link, err error) {
+// exchangeFailed marks the peers at an address as down if it refused the connection. The
+// caller must hold mu.
+func (m *Mesh) exchangeFailed(address string, l *link, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		m.view.Refused(time.Now(), address)
-		l.nextAt = time.Now().Add(downRetry)
+		m.view.MarkRefused(time.Now(), address)
+		l.nextAt = time.Now().Add(downRetryInterval)
 	}
 }
 
-// beatFor tells another instance of this one, without what that knows or has no
-// use for. In a large fleet an answer tells all counts: it may overtake a message that
-// goes the same way, and what only that one told would be lost.
-func (m *Mesh) beatFor(to Instance, answers bool) Heartbeat {
-	beat := m.described(time.Now())
+// heartbeatFor returns the heartbeat for one peer, without the parts that the peer has
+// already or does not need. In a large fleet an answer has all counts. The reason is that
+// an answer can overtake a message in the same direction; the receiver then ignores the
+// message, and counts that only the message carried would be lost.
+func (m *Mesh) heartbeatFor(to Instance, isAnswer bool) Heartbeat {
+	heartbeat := m.nextHeartbeat(time.Now())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	beat.Known = m.view.Digest()
-	if to.Domain != m.self.Domain || m.view.large() {
-		// Others ask the broker of this domain.
-		beat.Held = nil
+	heartbeat.Known = m.view.Digest()
+	if to.Domain != m.self.Domain || m.view.usesRelays() {
+		// Other failure domains ask the broker of this domain.
+		heartbeat.Held = nil
 	}
-	if m.view.informed(to) {
-		beat.TellsLevels, beat.Levels = false, nil
+	if m.view.hasQuotaState(to) {
+		heartbeat.TellsLevels, heartbeat.Levels = false, nil
 	}
 	l := m.link(to.Address)
 	if to.Start != l.start {
-		l.start, l.told = to.Start, nil
+		l.start, l.sentCounts = to.Start, nil
 	}
-	if m.view.large() && answers {
-		beat.Whole = true
-		return beat
+	if m.view.usesRelays() && isAnswer {
+		heartbeat.Whole = true
+		return heartbeat
 	}
-	l.trim(&beat)
-	return beat
+	l.trimCounts(&heartbeat)
+	return heartbeat
 }
 
-// describedFresh is how long a description of this instance serves for all messages.
-// It is short beside the time between two messages to the same instance, and saves
-// most descriptions in a large fleet.
-const describedFresh = 20 * time.Millisecond
-
-// described gives what all instances are told of this one, with the number of the
-// message: one with a larger number never tells less. Its maps and slices are shared and
-// must not be changed.
-func (m *Mesh) described(now time.Time) Heartbeat {
-	m.describing.Lock()
-	defer m.describing.Unlock()
-	if m.describedAt.IsZero() || now.Sub(m.describedAt) >= describedFresh {
-		versions := m.local.Versions()
-		m.description = Heartbeat{
-			From: m.Self(), Uptime: now.Sub(m.began), Young: now.Sub(m.began) < youngFor,
+// heartbeatMaxAge is how long a heartbeat is reused for messages to several peers. It is
+// short compared with the interval between two messages to the same peer. In a large fleet
+// it avoids most calls of Delegate.FillHeartbeat.
+const heartbeatMaxAge = 20 * time.Millisecond
+
+// nextHeartbeat returns the current heartbeat with the next sequence number. A heartbeat
+// with a larger number is never older than one with a smaller number. The heartbeat's maps
+// and slices are shared and must not be modified.
+func (m *Mesh) nextHeartbeat(now time.Time) Heartbeat {
+	m.heartbeatMu.Lock()
+	defer m.heartbeatMu.Unlock()
+	if m.heartbeatAt.IsZero() || now.Sub(m.heartbeatAt) >= heartbeatMaxAge {
+		versions := m.delegate.Versions()
+		m.heartbeat = Heartbeat{
+			From: m.Self(), Uptime: now.Sub(m.startedAt), Young: now.Sub(m.startedAt) < recentlyStartedFor,
 			ConfigVersion: versions.Config, RosterMark: versions.RosterMark, RosterDigest: versions.RosterDigest,
 			StoreAge: versions.StoreAge, Reads: !m.GetsTargetListFromRelay(),
 		}
-		m.local.FillHeartbeat(&m.description)
-		m.describedAt = now
+		m.delegate.FillHeartbeat(&m.heartbeat)
+		m.heartbeatAt = now
 	}
 	m.seq++
-	m.description.Seq = m.seq
-	return m.description
+	m.heartbeat.Seq = m.seq
+	return m.heartbeat
 }
 
-// trim leaves the counts that changed since they were told.
-func (l *link) trim(beat *Heartbeat) {
-	counts := beat.Admitted
-	beat.Whole = l.told == nil || l.messages >= wholeEvery
-	l.messages++
-	if beat.Whole {
-		l.messages = 0
+// trimCounts removes the counts that have not changed since they were sent.
+func (l *link) trimCounts(heartbeat *Heartbeat) {
+	counts := heartbeat.Admitted
+	heartbeat.Whole = l.sentCounts == nil || l.sinceFull >= fullCountsEvery
+	l.sinceFull++
+	if heartbeat.Whole {
+		l.sinceFull = 0
 	} else {
 		changed := quota.Counts{}
 		for org, count := range counts {
-			if l.told[org] != count {
+			if l.sentCounts[org] != count {
 				changed[org] = count
 			}
 		}
-		beat.Admitted = changed
+		heartbeat.Admitted = changed
 	}
-	l.told = counts
+	l.sentCounts = counts
 }
 
-// take takes over a message and fetches what the sender has that is newer.
-func (m *Mesh) take(beat Heartbeat) {
-	feed := beat.Feed
-	beat.Pull, beat.Feed = nil, nil
-	if m.hear(beat) {
-		m.catchUp(beat)
+// receive processes a message and starts fetching what the sender has that is newer.
+func (m *Mesh) receive(heartbeat Heartbeat) {
+	feed := heartbeat.Feed
+	heartbeat.Pull, heartbeat.Feed = nil, nil
+	if m.apply(heartbeat) {
+		m.catchUp(heartbeat)
 	}
 	if feed != nil {
-		m.takeFeed(beat.From.Name, feed)
+		m.applyFeed(heartbeat.From.Name, feed)
 	}
 }
 
-// hear takes over what an instance tells of itself.
-func (m *Mesh) hear(beat Heartbeat) (fresh bool) {
-	m.applying.Lock()
-	defer m.applying.Unlock()
+// apply records a heartbeat and passes it to the delegate. It returns false if a later
+// heartbeat of the sender was received before.
+func (m *Mesh) apply(heartbeat Heartbeat) (fresh bool) {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
 	m.mu.Lock()
-	fresh = m.view.Heard(time.Now(), beat)
-	patience := m.view.pace().silentAfter
+	fresh = m.view.ApplyHeartbeat(time.Now(), heartbeat)
+	silenceTimeout := m.view.timing().silenceTimeout
 	m.mu.Unlock()
 	if fresh {
-		m.local.HeartbeatReceived(beat, patience)
+		m.delegate.HeartbeatReceived(heartbeat, silenceTimeout)
 	}
 	return fresh
 }
--- a/internal/coordination/routed/mesh/mesh.go
+++ b/internal/coordination/routed/mesh/mesh.go
@@ -15,135 +15,144 @@
 )
 
 const (
-	// tickEvery is how often it is looked which messages are due, relayedTickEvery the
-	// same of an instance that only speaks to relays. What is due within half of it goes
-	// at once, so that messages to several relays go together.
-	tickEvery        = 25 * time.Millisecond
-	relayedTickEvery = 200 * time.Millisecond
-	// callTimeout bounds a message. Instances are some milliseconds apart.
+	// tickInterval is the period at which due messages are sent, relayedTickInterval the
+	// period for an instance that sends only to relays. Such an instance sends messages up
+	// to half a period early, so that messages to several relays go out together.
+	tickInterval        = 25 * time.Millisecond
+	relayedTickInterval = 200 * time.Millisecond
+	// callTimeout bounds a message and its answer. The latency between instances is a few
+	// milliseconds.
 	callTimeout = 300 * time.Millisecond
-	// ForgetAfter is the silence after which an instance is no longer known. One
-	// that is cut off serves on with its part of the rates; cuts longer than this
-	// are rarer than instances that never come back.
-	ForgetAfter = 60 * time.Second
-	// youngFor is how long after its start an instance can't hold anything from before
-	// that it does not know to be lost: it joins the group several times meanwhile.
-	youngFor = 2 * time.Second
-	// downRetry is how often an instance that refused a connection is tried.
-	downRetry = 500 * time.Millisecond
+	// ForgetTimeout is the silence after which an instance is removed from the view. An
+	// isolated instance that is still running keeps using its share of the rates, which is
+	// no longer reserved for it after this time. Network partitions longer than this are
+	// rarer than instances that never return.
+	ForgetTimeout = 60 * time.Second
+	// recentlyStartedFor is how long after its start an instance is reported as Young. In
+	// that time it can't hold anything that it has lost without knowing it, because it joins
+	// the group several times.
+	recentlyStartedFor = 2 * time.Second
+	// downRetryInterval is the interval at which an instance that refused a connection is
+	// tried again.
+	downRetryInterval = 500 * time.Millisecond
 )
 
 var (
-	sent    = metrics.NewCounter(`peer_messages_total{outcome="answered"}`)
-	unheard = metrics.NewCounter(`peer_messages_total{outcome="failed"}`)
+	exchangesAnswered = metrics.NewCounter(`peer_messages_total{outcome="answered"}`)
+	exchangesFailed   = metrics.NewCounter(`peer_messages_total{outcome="failed"}`)
 )
 
-// Versions are what an instance has of the things that others may have newer.
+// Versions are the versions of the shared state that this instance has and that a peer may
+// have newer.
 type Versions struct {
 	Config     int64
 	RosterMark int64
-	// RosterDigest sums up the list of targets.
+	// RosterDigest is a digest of the list of targets.
 	RosterDigest uint64
-	// StoreAge is the time since the platform's store answered.
+	// StoreAge is the time since the platform's store last answered.
 	StoreAge time.Duration
 }
 
-// Delegate is what the mesh tells of this instance and whom it tells what it hears.
+// Delegate supplies the local state that the mesh sends to peers, and receives the state
+// and the events of peers.
 type Delegate interface {
-	// Versions gives what this instance has.
+	// Versions returns the versions that this instance has.
 	Versions() Versions
-	// FillHeartbeat fills in what else this instance knows of itself.
+	// FillHeartbeat sets the fields of a heartbeat that the mesh does not know itself.
 	FillHeartbeat(*Heartbeat)
-	// SnapshotSince gives what is newer here than the caller's versions.
+	// SnapshotSince returns what is newer here than the caller's versions.
 	SnapshotSince(SnapshotArgs) SnapshotReply
-	// ApplySnapshot takes over what another instance has that is newer.
+	// ApplySnapshot adopts what another instance has that is newer.
 	ApplySnapshot(SnapshotReply)
-	// HeartbeatReceived takes over another instance's message. After the patience without
-	// a further one the instance counts as silent.
-	HeartbeatReceived(beat Heartbeat, patience time.Duration)
-	// PeersConfirmedAlive takes over when relays heard of other instances.
+	// HeartbeatReceived processes a heartbeat of another instance. The instance counts as
+	// silent if no further heartbeat arrives within silenceTimeout.
+	HeartbeatReceived(heartbeat Heartbeat, silenceTimeout time.Duration)
+	// PeersConfirmedAlive processes relays' reports of when they last received heartbeats
+	// from other instances.
 	PeersConfirmedAlive([]quota.Liveness)
-	// PeerSilent tells that an instance is silent, PeerGone that its process
-	// is not there or was forgotten.
+	// PeerSilent reports that an instance has become silent. PeerDown reports that its
+	// process is known not to run, or that the instance was removed after ForgetTimeout.
 	PeerSilent(Instance)
 	PeerDown(name string)
-	// SetDomainSilent tells whether nobody of another failure domain is heard. It is
-	// called again and again.
+	// SetDomainSilent reports whether all instances of another failure domain are silent.
+	// It is called in every tick, also without a change.
 	SetDomainSilent(domain string, silent bool)
-	// PeerDiscovered tells that an instance exists that was not heard yet.
+	// PeerDiscovered reports an instance from which no heartbeat has been received yet.
 	PeerDiscovered(name string)
 }
 
-// Mesh is the duty that keeps in touch.
+// Mesh is the background service that exchanges heartbeats with other instances.
 type Mesh struct {
-	self   Instance
-	caller protocol.Caller
-	local  Delegate
-	logger log.Logger
+	self     Instance
+	caller   protocol.Caller
+	delegate Delegate
+	logger   log.Logger
 
-	// applying orders what is told of other instances: what one let in must be taken over
-	// before it counts as heard, whichever message brought it. It is taken before mu.
-	applying sync.Mutex
+	// applyMu serialises updates of the view and the delegate. An instance's counts must
+	// reach the delegate before the instance counts as seen, whichever message brought
+	// them. It is locked before mu.
+	applyMu sync.Mutex
 
 	mu    sync.Mutex
 	seeds []string
 	view  *View
 	links map[string]*link
-	// states and silent are what was told of instances and domains last.
-	states map[string]State
-	silent map[string]bool
-	// fetching says that something newer is being fetched, comparedAt when the
-	// lists of instances were compared last.
+	// reportedStates and reportedSilent are the states of peers and domains that were last
+	// reported to the delegate.
+	reportedStates map[string]State
+	reportedSilent map[string]bool
+	// fetching reports that a snapshot is being fetched. comparedAt is when a snapshot was
+	// last fetched because the sets of known instances differed.
 	fetching   bool
 	comparedAt time.Time
 
-	// feed is what this instance passes on, intakes how far the feeds of others were
-	// read, by name.
-	feed    *feed
-	intakes map[string]*intake
-	// behindSince is when it was first heard that there is a newer configuration.
-	behindSince time.Time
-	// chosen are the partners in a large fleet, as of chosenAt; relay says that this
-	// instance is a relay.
-	chosen   []partner
-	chosenAt time.Time
-	relay    bool
-	// began is when this life started, by the steady clock.
-	began time.Time
-
-	// description is what others are told of this instance, as of describedAt, and seq
-	// the number of the last message.
-	describing  sync.Mutex
+	// feed is the feed that this instance offers. feedReaders are its positions in the
+	// feeds of others, by instance name.
+	feed        *feed
+	feedReaders map[string]*feedReader
+	// configBehindSince is when a newer configuration was first reported by a peer.
+	configBehindSince time.Time
+	// partners are the instances to send messages to in a large fleet, as of partnersAt.
+	// isRelay reports that this instance is a relay.
+	partners   []partner
+	partnersAt time.Time
+	isRelay    bool
+	// startedAt is the start of this incarnation on the monotonic clock.
+	startedAt time.Time
+
+	// heartbeatMu guards seq, heartbeat and heartbeatAt: the number of the last message,
+	// and the heartbeat of this instance as of heartbeatAt.
+	heartbeatMu sync.Mutex
 	seq         uint64
-	description Heartbeat
-	describedAt time.Time
+	heartbeat   Heartbeat
+	heartbeatAt time.Time
 }
 
-// Config makes a Mesh.
+// Config holds the parameters of New.
 type Config struct {
 	Self Instance
-	// Seeds are addresses of instances that are asked while no other is known.
+	// Seeds are addresses of instances that are contacted while no peer is up.
 	Seeds  []string
 	Caller protocol.Caller
 	Logger log.Logger
 }
 
-// New returns a mesh that is idle until Serve.
+// New returns a mesh that sends nothing until Serve is called.
 func New(c Config) *Mesh {
 	return &Mesh{
 		self: c.Self, seeds: c.Seeds, caller: c.Caller, logger: c.Logger,
-		view: NewView(c.Self, ForgetAfter),
-		feed: newFeed(rand.Uint64()), intakes: map[string]*intake{}, began: time.Now(),
-		links:  map[string]*link{},
-		states: map[string]State{},
-		silent: map[string]bool{},
+		view: NewView(c.Self, ForgetTimeout),
+		feed: newFeed(rand.Uint64()), feedReaders: map[string]*feedReader{}, startedAt: time.Now(),
+		links:          map[string]*link{},
+		reportedStates: map[string]State{},
+		reportedSilent: map[string]bool{},
 	}
 }
 
-// SetDelegate gives the mesh what it speaks of. It must come before Serve.
-func (m *Mesh) SetDelegate(local Delegate) { m.local = local }
+// SetDelegate sets the delegate. It must be called before Serve.
+func (m *Mesh) SetDelegate(delegate Delegate) { m.delegate = delegate }
 
-// Self names this life of this instance.
+// Self returns the identity of this incarnation.
 func (m *Mesh) Self() Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,86 +166,87 @@
 	m.seeds = addresses
 }
 
-// AddInstances makes instances known that the platform's store or another instance
-// names.
+// AddInstances adds instances that the platform's store or a peer has listed.
 func (m *Mesh) AddInstances(list []Instance) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Listed(time.Now(), list)
+	m.view.AddInstances(time.Now(), list)
 }
 
-// PresumedDead gives instances that are not there any more, as far as can be told.
+// PresumedDead returns the instances that are down or have been silent for half of
+// ForgetTimeout.
 func (m *Mesh) PresumedDead() []Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Lost(time.Now(), ForgetAfter/2)
+	return m.view.PresumedDead(time.Now(), ForgetTimeout/2)
 }
 
-// Peers gives the other instances.
+// Peers returns the other instances.
 func (m *Mesh) Peers() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Peers(time.Now())
 }
 
-// Up gives the instances of a failure domain that are heard and do not leave.
+// Up returns the instances of a failure domain that are up and not leaving.
 func (m *Mesh) Up(domain string) []Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Up(time.Now(), domain)
 }
 
-// Alive counts the other instances of a failure domain whose processes are not known to be
-// gone, heard or not.
+// CountNotDown returns the number of other instances of a failure domain whose processes
+// are not known to be down, silent ones included.
 func (m *Mesh) CountNotDown(domain string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Alive(time.Now(), domain)
+	return m.view.CountNotDown(time.Now(), domain)
 }
 
-// Isolated says that nobody of another failure domain is heard any more.
+// Isolated reports that all instances of all other failure domains are silent.
 func (m *Mesh) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.CutOff(time.Now())
+	return m.view.Isolated(time.Now())
 }
 
-// Claimed gives the batch items that instances which are heard run for others.
+// Claims returns the batch items that instances that are up run without owning the
+// partition.
 func (m *Mesh) Claims() []Claim {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Claims(time.Now())
 }
 
-// Holder gives the instance that holds a partition, as far as it is known.
+// OwnerOf returns the instance that owns a partition, if it is known.
 func (m *Mesh) OwnerOf(partition int) (Peer, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Holder(time.Now(), partition)
+	return m.view.OwnerOf(time.Now(), partition)
 }
 
-// String names the duty.
+// String implements fmt.Stringer. It returns the name of the service.
 func (m *Mesh) String() string { return "mesh" }
 
 // Serve exchanges messages until ctx ends.
 func (m *Mesh) Serve(ctx context.Context) error {
 	for {
-		m.settle()
-		for _, p := range m.due(time.Now()) {
+		m.reportChanges()
+		for _, p := range m.dueExchanges(time.Now()) {
 			go m.exchange(ctx, p)
 		}
-		if !wait.For(ctx, m.tick()) {
+		if !wait.For(ctx, m.tickPeriod()) {
 			return ctx.Err()
 		}
 	}
 }
 
-// tick is the time until the next look.
-func (m *Mesh) tick() time.Duration {
+// tickPeriod returns the time until the next tick.
+func (m *Mesh) tickPeriod() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.view.large() && !m.relay {
-		return relayedTickEvery
+	if m.view.usesRelays() && !m.isRelay {
+		return relayedTickInterval
 	}
-	return tickEvery
+	return tickInterval
 }
--- a/internal/coordination/routed/mesh/mesh_test.go
+++ b/internal/coordination/routed/mesh/mesh_test.go
@@ -16,23 +16,23 @@
 	"merlintiller/internal/coordination/routed/quota"
 )
 
-// wire joins the meshes of a fleet in memory, by address.
-type wire struct {
+// memoryNetwork connects the meshes of a fleet in memory, by address.
+type memoryNetwork struct {
 	mu     sync.Mutex
 	meshes map[string]*Mesh
-	// lost says whether a message or its answer is lost.
+	// lost decides whether the next message or answer is lost.
 	lost func() bool
-	// calls counts the messages sent, lost ones too.
+	// calls counts the messages sent, including lost ones.
 	calls int
 }
 
-var errLost = errors.New("lost")
+var errLost = errors.New("message lost")
 
-func (w *wire) Call(_ context.Context, address, method string, args, reply any) error {
-	w.mu.Lock()
-	w.calls++
-	to, lostOut, lostBack := w.meshes[address], w.lost(), w.lost()
-	w.mu.Unlock()
+func (network *memoryNetwork) Call(_ context.Context, address, method string, args, reply any) error {
+	network.mu.Lock()
+	network.calls++
+	to, lostOut, lostBack := network.meshes[address], network.lost(), network.lost()
+	network.mu.Unlock()
 	if to == nil || lostOut {
 		return errLost
 	}
@@ -49,77 +49,77 @@
 	return err
 }
 
-// told is a Local that keeps the counts it hears.
-type told struct {
-	mu   sync.Mutex
-	own  quota.Counts
-	of   map[string]quota.Counts
-	seen int
+// fakeDelegate is a Delegate that records the counts it receives.
+type fakeDelegate struct {
+	mu         sync.Mutex
+	admitted   quota.Counts
+	received   map[string]quota.Counts
+	heartbeats int
 }
 
-func (l *told) Versions() Versions { return Versions{} }
+func (d *fakeDelegate) Versions() Versions { return Versions{} }
 
-func (l *told) FillHeartbeat(beat *Heartbeat) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	beat.Admitted = maps.Clone(l.own)
+func (d *fakeDelegate) FillHeartbeat(heartbeat *Heartbeat) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	heartbeat.Admitted = maps.Clone(d.admitted)
 }
 
-func (l *told) SnapshotSince(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
-func (l *told) ApplySnapshot(SnapshotReply)              {}
-func (l *told) PeerSilent(Instance)              {}
-func (l *told) PeerDown(string)                  {}
-func (l *told) SetDomainSilent(string, bool)        {}
-func (l *told) PeerDiscovered(string)                {}
-func (l *told) PeersConfirmedAlive([]quota.Liveness)          {}
-
-func (l *told) HeartbeatReceived(beat Heartbeat, _ time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seen++
-	if beat.Whole || l.of[beat.From.Name] == nil {
-		l.of[beat.From.Name] = quota.Counts{}
+func (d *fakeDelegate) SnapshotSince(SnapshotArgs) SnapshotReply { return SnapshotReply{} }
+func (d *fakeDelegate) ApplySnapshot(SnapshotReply)              {}
+func (d *fakeDelegate) PeerSilent(Instance)                      {}
+func (d *fakeDelegate) PeerDown(string)                          {}
+func (d *fakeDelegate) SetDomainSilent(string, bool)             {}
+func (d *fakeDelegate) PeerDiscovered(string)                    {}
+func (d *fakeDelegate) PeersConfirmedAlive([]quota.Liveness)     {}
+
+func (d *fakeDelegate) HeartbeatReceived(heartbeat Heartbeat, _ time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.heartbeats++
+	if heartbeat.Whole || d.received[heartbeat.From.Name] == nil {
+		d.received[heartbeat.From.Name] = quota.Counts{}
 	}
-	maps.Copy(l.of[beat.From.Name], beat.Admitted)
+	maps.Copy(d.received[heartbeat.From.Name], heartbeat.Admitted)
 }
 
-func (l *told) admit(org string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.own[org]++
+func (d *fakeDelegate) admit(org string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.admitted[org]++
 }
 
-// fleet runs so many instances in each of two domains until the test's end. Each
-// knows the first one as its seed.
-func fleet(ctx context.Context, perDomain int, w *wire) []*told {
-	var locals []*told
-	w.meshes = map[string]*Mesh{}
+// fleet runs perDomain instances in each of two failure domains until the end of the test.
+// Each has the first instance as its seed.
+func fleet(ctx context.Context, perDomain int, network *memoryNetwork) []*fakeDelegate {
+	var delegates []*fakeDelegate
+	network.meshes = map[string]*Mesh{}
 	seed := instance("a", 0).Address
 	for _, domain := range []string{"a", "b"} {
 		for n := range perDomain {
 			self := instance(domain, n)
-			m := New(Config{Self: self, Seeds: []string{seed}, Caller: w, Logger: log.NewNopLogger()})
-			local := &told{own: quota.Counts{}, of: map[string]quota.Counts{}}
-			m.SetDelegate(local)
-			w.meshes[self.Address] = m
-			locals = append(locals, local)
+			m := New(Config{Self: self, Seeds: []string{seed}, Caller: network, Logger: log.NewNopLogger()})
+			delegate := &fakeDelegate{admitted: quota.Counts{}, received: map[string]quota.Counts{}}
+			m.SetDelegate(delegate)
+			network.meshes[self.Address] = m
+			delegates = append(delegates, delegate)
 		}
 	}
-	for _, m := range w.meshes {
+	for _, m := range network.meshes {
 		go func() { _ = m.Serve(ctx) }()
 	}
-	return locals
+	return delegates
 }
 
-func never() bool { return false }
+func neverLost() bool { return false }
 
 func TestInstancesFindEachOtherThroughOneSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &wire{lost: never}
-		fleet(t.Context(), 6, w)
-		pass(3 * time.Second)
+		network := &memoryNetwork{lost: neverLost}
+		fleet(t.Context(), 6, network)
+		sleep(3 * time.Second)
 		synctest.Wait()
-		for _, m := range w.meshes {
+		for _, m := range network.meshes {
 			require.Len(t, m.Peers(), 11)
 			for _, p := range m.Peers() {
 				require.Equal(t, Up, p.State)
@@ -128,52 +128,52 @@
 	})
 }
 
-// A message tells only the counts that changed, and messages get lost. If a lost
-// change were never told again, the others would go on with less than was let
-// in, and an organisation would get more than its rate.
-func TestLostChangesOfCountsAreToldAgain(t *testing.T) {
+// Heartbeats carry only the counts that changed, and messages may be lost. If lost changes
+// were not sent again, peers would assume fewer admitted requests than there were, and an
+// organisation would exceed its rate.
+func TestLostCountChangesAreResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random, losses := rand.New(rand.NewPCG(3, 4)), rand.New(rand.NewPCG(5, 6))
-		w := &wire{lost: func() bool { return losses.Float64() < 0.3 }}
-		locals := fleet(t.Context(), 3, w)
+		network := &memoryNetwork{lost: func() bool { return losses.Float64() < 0.3 }}
+		delegates := fleet(t.Context(), 3, network)
 		for range 200 {
-			locals[random.IntN(len(locals))].admit([]string{"x", "y", "z"}[random.IntN(3)])
-			pass(20 * time.Millisecond)
+			delegates[random.IntN(len(delegates))].admit([]string{"x", "y", "z"}[random.IntN(3)])
+			sleep(20 * time.Millisecond)
 		}
-		// Losses end, so that the last of the counts can be told.
-		w.mu.Lock()
-		w.lost = never
-		w.mu.Unlock()
-		pass(wholeEvery * farFactor * nearEvery)
+		// Stops the losses, so that the last counts arrive.
+		network.mu.Lock()
+		network.lost = neverLost
+		network.mu.Unlock()
+		sleep(fullCountsEvery * crossDomainFactor * sameDomainInterval)
 		synctest.Wait()
-		for n, from := range locals {
+		for n, from := range delegates {
 			name := []string{"a-0", "a-1", "a-2", "b-0", "b-1", "b-2"}[n]
-			for other, to := range locals {
+			for other, to := range delegates {
 				if other != n {
-					require.Equal(t, from.own, to.of[name], "%s at %d", name, other)
+					require.Equal(t, from.admitted, to.received[name], "%s at %d", name, other)
 				}
 			}
 		}
 	})
 }
 
-// The fleet grows to some hundred instances. If each told each other as often as
-// in a small fleet, an instance would spend its processor on messages alone, and
-// the share grows with every instance that is added.
+// Guards against message rates that grow with the size of the fleet. If each instance
+// exchanged heartbeats with every other one in a fleet of some hundred instances, it would
+// spend its processor time on messages alone.
 func TestMessagesOfAnInstanceDoNotGrowWithTheFleet(t *testing.T) {
 	perSecond := func(perDomain int) float64 {
 		var rate float64
 		synctest.Test(t, func(t *testing.T) {
-			w := &wire{lost: never}
-			fleet(t.Context(), perDomain, w)
-			pass(5 * time.Second)
-			w.mu.Lock()
-			before := w.calls
-			w.mu.Unlock()
-			pass(10 * time.Second)
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			rate = float64(w.calls-before) / 10 / float64(2*perDomain)
+			network := &memoryNetwork{lost: neverLost}
+			fleet(t.Context(), perDomain, network)
+			sleep(5 * time.Second)
+			network.mu.Lock()
+			before := network.calls
+			network.mu.Unlock()
+			sleep(10 * time.Second)
+			network.mu.Lock()
+			defer network.mu.Unlock()
+			rate = float64(network.calls-before) / 10 / float64(2*perDomain)
 		})
 		return rate
 	}
@@ -181,5 +181,4 @@
 	require.Less(t, perSecond(45), 20.0)
 }
 
-// pass lets time go by.
-func pass(d time.Duration) { <-time.After(d) }
+func sleep(d time.Duration) { <-time.After(d) }
--- a/internal/coordination/routed/mesh/rank.go
+++ b/internal/coordination/routed/mesh/rank.go
@@ -6,22 +6,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rankOf orders the instances of a failure domain as relays.
+// rankOf returns the rank of an instance as a relay of its failure domain.
 func rankOf(i Instance) uint64 { return Rank("relay/"+i.Domain, i) }
 
-// Rank orders instances for a duty that one or a few of them have for others, the
-// smallest first: the strongest, and equal ones by rendezvous hashing.
-func Rank(duty string, i Instance) uint64 {
-	const strengthBits = 8
-	weak := uint64(max(0, 1<<strengthBits-1-max(0, i.Strength)))
-	return weak<<(64-strengthBits) | xxhash.Sum64String(duty+"/"+i.Name)>>strengthBits
+// Rank orders instances for a role that one or a few of them take on for the others, the
+// smallest rank first. An instance with a higher capacity ranks before one with a lower
+// capacity. Ties are broken by rendezvous hashing.
+func Rank(role string, i Instance) uint64 {
+	const capacityBits = 8
+	inverse := uint64(max(0, 1<<capacityBits-1-max(0, i.Strength)))
+	return inverse<<(64-capacityBits) | xxhash.Sum64String(role+"/"+i.Name)>>capacityBits
 }
 
-// CapacityOf puts processor, in cores, on the scale of Instance.Strength.
-func CapacityOf(processor float64) int {
-	const step, middle = 1.5, 128
-	if processor <= 0 {
+// CapacityOf converts processor capacity in cores to the scale of Instance.Strength.
+func CapacityOf(cores float64) int {
+	const step, offset = 1.5, 128
+	if cores <= 0 {
 		return 0
 	}
-	return middle + int(math.Round(math.Log(processor)/math.Log(step)))
+	return offset + int(math.Round(math.Log(cores)/math.Log(step)))
 }
--- a/internal/coordination/routed/mesh/rank_test.go
+++ b/internal/coordination/routed/mesh/rank_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A duty that falls to an instance with little processor slows down all that depend on it.
-func TestStrongestInstanceComesFirst(t *testing.T) {
+// Guards against giving a role to an instance with little processor capacity, which would
+// slow down all instances that depend on it.
+func TestRankPrefersHighestCapacity(t *testing.T) {
 	var list []Instance
 	for n := range 20 {
 		i := instance("a", n)
@@ -19,9 +20,9 @@
 		list = append(list, i)
 	}
 	firstOf := map[string]string{}
-	for _, duty := range []string{"one", "two", "three", "four"} {
+	for _, role := range []string{"one", "two", "three", "four"} {
 		slices.SortFunc(list, func(a, b Instance) int {
-			if Rank(duty, a) < Rank(duty, b) {
+			if Rank(role, a) < Rank(role, b) {
 				return -1
 			}
 			return 1
@@ -29,14 +30,14 @@
 		for place, i := range list {
 			require.Equal(t, place < 4, i.Strength == CapacityOf(0.8), "%s at %d", i.Name, place)
 		}
-		firstOf[list[0].Name] = duty
+		firstOf[list[0].Name] = role
 	}
-	require.Greater(t, len(firstOf), 1, "duties are spread over equal ones")
+	require.Greater(t, len(firstOf), 1, "roles are spread over instances of equal capacity")
 }
 
-// Strength goes in steps of half as much again, so that instances of about the same
-// processor share the duties.
-func TestStrengthGoesInCoarseSteps(t *testing.T) {
+// The capacity scale has steps of half as much again, so that instances with similar
+// processors share the roles.
+func TestCapacityUsesCoarseSteps(t *testing.T) {
 	require.Equal(t, CapacityOf(0.7), CapacityOf(0.8))
 	require.Equal(t, CapacityOf(1)+1, CapacityOf(1.5))
 	require.Less(t, CapacityOf(0.192), CapacityOf(0.8))
--- a/internal/coordination/routed/mesh/relay_test.go
+++ b/internal/coordination/routed/mesh/relay_test.go
@@ -15,25 +15,26 @@
 	"merlintiller/internal/coordination/routed/quota"
 )
 
-// cluster joins the meshes of a large fleet in memory. It lives in a bubble of synctest.
+// cluster connects the meshes of a large fleet in memory. It must be used in a synctest
+// bubble.
 type cluster struct {
 	t       *testing.T
 	members []*clusterMember
 
 	mu sync.Mutex
 	at map[string]*clusterMember
-	// cut says that nothing gets from one instance to another.
-	cut   func(from, to Instance) bool
-	calls int
+	// blocked reports whether messages between two instances are dropped.
+	blocked func(from, to Instance) bool
+	calls   int
 }
 
 type clusterMember struct {
 	*Mesh
-	*told
+	*fakeDelegate
 	stop context.CancelFunc
 }
 
-// callerAt makes the calls of one instance.
+// callerAt is the protocol.Caller of one instance.
 type callerAt struct {
 	*cluster
 	from Instance
@@ -42,16 +43,16 @@
 func (c callerAt) Call(ctx context.Context, address, method string, args, reply any) error {
 	c.mu.Lock()
 	c.calls++
-	to, cut := c.at[address], c.cut
+	to, blocked := c.at[address], c.blocked
 	c.mu.Unlock()
 	if to == nil {
 		return syscall.ECONNREFUSED
 	}
-	if cut != nil && cut(c.from, to.Self()) {
+	if blocked != nil && blocked(c.from, to.Self()) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	pass(time.Millisecond)
+	sleep(time.Millisecond)
 	if method == methodExchange {
 		return to.Receiver().Exchange(args.(*Heartbeat), reply.(*Heartbeat))
 	}
@@ -62,24 +63,24 @@
 	c := &cluster{t: t, at: map[string]*clusterMember{}}
 	t.Cleanup(func() {
 		c.kill(func(Instance) bool { return true })
-		pass(callTimeout)
+		sleep(callTimeout)
 	})
 	for _, domain := range domains {
 		for n := range perDomain {
 			c.start(instance(domain, n))
 		}
 	}
-	pass(3 * time.Second)
+	sleep(3 * time.Second)
 	c.requireAllUp()
 	return c
 }
 
-// start starts an instance that the store's list tells of all others.
+// start starts an instance that knows all other instances from the store's list.
 func (c *cluster) start(self Instance) *clusterMember {
 	ctx, stop := context.WithCancel(c.t.Context())
 	m := New(Config{Self: self, Caller: callerAt{c, self}, Logger: log.NewNopLogger()})
-	member := &clusterMember{Mesh: m, told: &told{own: quota.Counts{}, of: map[string]quota.Counts{}}, stop: stop}
-	m.SetDelegate(member.told)
+	member := &clusterMember{Mesh: m, fakeDelegate: &fakeDelegate{admitted: quota.Counts{}, received: map[string]quota.Counts{}}, stop: stop}
+	m.SetDelegate(member.fakeDelegate)
 	c.mu.Lock()
 	c.at[self.Address] = member
 	c.mu.Unlock()
@@ -93,7 +94,7 @@
 	return member
 }
 
-// kill ends instances; connections to them are refused from now on.
+// kill ends instances. Later connections to them are refused.
 func (c *cluster) kill(ends func(Instance) bool) {
 	var left []*clusterMember
 	for _, m := range c.members {
@@ -109,13 +110,13 @@
 	c.members = left
 }
 
-func (c *cluster) setCut(cut func(from, to Instance) bool) {
+func (c *cluster) setBlocked(blocked func(from, to Instance) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.blocked = blocked
 }
 
-func (c *cluster) count() int {
+func (c *cluster) callCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
@@ -141,7 +142,8 @@
 	}
 }
 
-// relaysOf names the instances that those of a domain speak to.
+// relaysOf returns the names of the instances that the instances of a domain have chosen as
+// relays.
 func (c *cluster) relaysOf(domain string) map[string]bool {
 	found := map[string]bool{}
 	for _, m := range c.members {
@@ -149,7 +151,7 @@
 			continue
 		}
 		m.Mesh.mu.Lock()
-		for _, p := range m.choose(time.Now(), nil) {
+		for _, p := range m.choosePartners(time.Now(), nil) {
 			if p.Domain == domain {
 				found[p.Name] = true
 			}
@@ -161,100 +163,101 @@
 
 var threeDomains = []string{"a", "b", "c"}
 
-// What an instance let in must be known everywhere soon, or an organisation gets more
-// than its rate; and telling it must not cost more the larger the fleet is.
+// The counts of admitted requests must reach all instances quickly, or an organisation
+// exceeds its rate. The number of messages of an instance must not grow with the size of
+// the fleet.
 func TestCountsReachALargeFleetInFewMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, threeDomains, 40)
 		random := rand.New(rand.NewPCG(1, 2))
-		before := c.count()
+		before := c.callCount()
 		for range 500 {
 			c.members[random.IntN(len(c.members))].admit([]string{"x", "y", "z"}[random.IntN(3)])
-			pass(10 * time.Millisecond)
+			sleep(10 * time.Millisecond)
 		}
-		calls := c.count() - before
-		pass(time.Second)
+		calls := c.callCount() - before
+		sleep(time.Second)
 		synctest.Wait()
 		for _, from := range c.members {
 			for _, to := range c.members {
-				if from != to && len(from.own) > 0 {
-					require.Equal(t, from.own, to.of[from.Self().Name], "%s at %s", from.Self().Name, to.Self().Name)
+				if from != to && len(from.admitted) > 0 {
+					require.Equal(t, from.admitted, to.received[from.Self().Name], "%s at %s", from.Self().Name, to.Self().Name)
 				}
 			}
 		}
-		require.Less(t, float64(calls)/5/float64(len(c.members)), 20.0, "messages of an instance a second")
+		require.Less(t, float64(calls)/5/float64(len(c.members)), 20.0, "messages per instance and second")
 		c.requireAllUp()
 	})
 }
 
-// A process dies. Until the others notice, its part of the rates and the slots that it
-// holds are lost; a small fleet notices within a second.
-func TestDeadInstanceOfALargeFleetIsNoticed(t *testing.T) {
+// A process dies. Its share of the rates and the slots that it occupies are lost until the
+// other instances notice it; a small fleet notices within a second.
+func TestLargeFleetDetectsDeadInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, threeDomains, 30)
 		dead := instance("b", 7)
 		c.kill(func(i Instance) bool { return i == dead })
-		pass(2500 * time.Millisecond)
+		sleep(2500 * time.Millisecond)
 		for _, m := range c.members {
 			require.Equal(t, Down, m.states()[dead.Name], m.Self().Name)
 		}
 	})
 }
 
-// Both relays of each domain die at once, which nobody is told of. The others must find
-// new ones without taking each other for silent for long.
-func TestLargeFleetOutlivesItsRelays(t *testing.T) {
+// Both relays of each domain die at the same time without notice. The other instances must
+// choose new relays without treating each other as silent for long.
+func TestLargeFleetReplacesDeadRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, threeDomains, 30)
-		gone := map[string]bool{}
+		killed := map[string]bool{}
 		for _, domain := range threeDomains {
 			found := c.relaysOf(domain)
-			require.LessOrEqual(t, len(found), relays+1, "all choose the same, and a relay one more")
+			require.LessOrEqual(t, len(found), relaysPerDomain+1, "all choose the same relays, a relay chooses one more")
 			for name := range found {
-				gone[name] = true
+				killed[name] = true
 			}
 		}
-		c.kill(func(i Instance) bool { return gone[i.Name] })
-		pass(3 * time.Second)
+		c.kill(func(i Instance) bool { return killed[i.Name] })
+		sleep(3 * time.Second)
 		c.requireAllUp()
 		for _, m := range c.members {
-			for name := range gone {
+			for name := range killed {
 				require.Equal(t, Down, m.states()[name], "%s at %s", name, m.Self().Name)
 			}
 		}
 	})
 }
 
-// An instance loses its power behind a cut that swallows everything. Two relays that
-// vouched for it by each other's word would keep it alive for good.
-func TestRelaysKeepNoSilentInstanceAlive(t *testing.T) {
+// An instance loses power behind a network partition that drops all packets. Two relays
+// that repeat each other's liveness reports would keep it alive for good.
+func TestRelaysDoNotKeepSilentInstanceAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, threeDomains, 30)
 		lost := instance("c", 3)
-		c.setCut(func(from, to Instance) bool { return from == lost || to == lost })
-		pass(2500 * time.Millisecond)
+		c.setBlocked(func(from, to Instance) bool { return from == lost || to == lost })
+		sleep(2500 * time.Millisecond)
 		for _, m := range c.members {
 			if m.Self() != lost {
 				require.Equal(t, Silent, m.states()[lost.Name], m.Self().Name)
 			}
 		}
-		c.setCut(nil)
-		pass(2 * time.Second)
+		c.setBlocked(nil)
+		sleep(2 * time.Second)
 		c.requireAllUp()
 	})
 }
 
-// A failure domain is cut off. Both sides must know it soon, since each then uses its
-// part of the rates only, and find each other again once the cut ends.
-func TestCutOfADomainIsNoticedInALargeFleet(t *testing.T) {
+// A failure domain is isolated. Both sides must notice it quickly, since each then uses
+// only its share of the rates, and must find each other again when the partition ends.
+func TestLargeFleetDetectsIsolatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, threeDomains, 30)
-		c.setCut(func(from, to Instance) bool { return (from.Domain == "a") != (to.Domain == "a") })
-		pass(time.Second)
+		c.setBlocked(func(from, to Instance) bool { return (from.Domain == "a") != (to.Domain == "a") })
+		sleep(time.Second)
 		for _, m := range c.members {
 			require.Equal(t, m.Self().Domain == "a", m.Isolated(), m.Self().Name)
 		}
-		pass(1500 * time.Millisecond)
+		sleep(1500 * time.Millisecond)
 		for _, m := range c.members {
 			for name, state := range m.states() {
 				want := Up
@@ -264,64 +267,65 @@
 				require.Equal(t, want, state, "%s at %s", name, m.Self().Name)
 			}
 		}
-		c.setCut(nil)
-		pass(2 * time.Second)
+		c.setBlocked(nil)
+		sleep(2 * time.Second)
 		c.requireAllUp()
 	})
 }
 
-// The wall clock jumps back and a process is restarted: its start is before that of the
-// life that ended. Nobody would listen to it, and its callers' requests would not count.
-func TestLifeWithAnEarlierStartIsHeard(t *testing.T) {
+// The wall clock jumps back and a process is restarted. Its start is then before that of
+// the previous incarnation. If peers ignored it, the requests that it admits would not
+// count.
+func TestIncarnationWithEarlierStartIsAccepted(t *testing.T) {
 	for _, perDomain := range []int{4, 30} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, []string{"a", "b"}, perDomain-1)
-			ahead := Instance{Name: "a-x", Domain: "a", Address: "a-x:1", Start: 1_000}
-			c.start(ahead)
-			pass(3 * time.Second)
+			previous := Instance{Name: "a-x", Domain: "a", Address: "a-x:1", Start: 1_000}
+			c.start(previous)
+			sleep(3 * time.Second)
 			c.requireAllUp()
-			c.kill(func(i Instance) bool { return i == ahead })
-			again := ahead
-			again.Start = 10
-			member := c.start(again)
-			pass(3 * time.Second)
+			c.kill(func(i Instance) bool { return i == previous })
+			restarted := previous
+			restarted.Start = 10
+			member := c.start(restarted)
+			sleep(3 * time.Second)
 			c.requireAllUp()
 			member.admit("x")
-			pass(2 * time.Second)
+			sleep(2 * time.Second)
 			synctest.Wait()
 			for _, m := range c.members {
 				if m != member {
-					require.Equal(t, quota.Counts{"x": 1}, m.of["a-x"], m.Self().Name)
+					require.Equal(t, quota.Counts{"x": 1}, m.received["a-x"], m.Self().Name)
 				}
 			}
 		})
 	}
 }
 
-// A relay hears of an instance again after a cut. If it passed on that the instance lives
-// before it passed on what that let in meanwhile, the others would take back its part of
-// the rates first, and the counts would then come on top: they refuse callers that are
-// inside their rates.
-func TestRelayTellsCountsNoLaterThanLife(t *testing.T) {
+// A relay receives heartbeats of an instance again after a network partition. If it
+// reported the instance as alive before it passes on the counts from the time between, the
+// other instances would first take back the share of the rates reserved for that instance
+// and then subtract the counts. They would reject callers that are within their rates.
+func TestRelaySendsCountsBeforeLiveness(t *testing.T) {
 	now := viewStart
-	v, f := NewView(instance("a", 0), ForgetAfter), newFeed(1)
+	v, f := NewView(instance("a", 0), ForgetTimeout), newFeed(1)
 	other := instance("b", 1)
-	v.Heard(now, Heartbeat{From: other, Seq: 1, Admitted: quota.Counts{"x": 1}, Whole: true})
-	first, err := f.answer(now, v, Pull{})
+	v.ApplyHeartbeat(now, Heartbeat{From: other, Seq: 1, Admitted: quota.Counts{"x": 1}, Whole: true})
+	first, err := f.answer(now, v, FeedRequest{})
 	require.NoError(t, err)
 
-	later := now.Add(batchEvery / 2)
-	v.Heard(later, Heartbeat{From: other, Seq: 2, Admitted: quota.Counts{"x": 9}})
-	second, err := f.answer(later, v, Pull{Feed: first.ID, Next: first.Next})
+	later := now.Add(batchInterval / 2)
+	v.ApplyHeartbeat(later, Heartbeat{From: other, Seq: 2, Admitted: quota.Counts{"x": 9}})
+	second, err := f.answer(later, v, FeedRequest{Feed: first.ID, Next: first.Next})
 	require.NoError(t, err)
 	require.Empty(t, second.Batches)
-	require.EqualValues(t, batchEvery/2/ageStep, second.Ages[0])
+	require.EqualValues(t, batchInterval/2/ageStep, second.Ages[0])
 
-	last := now.Add(batchEvery)
-	third, err := f.answer(last, v, Pull{Feed: second.ID, Next: second.Next})
+	last := now.Add(batchInterval)
+	third, err := f.answer(last, v, FeedRequest{Feed: second.ID, Next: second.Next})
 	require.NoError(t, err)
-	news, err := decodeNews(third.Batches)
+	updates, err := decodeUpdates(third.Batches)
 	require.NoError(t, err)
-	require.Equal(t, quota.Counts{"x": 9}, news[0].Admitted)
-	require.EqualValues(t, (batchEvery/2)/ageStep, third.Ages[0])
+	require.Equal(t, quota.Counts{"x": 9}, updates[0].Admitted)
+	require.EqualValues(t, (batchInterval/2)/ageStep, third.Ages[0])
 }
--- a/internal/coordination/routed/mesh/rpc.go
+++ b/internal/coordination/routed/mesh/rpc.go
@@ -1,30 +1,30 @@
 package mesh
 
-// Receiver is the net/rpc receiver that answers other instances. It is
-// registered under ServiceName.
+// Receiver is the net/rpc receiver that answers other instances. It is registered under
+// ServiceName.
 type Receiver struct {
 	mesh *Mesh
 }
 
-// Receiver returns the net/rpc receiver.
 func (m *Mesh) Receiver() *Receiver { return &Receiver{mesh: m} }
 
-// Exchange takes over what the caller tells and tells of this instance.
+// Exchange processes the caller's heartbeat and answers with the heartbeat of this
+// instance.
 func (r *Receiver) Exchange(args *Heartbeat, reply *Heartbeat) error {
-	r.mesh.take(*args)
-	*reply = r.mesh.beatFor(args.From, true)
-	reply.Superseded = r.mesh.superseded(args.From)
+	r.mesh.receive(*args)
+	*reply = r.mesh.heartbeatFor(args.From, true)
+	reply.Superseded = r.mesh.newerStart(args.From)
 	if args.Pull != nil {
-		reply.Feed = r.mesh.feedFor(*args.Pull)
+		reply.Feed = r.mesh.answerFeed(*args.Pull)
 	}
 	return nil
 }
 
-// Snapshot gives the caller what is newer here.
+// Snapshot returns what is newer here than the caller's versions.
 func (r *Receiver) Snapshot(args *SnapshotArgs, reply *SnapshotReply) error {
-	*reply = r.mesh.local.SnapshotSince(*args)
+	*reply = r.mesh.delegate.SnapshotSince(*args)
 	r.mesh.mu.Lock()
 	defer r.mesh.mu.Unlock()
-	reply.Instances = r.mesh.view.Known()
+	reply.Instances = r.mesh.view.Instances()
 	return nil
 }
--- a/internal/coordination/routed/mesh/view.go
+++ b/internal/coordination/routed/mesh/view.go
@@ -7,154 +7,156 @@
 	"merlintiller/internal/coordination/routed/quota"
 )
 
-// State is what is known of another instance's process.
+// State is what is known about the process of another instance.
 type State int
 
 const (
-	// Unheard: it was listed and has not told anything yet.
-	Unheard State = iota
-	// Up: it told something a short while ago.
+	// NeverSeen: the instance was listed and no heartbeat of it has been received yet.
+	NeverSeen State = iota
+	// Up: the last heartbeat is not older than the silence timeout.
 	Up
-	// Silent: it told nothing for longer. It may serve all the same.
+	// Silent: no heartbeat was received within the silence timeout. The instance may still
+	// serve callers.
 	Silent
-	// Down: its machine refused a connection, so the process is not there.
+	// Down: a connection was refused, so the process does not run.
 	Down
 )
 
-// Peer is another instance as it is known here.
+// Peer is another instance with its state in this instance's view.
 type Peer struct {
 	Instance
-	State State
-	Heartbeat  Heartbeat
-	// Heard is when its last message came.
-	Heard time.Time
+	State     State
+	Heartbeat Heartbeat
+	// LastSeen is when the last heartbeat was received.
+	LastSeen time.Time
 }
 
-// View keeps what is known of the other instances. It is pure and not safe for
+// View keeps the state of the other instances. It performs no I/O and is not safe for
 // concurrent use.
 type View struct {
-	self        Instance
-	forgetAfter time.Duration
-	peers       map[string]*entry
-	// names are those of the peers, in order.
+	self          Instance
+	forgetTimeout time.Duration
+	peers         map[string]*entry
+	// names are the names of the peers in sorted order.
 	names []string
-	// digest sums up the hashes of the peers. It is needed several times for each
-	// message, so it is kept and not made anew from all of them.
+	// digest is the XOR of the hashes of all instances. It is needed several times for each
+	// message, so it is updated incrementally and not computed from all peers.
 	digest uint64
 }
 
-// NewView returns a view that knows nobody.
-func NewView(self Instance, forgetAfter time.Duration) *View {
-	return &View{self: self, forgetAfter: forgetAfter, peers: map[string]*entry{}, digest: hashOf(self)}
+// NewView returns a view without peers.
+func NewView(self Instance, forgetTimeout time.Duration) *View {
+	return &View{self: self, forgetTimeout: forgetTimeout, peers: map[string]*entry{}, digest: hashOf(self)}
 }
 
-// pace is how often messages go to and fro in a fleet of this size.
-func (v *View) pace() pace { return paceOf(1 + len(v.peers)) }
+// timing returns the message timing for the current size of the fleet.
+func (v *View) timing() timing { return timingFor(1 + len(v.peers)) }
 
-// large says that the fleet speaks through relays.
-func (v *View) large() bool { return 1+len(v.peers) > smallFleet }
+// usesRelays reports that the fleet is too large for a full mesh.
+func (v *View) usesRelays() bool { return 1+len(v.peers) > maxFullMesh }
 
-// SetSelf names another life of this instance.
+// SetSelf replaces the identity of this instance by another incarnation.
 func (v *View) SetSelf(self Instance) {
 	v.digest ^= hashOf(v.self) ^ hashOf(self)
 	v.self = self
 }
 
-// add makes an instance known.
 func (v *View) add(i Instance) *entry {
 	e := &entry{}
 	v.peers[i.Name] = e
 	at, _ := slices.BinarySearch(v.names, i.Name)
 	v.names = slices.Insert(v.names, at, i.Name)
-	v.rename(e, i)
+	v.setInstance(e, i)
 	return e
 }
 
-// rename notes which life of an instance is there.
-func (v *View) rename(e *entry, i Instance) {
+// setInstance sets the incarnation of a peer. A new incarnation starts without counts and
+// status.
+func (v *View) setInstance(e *entry, i Instance) {
 	if e.Instance == i {
 		return
 	}
 	v.digest ^= e.hash
 	e.Instance, e.hash, e.rank = i, hashOf(i), rankOf(i)
 	v.digest ^= e.hash
-	e.counts, e.changed, e.complete = quota.Counts{}, nil, false
-	e.standing, e.introduced, e.born = Standing{}, false, time.Time{}
+	e.counts, e.pendingCounts, e.complete = quota.Counts{}, nil, false
+	e.status, e.announced, e.startedAt = PeerStatus{}, false, time.Time{}
 }
 
-// remove forgets an instance.
 func (v *View) remove(name string) {
 	v.digest ^= v.peers[name].hash
 	delete(v.peers, name)
 	v.names = slices.DeleteFunc(v.names, func(other string) bool { return other == name })
 }
 
-// informed says that a life of an instance knows the buckets of the rates.
-func (v *View) informed(i Instance) bool {
+// hasQuotaState reports whether an incarnation has reported that it knows the state of the
+// rate buckets.
+func (v *View) hasQuotaState(i Instance) bool {
 	e := v.peers[i.Name]
-	return e != nil && e.beat.Informed && e.beat.From.Start == i.Start
+	return e != nil && e.heartbeat.Informed && e.heartbeat.From.Start == i.Start
 }
 
-// Listed adds instances that somebody names. What an instance told itself goes
-// before what others say of it, unless they name a later life.
-func (v *View) Listed(now time.Time, list []Instance) {
+// AddInstances adds instances from a list. What an instance has reported itself takes
+// precedence over the list, unless the list has a later incarnation.
+func (v *View) AddInstances(now time.Time, list []Instance) {
 	for _, i := range list {
 		if i.Name == v.self.Name {
 			continue
 		}
 		known := v.peers[i.Name]
 		if known == nil {
-			v.add(i).heard = now.Add(-SilentAfter)
+			v.add(i).lastSeen = now.Add(-SilenceTimeout)
 			continue
 		}
 		if i.Start > known.Start {
-			v.rename(known, i)
+			v.setInstance(known, i)
 			known.down = false
 		}
 	}
 }
 
-// Heard takes over a message. It is not fresh if a later one came before.
-func (v *View) Heard(now time.Time, beat Heartbeat) (fresh bool) {
-	name := beat.From.Name
+// ApplyHeartbeat records a heartbeat. It returns false if a later one of the same instance
+// was received before.
+func (v *View) ApplyHeartbeat(now time.Time, heartbeat Heartbeat) (fresh bool) {
+	name := heartbeat.From.Name
 	if name == v.self.Name {
 		return false
 	}
 	known := v.peers[name]
 	if known == nil {
-		known = v.add(beat.From)
+		known = v.add(heartbeat.From)
 	}
-	later := beat.From.Start > known.beat.From.Start ||
-		beat.From.Start == known.beat.From.Start && beat.Seq > known.beat.Seq
+	later := heartbeat.From.Start > known.heartbeat.From.Start ||
+		heartbeat.From.Start == known.heartbeat.From.Start && heartbeat.Seq > known.heartbeat.Seq
 	if !later {
 		return false
 	}
-	v.rename(known, beat.From)
-	known.beat = beat
-	known.heard = now
+	v.setInstance(known, heartbeat.From)
+	known.heartbeat = heartbeat
+	known.lastSeen = now
 	known.down = false
-	if known.born.IsZero() {
-		known.born = now.Add(-beat.Uptime)
+	if known.startedAt.IsZero() {
+		known.startedAt = now.Add(-heartbeat.Uptime)
 	}
-	known.note(&beat)
+	known.record(&heartbeat)
 	return true
 }
 
-// Superseded gives the start of the life that is known of an instance if that is later
-// than a sender's, else 0.
+// NewerStart returns the start of a later incarnation of the sender if one is known, else
+// 0.
 //
-// What goes wrong without it: a start is read from the wall clock. That jumps back, the
-// process is restarted, and its new life looks older than the one that ended. Nobody
-// would listen to it until it is forgotten.
-func (v *View) Superseded(sender Instance) int64 {
-	if known := v.peers[sender.Name]; known != nil && sender.Start < max(known.Start, known.beat.From.Start) {
-		return max(known.Start, known.beat.From.Start)
+// A start is read from the wall clock. If the clock jumps back and the process is
+// restarted, the new incarnation looks older than the previous one. Without this correction
+// peers would ignore its heartbeats until they forget the previous one.
+func (v *View) NewerStart(sender Instance) int64 {
+	if known := v.peers[sender.Name]; known != nil && sender.Start < max(known.Start, known.heartbeat.From.Start) {
+		return max(known.Start, known.heartbeat.From.Start)
 	}
 	return 0
 }
 
-// Refused notes that an address refused a connection.
-func (v *View) Refused(now time.Time, address string) (names []string) {
+// MarkRefused records that an address refused a connection.
+func (v *View) MarkRefused(now time.Time, address string) (names []string) {
 	for name, e := range v.peers {
 		if e.Address == address && !e.down {
 			e.down, e.downAt, e.dirty = true, now, true
@@ -164,49 +166,49 @@
 	return names
 }
 
-// Forget drops instances that were silent for long and gives them.
-func (v *View) Forget(now time.Time) (gone []Instance) {
+// Forget removes the instances that have been silent for the forget timeout and returns
+// them.
+func (v *View) Forget(now time.Time) (removed []Instance) {
 	for name, e := range v.peers {
-		if now.Sub(e.heard) > v.forgetAfter {
-			gone = append(gone, e.Instance)
+		if now.Sub(e.lastSeen) > v.forgetTimeout {
+			removed = append(removed, e.Instance)
 			v.remove(name)
 		}
 	}
-	return gone
+	return removed
 }
 
-// Peers gives the other instances by name.
+// Peers returns the other instances, sorted by name.
 func (v *View) Peers(now time.Time) []Peer {
 	out := make([]Peer, 0, len(v.peers))
 	v.each(now, func(e *entry, state State) { out = append(out, e.peer(state)) })
 	return out
 }
 
-// each calls do for each of the other instances, by name. It copies nothing: what an
-// instance told last is several hundred bytes, and a large fleet is looked through many
-// times a second.
+// each calls do for each peer, sorted by name. It does not copy heartbeats, which have
+// several hundred bytes: in a large fleet all peers are visited many times a second.
 func (v *View) each(now time.Time, do func(e *entry, state State)) {
-	pace := v.pace()
+	t := v.timing()
 	for _, name := range v.names {
 		e := v.peers[name]
-		do(e, v.state(now, e, pace))
+		do(e, v.state(now, e, t))
 	}
 }
 
-// Up gives the instances of a failure domain that are heard and do not leave.
+// Up returns the instances of a failure domain that are up and not leaving.
 func (v *View) Up(now time.Time, domain string) []Instance {
 	var out []Instance
 	v.each(now, func(e *entry, state State) {
-		if state == Up && e.Domain == domain && !e.beat.Leaving {
+		if state == Up && e.Domain == domain && !e.heartbeat.Leaving {
 			out = append(out, e.Instance)
 		}
 	})
 	return out
 }
 
-// Alive counts the other instances of a failure domain whose processes are not known to be
-// gone, heard or not.
-func (v *View) Alive(now time.Time, domain string) (count int) {
+// CountNotDown returns the number of other instances of a failure domain whose processes
+// are not known to be down, silent ones included.
+func (v *View) CountNotDown(now time.Time, domain string) (count int) {
 	v.each(now, func(e *entry, state State) {
 		if state != Down && e.Domain == domain {
 			count++
@@ -215,72 +217,74 @@
 	return count
 }
 
-// Claims gives the batch items that instances which are heard run for others.
+// Claims returns the batch items that instances that are up run without owning the
+// partition.
 func (v *View) Claims(now time.Time) []Claim {
 	var out []Claim
 	v.each(now, func(e *entry, state State) {
 		if state == Up {
-			out = append(out, e.beat.Claims...)
+			out = append(out, e.heartbeat.Claims...)
 		}
 	})
 	return out
 }
 
-func (v *View) state(now time.Time, e *entry, pace pace) State {
+func (v *View) state(now time.Time, e *entry, t timing) State {
 	switch {
-	case e.down && v.vouched(now, e.Domain):
+	case e.down && v.refusalIsConclusive(now, e.Domain):
 		return Down
-	case e.down && e.beat.Seq > 0:
+	case e.down && e.heartbeat.Seq > 0:
 		return Silent
 	case e.down:
 		return Down
-	case e.beat.Seq == 0:
-		return Unheard
-	case now.Sub(e.heard) > pace.silentAfter:
+	case e.heartbeat.Seq == 0:
+		return NeverSeen
+	case now.Sub(e.lastSeen) > t.silenceTimeout:
 		return Silent
 	default:
 		return Up
 	}
 }
 
-// vouched says that a refused connection to a failure domain means that a process is
-// not there, since another instance of the domain is heard. Cuts between failure
-// domains refuse connections too.
+// refusalIsConclusive reports whether a refused connection to a failure domain shows that
+// the process does not run. That holds in the own domain, and in another domain if any of
+// its instances is reachable.
 //
-// What goes wrong if each refusal is believed: a cut resets connections, and each
-// side takes the other for dead. Both then use the whole of each rate, and the slots
-// of the others' runs count as free while targets still work on them.
-func (v *View) vouched(now time.Time, domain string) bool {
+// Network partitions between failure domains can reset connections as well. If each refusal
+// were taken as conclusive, both sides of a partition would treat the other as dead. Both
+// would then use the whole of each rate, and slots that the other side's requests occupy
+// would count as free while the targets still work on them.
+func (v *View) refusalIsConclusive(now time.Time, domain string) bool {
 	if domain == v.self.Domain {
 		return true
 	}
 	for _, e := range v.peers {
-		if e.Domain == domain && !e.quiet(now) {
+		if e.Domain == domain && !e.silent(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// SilentDomains says of each other failure domain whether nobody of it was heard
-// for a while, of those that were heard before. In a
-// large fleet that shows before each single instance counts as silent. While nobody
-// at all is heard, no domain counts as silent: then this instance is the one that
-// is cut off, and its paths to targets may be whole.
+// SilentDomains reports whether all instances of a failure domain have been silent for
+// SilenceTimeout, for each other domain of which an instance has been seen. In a large
+// fleet this is noticed before the single instances count as silent. If no instance at all
+// is reachable, no domain counts as silent: then this instance itself is isolated, and its
+// connections to targets may still work.
 func (v *View) SilentDomains(now time.Time) map[string]bool {
 	silent := map[string]bool{}
 	anyHeard := false
 	for _, e := range v.peers {
-		if e.beat.Seq == 0 {
+		if e.heartbeat.Seq == 0 {
 			continue
 		}
-		quiet := e.quiet(now)
-		anyHeard = anyHeard || !quiet
+		entrySilent := e.silent(now)
+		anyHeard = anyHeard || !entrySilent
 		if e.Domain == v.self.Domain {
 			continue
 		}
 		if before, known := silent[e.Domain]; !known || before {
-			silent[e.Domain] = quiet
+			silent[e.Domain] = entrySilent
 		}
 	}
 	if !anyHeard {
@@ -291,24 +295,25 @@
 	return silent
 }
 
-// CutOff says that nobody of another failure domain is heard, though instances there
-// were heard before. Some cuts refuse connections, others swallow them.
-func (v *View) CutOff(now time.Time) bool {
-	cut := false
+// Isolated reports that instances of other failure domains have been seen and all of them
+// are silent now. Some network partitions refuse connections, others drop packets; both
+// count.
+func (v *View) Isolated(now time.Time) bool {
+	isolated := false
 	for _, e := range v.peers {
-		if e.Domain == v.self.Domain || e.beat.Seq == 0 {
+		if e.Domain == v.self.Domain || e.heartbeat.Seq == 0 {
 			continue
 		}
-		if !e.quiet(now) {
+		if !e.silent(now) {
 			return false
 		}
-		cut = true
+		isolated = true
 	}
-	return cut
+	return isolated
 }
 
-// Known gives all instances, this one included.
-func (v *View) Known() []Instance {
+// Instances returns all known instances, this one included.
+func (v *View) Instances() []Instance {
 	out := []Instance{v.self}
 	for _, e := range v.peers {
 		out = append(out, e.Instance)
@@ -316,32 +321,31 @@
 	return out
 }
 
-// Digest sums up which instances are known, so that two that know different ones
-// notice.
+// Digest returns a digest of the known instances. It differs between two instances that
+// know different ones.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Lost names instances whose process is not there, or that were silent for so
-// long.
-func (v *View) Lost(now time.Time, silentFor time.Duration) []Instance {
+// PresumedDead returns the instances that are down or have been silent for the given time.
+func (v *View) PresumedDead(now time.Time, silentFor time.Duration) []Instance {
 	var out []Instance
 	for _, e := range v.peers {
-		if e.down || now.Sub(e.heard) > silentFor {
+		if e.down || now.Sub(e.lastSeen) > silentFor {
 			out = append(out, e.Instance)
 		}
 	}
 	return out
 }
 
-// Holder gives the instance that holds a partition by the latest generation
-// that anybody told. Silent instances are not asked.
-func (v *View) Holder(now time.Time, partition int) (Peer, bool) {
+// OwnerOf returns the instance that owns a partition, by the latest generation that any
+// instance reports. Only instances that are up are considered.
+func (v *View) OwnerOf(now time.Time, partition int) (Peer, bool) {
 	var best Peer
 	found := false
 	v.each(now, func(e *entry, state State) {
-		if state != Up || !slices.Contains(e.beat.Partitions, partition) {
+		if state != Up || !slices.Contains(e.heartbeat.Partitions, partition) {
 			return
 		}
-		if !found || e.beat.Generation > best.Heartbeat.Generation {
+		if !found || e.heartbeat.Generation > best.Heartbeat.Generation {
 			best, found = e.peer(state), true
 		}
 	})
--- a/internal/coordination/routed/mesh/view_test.go
+++ b/internal/coordination/routed/mesh/view_test.go
@@ -15,8 +15,8 @@
 	return Instance{Name: name, Domain: domain, Address: name + ":1", Start: 1}
 }
 
-func heard(v *View, now time.Time, i Instance, seq uint64) bool {
-	return v.Heard(now, Heartbeat{From: i, Seq: seq})
+func applyHeartbeat(v *View, now time.Time, i Instance, seq uint64) bool {
+	return v.ApplyHeartbeat(now, Heartbeat{From: i, Seq: seq})
 }
 
 func stateOf(t *testing.T, v *View, now time.Time, i Instance) State {
@@ -26,117 +26,119 @@
 			return p.State
 		}
 	}
-	require.Fail(t, "not known", i.Name)
-	return Unheard
+	require.Fail(t, "instance is not known", i.Name)
+	return NeverSeen
 }
 
-func TestStatesFollowWhatIsHeard(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
+func TestPeerStates(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
 	other := instance("a", 1)
-	v.Listed(viewStart, []Instance{other})
-	require.Equal(t, Unheard, stateOf(t, v, viewStart, other))
-	require.True(t, heard(v, viewStart, other, 1))
+	v.AddInstances(viewStart, []Instance{other})
+	require.Equal(t, NeverSeen, stateOf(t, v, viewStart, other))
+	require.True(t, applyHeartbeat(v, viewStart, other, 1))
 	require.Equal(t, Up, stateOf(t, v, viewStart, other))
-	require.Equal(t, Silent, stateOf(t, v, viewStart.Add(SilentAfter+time.Millisecond), other))
-	v.Refused(viewStart, other.Address)
+	require.Equal(t, Silent, stateOf(t, v, viewStart.Add(SilenceTimeout+time.Millisecond), other))
+	v.MarkRefused(viewStart, other.Address)
 	require.Equal(t, Down, stateOf(t, v, viewStart, other))
-	again := other
-	again.Start++
-	v.Listed(viewStart, []Instance{again})
-	require.NotEqual(t, Down, stateOf(t, v, viewStart, other), "a later life is another process")
-	require.Len(t, v.Forget(viewStart.Add(ForgetAfter+time.Millisecond)), 1)
+	restarted := other
+	restarted.Start++
+	v.AddInstances(viewStart, []Instance{restarted})
+	require.NotEqual(t, Down, stateOf(t, v, viewStart, other), "a later incarnation is another process")
+	require.Len(t, v.Forget(viewStart.Add(ForgetTimeout+time.Millisecond)), 1)
 	require.Empty(t, v.Peers(viewStart))
 }
 
-// Two messages of an instance overtake each other on different connections, or
-// one of a life that has ended comes late. Taken over, it would bring back what
-// is not true any more.
-func TestOlderMessagesAreNotTakenOver(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
+// Two messages of an instance may overtake each other on different connections, and a
+// message of a previous incarnation may arrive late. If it were applied, it would restore
+// an outdated state.
+func TestOlderHeartbeatsAreIgnored(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
 	other := instance("a", 1)
-	require.True(t, heard(v, viewStart, other, 2))
-	require.False(t, heard(v, viewStart, other, 1))
+	require.True(t, applyHeartbeat(v, viewStart, other, 2))
+	require.False(t, applyHeartbeat(v, viewStart, other, 1))
 	later := other
 	later.Start++
-	require.True(t, heard(v, viewStart, later, 1))
-	require.False(t, heard(v, viewStart, other, 3))
+	require.True(t, applyHeartbeat(v, viewStart, later, 1))
+	require.False(t, applyHeartbeat(v, viewStart, other, 3))
 }
 
-// The path to a failure domain is cut. In a large fleet each instance is heard
-// so seldom that its own silence shows only after a second or two; until then
-// requests would go to the domain's targets and wait in vain.
-func TestSilentDomainShowsBeforeItsInstancesDo(t *testing.T) {
+// A failure domain is unreachable. In a large fleet a single instance counts as silent only
+// after a second or two. Until then requests would go to targets of that domain and get no
+// answer.
+func TestDomainIsSilentBeforeItsInstances(t *testing.T) {
 	const perDomain = 30
-	v := NewView(instance("a", 0), ForgetAfter)
+	v := NewView(instance("a", 0), ForgetTimeout)
 	for n := 1; n < perDomain; n++ {
-		heard(v, viewStart, instance("a", n), 1)
-		heard(v, viewStart, instance("b", n), 1)
+		applyHeartbeat(v, viewStart, instance("a", n), 1)
+		applyHeartbeat(v, viewStart, instance("b", n), 1)
 	}
-	now := viewStart.Add(SilentAfter + time.Millisecond)
-	heard(v, now, instance("a", 1), 2)
+	now := viewStart.Add(SilenceTimeout + time.Millisecond)
+	applyHeartbeat(v, now, instance("a", 1), 2)
 	require.Equal(t, Up, stateOf(t, v, now, instance("b", 1)))
 	require.True(t, v.SilentDomains(now)["b"])
-	heard(v, now, instance("b", 1), 2)
+	applyHeartbeat(v, now, instance("b", 1), 2)
 	require.False(t, v.SilentDomains(now)["b"])
 }
 
-// An instance that hears nobody is cut off itself. If it took all domains for
-// silent, it would leave targets that it may reach as well as ever.
-func TestNoDomainIsSilentForOneThatHearsNobody(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
-	heard(v, viewStart, instance("a", 1), 1)
-	heard(v, viewStart, instance("b", 1), 1)
+// An instance that receives no heartbeats at all is isolated itself. If it treated all
+// domains as silent, it would stop using targets that it can still reach.
+func TestIsolatedInstanceReportsNoSilentDomain(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
+	applyHeartbeat(v, viewStart, instance("a", 1), 1)
+	applyHeartbeat(v, viewStart, instance("b", 1), 1)
 	require.False(t, v.SilentDomains(viewStart.Add(time.Minute))["b"])
 }
 
-// Partitions are dealt anew while the old holder is cut off. Both say that they
-// hold one; a call that went to the old holder would get old results.
-func TestHolderIsTheOneWithTheLatestGeneration(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
-	v.Heard(viewStart, Heartbeat{From: instance("a", 1), Seq: 1, Partitions: []int{3}, Generation: 7})
-	v.Heard(viewStart, Heartbeat{From: instance("a", 2), Seq: 1, Partitions: []int{3}, Generation: 8})
-	holder, ok := v.Holder(viewStart, 3)
+// Partitions are reassigned while their previous owner is isolated. Both instances then
+// report that they own a partition. A call to the previous owner would get outdated
+// results.
+func TestOwnerHasLatestGeneration(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
+	v.ApplyHeartbeat(viewStart, Heartbeat{From: instance("a", 1), Seq: 1, Partitions: []int{3}, Generation: 7})
+	v.ApplyHeartbeat(viewStart, Heartbeat{From: instance("a", 2), Seq: 1, Partitions: []int{3}, Generation: 8})
+	owner, ok := v.OwnerOf(viewStart, 3)
 	require.True(t, ok)
-	require.Equal(t, instance("a", 2).Name, holder.Name)
-	_, ok = v.Holder(viewStart, 4)
+	require.Equal(t, instance("a", 2).Name, owner.Name)
+	_, ok = v.OwnerOf(viewStart, 4)
 	require.False(t, ok)
 }
 
-// A cut between failure domains resets connections. Each refusal looks as if a process
-// were gone; were all of them believed, both sides would use the whole of each rate,
-// and organisations would get twice as much as they may.
-func TestDomainThatRefusesAltogetherIsCutOff(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
+// A network partition between failure domains resets connections, and each refusal looks as
+// if a process did not run. If each refusal were believed, both sides would use the whole
+// of each rate, and organisations would get twice their rate.
+func TestFullyRefusingDomainIsSilent(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
 	near, one, two := instance("a", 1), instance("b", 0), instance("b", 1)
 	for _, i := range []Instance{near, one, two} {
-		heard(v, viewStart, i, 1)
+		applyHeartbeat(v, viewStart, i, 1)
 	}
-	v.Refused(viewStart, one.Address)
-	require.Equal(t, Down, stateOf(t, v, viewStart, one), "another one of its domain is heard")
-	require.False(t, v.CutOff(viewStart))
+	v.MarkRefused(viewStart, one.Address)
+	require.Equal(t, Down, stateOf(t, v, viewStart, one), "another instance of its domain is reachable")
+	require.False(t, v.Isolated(viewStart))
 
-	v.Refused(viewStart, two.Address)
+	v.MarkRefused(viewStart, two.Address)
 	require.Equal(t, Silent, stateOf(t, v, viewStart, one))
 	require.Equal(t, Silent, stateOf(t, v, viewStart, two))
 	require.Equal(t, map[string]bool{"b": true}, v.SilentDomains(viewStart))
-	require.True(t, v.CutOff(viewStart))
-	v.Refused(viewStart, near.Address)
+	require.True(t, v.Isolated(viewStart))
+	v.MarkRefused(viewStart, near.Address)
 	require.Equal(t, Down, stateOf(t, v, viewStart, near))
 
-	heard(v, viewStart, two, 2)
+	applyHeartbeat(v, viewStart, two, 2)
 	require.Equal(t, Up, stateOf(t, v, viewStart, two))
 	require.Equal(t, Down, stateOf(t, v, viewStart, one))
-	require.False(t, v.CutOff(viewStart))
+	require.False(t, v.Isolated(viewStart))
 }
 
-// The last instance that is heard of the others falls silent without a refusal.
-func TestCutOffWhenNoOtherDomainIsHeard(t *testing.T) {
-	v := NewView(instance("a", 0), ForgetAfter)
-	require.False(t, v.CutOff(viewStart), "no other domain is known")
-	heard(v, viewStart, instance("a", 1), 1)
-	v.Listed(viewStart, []Instance{instance("b", 0)})
-	require.False(t, v.CutOff(viewStart), "nobody was heard yet")
-	heard(v, viewStart, instance("b", 0), 1)
-	require.False(t, v.CutOff(viewStart.Add(SilentAfter)))
-	require.True(t, v.CutOff(viewStart.Add(SilentAfter+time.Millisecond)))
+// The last reachable instance of the other domains falls silent without refusing a
+// connection.
+func TestIsolatedWhenNoOtherDomainIsReachable(t *testing.T) {
+	v := NewView(instance("a", 0), ForgetTimeout)
+	require.False(t, v.Isolated(viewStart), "no other domain is known")
+	applyHeartbeat(v, viewStart, instance("a", 1), 1)
+	v.AddInstances(viewStart, []Instance{instance("b", 0)})
+	require.False(t, v.Isolated(viewStart), "no heartbeat of another domain was received yet")
+	applyHeartbeat(v, viewStart, instance("b", 0), 1)
+	require.False(t, v.Isolated(viewStart.Add(SilenceTimeout)))
+	require.True(t, v.Isolated(viewStart.Add(SilenceTimeout+time.Millisecond)))
 }
