--- a/internal/coordination/routed/quota/pacer.go
+++ b/internal/coordination/routed/quota/pacer.go
@@ -6,68 +6,71 @@
 )
 
 const (
-	// lowShare is the part of a burst below which a bucket runs low.
-	lowShare = 0.5
-	// useUp is the time in which what a low bucket holds may be used, beside the rate.
-	useUp = 250 * time.Millisecond
-	// usedFor is the time over which it is counted where requests are let in, evenTime of the
-	// rate counts as if it were let in evenly by all instances.
-	usedFor  = 2 * time.Second
-	evenTime = 500 * time.Millisecond
-	// aheadMost is how many times its part of a low bucket an instance may use at once, and
-	// leastTurn the least. Requests come in clumps.
-	aheadMost = 4
-	leastTurn = 1
-	// freshShare is the part of the patience with instances up to which what they told is
-	// fresh enough to use a burst by.
+	// lowLevelShare is the share of a burst below which a bucket counts as low.
+	lowLevelShare = 0.5
+	// drainTime is the time in which the level of a low bucket may be used, in addition to
+	// the rate.
+	drainTime = 250 * time.Millisecond
+	// usageWindow is the time constant with which the recorded admissions decay.
+	// evenUsageTime is the time for which the rate is counted as if it had been admitted
+	// evenly by all instances.
+	usageWindow   = 2 * time.Second
+	evenUsageTime = 500 * time.Millisecond
+	// An instance may use up to maxAheadFactor times its share of a low bucket's level at
+	// once, but at least minTokens, because requests arrive in bursts.
+	maxAheadFactor = 4
+	minTokens      = 1
+	// freshShare is the share of the silence timeout up to which the mean age of the
+	// reports is low enough to use the burst.
 	freshShare = 0.4
 )
 
-// pacer limits what one instance lets in of a bucket that runs low, to the part of the
-// organisation's requests that come here.
+// pacer limits what one instance admits from a low bucket to the share of the
+// organisation's requests that arrive at this instance.
 //
-// The load it answers: an organisation sends several times its rate to many instances. What
-// one lets in is known to the others some hundred milliseconds later. If each used whatever
-// its copy of the bucket holds, all of them would begin at the same moment and stop as much
-// too late, again and again; and instances that are cut off from each other would use the
-// whole of what was left until they notice.
+// It is needed if an organisation sends several times its rate to many instances. What one
+// instance admits is known to the others only some hundred milliseconds later. If each used
+// whatever its own copy of the bucket holds, all of them would start at the same time and
+// stop too late by the same delay, repeatedly. Instances that are isolated from each
+// other would use the whole of the remaining level until they notice it.
 type pacer struct {
-	// used is what all instances let in lately, usedHere what this one did.
-	used, usedHere float64
-	// part is the part of it that this instance may use now.
-	part   float64
-	tokens float64
-	at     time.Time
+	// fleetUsage is what all instances admitted recently, ownUsage what this instance did.
+	fleetUsage, ownUsage float64
+	// share is the share of fleetUsage that this instance may use.
+	share     float64
+	tokens    float64
+	updatedAt time.Time
 }
 
-// lets says whether a request may be let in that the bucket has a token for, and counts it.
-func (p *pacer) lets(now time.Time, limit Limit, level float64, parts parts) bool {
-	elapsed := max(0, now.Sub(p.at).Seconds())
-	p.at = now
-	decay := math.Exp(-elapsed / usedFor.Seconds())
-	p.used, p.usedHere = p.used*decay, p.usedHere*decay
-	pace, most := limit.Rate*parts.group, float64(leastTurn)
-	if parts.fresh {
-		even := limit.Rate * evenTime.Seconds()
-		p.part = (p.usedHere + even/parts.heard) / (p.used + even)
-		pace += level / useUp.Seconds()
-		most = max(most, aheadMost*p.part*level)
+// admit reports whether to admit a request for which the bucket has a token, and counts the
+// request if so.
+func (p *pacer) admit(now time.Time, limit Limit, level float64, s shares) bool {
+	elapsed := max(0, now.Sub(p.updatedAt).Seconds())
+	p.updatedAt = now
+	decay := math.Exp(-elapsed / usageWindow.Seconds())
+	p.fleetUsage, p.ownUsage = p.fleetUsage*decay, p.ownUsage*decay
+	rate, maxTokens := limit.Rate*s.reachableShare, float64(minTokens)
+	if s.fresh {
+		even := limit.Rate * evenUsageTime.Seconds()
+		p.share = (p.ownUsage + even/s.reachable) / (p.fleetUsage + even)
+		rate += level / drainTime.Seconds()
+		maxTokens = max(maxTokens, maxAheadFactor*p.share*level)
 	}
-	p.tokens = min(most, p.tokens+p.part*pace*elapsed)
-	if parts.fresh && level >= lowShare*limit.Burst*parts.group {
-		p.tokens = most
-		p.note()
+	p.tokens = min(maxTokens, p.tokens+p.share*rate*elapsed)
+	if s.fresh && level >= lowLevelShare*limit.Burst*s.reachableShare {
+		p.tokens = maxTokens
+		p.recordAdmission()
 		return true
 	}
 	if p.tokens < 1 {
 		return false
 	}
 	p.tokens--
-	p.note()
+	p.recordAdmission()
 	return true
 }
 
-func (p *pacer) note() {
-	p.used++
-	p.usedHere++
+func (p *pacer) recordAdmission() {
+	p.fleetUsage++
+	p.ownUsage++
 }
--- a/internal/coordination/routed/quota/quota.go
+++ b/internal/coordination/routed/quota/quota.go
@@ -1,20 +1,20 @@
-// Package quota holds organisations to their rates over all instances together.
+// Package quota enforces the rates of organisations over all instances together.
 //
-// Each instance keeps a token bucket for each organisation that stands for the
-// whole fleet: it fills at the organisation's rate, loses a token for each
-// request that this instance lets in, and loses what other instances let in as
-// soon as they tell. So a rate is used wherever its callers are, without a
-// message for each request; what is let in between two messages is a debt that
-// the next refusals pay. A bucket that runs low is used by each instance for the
-// part of the organisation's requests that come to it.
+// Each instance keeps a token bucket per organisation for the whole fleet. The bucket fills
+// at the organisation's rate. It loses a token for each request that this instance admits,
+// and the tokens of requests that other instances have admitted as soon as they report
+// them. So a rate can be used wherever its callers are, without a message for each request.
+// Requests that several instances admit between two reports may drive a bucket below zero.
+// The next requests are rejected until that debt is repaid. From a bucket that is low, each
+// instance admits only the share of the organisation's requests that arrive at it.
 //
-// The bucket fills by the time for which others were heard. An instance that has
-// not been heard may let requests in all the same, cut off with callers of its
-// own: its part of the rate and burst is left to it while it is silent. Both
-// sides of a cut do so, and the parts add up to the whole.
+// The bucket is filled for the time for which reports of the other instances are known. An
+// instance that is silent may still admit requests: it may be isolated and have callers of
+// its own. So its share of the rate and burst is reserved for it while it is silent. Both
+// sides of a network partition do so, and the shares add up to the whole.
 //
-// An instance that has just started knows nothing of the buckets. It takes them
-// over from one that does, and until then uses no more than its part.
+// An instance that has just started does not know the levels of the buckets. It adopts them
+// from an instance that knows them, and until then uses no more than its share.
 package quota
 
 import (
@@ -23,177 +23,187 @@
 )
 
 const (
-	// leastCap is the smallest burst that an instance keeps to itself when the
-	// others are silent. Below one token it could let nothing in at all, and at one
-	// it would lose what comes in until the next request does.
-	leastCap = 1.25
-	// aloneAfter is how long an instance waits to hear of the buckets from one
-	// that knows them. All instances may have started anew.
-	aloneAfter = time.Second
-	// likelyDead is the part of the fleet up to which silent instances are taken for
-	// dead, so that nothing is left to them. One of nine that lost its power for good
-	// would otherwise take a ninth of every rate with it until it is forgotten. If they
-	// live all the same, cut off with callers of their own, organisations get that
-	// much more than their rate for as long: users bear a tenth and some requests.
-	// Beyond that part silence is most likely a cut, where both sides serve.
-	likelyDead = 0.12
-	// refillEvery is how old a bucket's last refill may be when something is taken off it.
-	// An older one would let more spill over than there was room for.
-	refillEvery = 50 * time.Millisecond
-	// fullMargin is how far below its cap a bucket may be to count as full, so
-	// that it is not told.
+	// minCapacity is the smallest capacity of a bucket whose burst is reduced to this
+	// instance's share. With less than one token the instance could admit nothing at all.
+	// With exactly one it would lose the tokens that arrive before the next request.
+	minCapacity = 1.25
+	// stateWaitTimeout is how long a new instance waits for the levels from an instance
+	// that knows them. There may be none, if all instances have been restarted.
+	stateWaitTimeout = time.Second
+	// presumedDeadShare is the share of the fleet up to which silent instances are presumed
+	// dead, so that nothing is reserved for them. Otherwise one instance of nine that has
+	// lost power for good would withhold a ninth of every rate until it is forgotten. If
+	// the silent instances are alive after all, isolated with callers of their own,
+	// organisations get that much more than their rate for that time. Users tolerate a
+	// tenth and some requests more. If a larger share is silent, the cause is most likely a
+	// network partition in which both sides serve.
+	presumedDeadShare = 0.12
+	// maxRefillAge is the maximum age of a bucket's last refill when tokens are taken off
+	// it. With an older one, the next refill would add tokens for which the bucket had no
+	// room before the others were taken off.
+	maxRefillAge = 50 * time.Millisecond
+	// fullMargin is how far below its capacity a bucket may be to count as full and be left
+	// out of reports.
 	fullMargin = 0.5
 )
 
-// Limit is what an organisation may ask of the whole fleet. A rate of 0 is no
-// limit.
+// Limit is the limit of an organisation over the whole fleet. A rate of 0 means no limit.
 type Limit struct {
-	// Rate is in requests a second, Burst in requests on top.
+	// Rate is in requests per second. Burst is in requests.
 	Rate, Burst float64
 }
 
-// Counts are requests let in since an instance started, by organisation, less
-// those that were given back.
+// Counts are the requests admitted since an instance's start, less those refunded, by
+// organisation.
 type Counts map[string]int64
 
-// BucketLevels are the buckets that are not full. Nil says that they are not known.
+// BucketLevels are the levels of the buckets that are not full, by organisation. Nil means
+// that they are not known.
 type BucketLevels map[string]float64
 
-// Ledger keeps the buckets. It is pure and not safe for concurrent use.
-type Ledger struct {
-	// began is when this life started, now the latest moment that it was told of.
-	began, now time.Time
-	// informed says that the buckets were taken over from one that knew them, or
-	// that nobody did.
-	informed bool
-	limits   map[string]Limit
-	accounts map[string]*account
-	peers    map[string]*peer
+// Buckets keeps the buckets of all organisations. It performs no I/O and is not safe for
+// concurrent use.
+type Buckets struct {
+	// startedAt is the start of this incarnation, now the latest time that was passed in.
+	startedAt, now time.Time
+	// hasQuotaState reports that the levels were adopted from an instance that knew them,
+	// or that no instance knows them.
+	hasQuotaState bool
+	limits        map[string]Limit
+	buckets       map[string]*bucket
+	peers         map[string]*peer
 }
 
-type account struct {
-	level float64
-	own   int64
-	// share is the part of the burst that may be used here, as of the last refill. aside and
-	// asideDebt are what was set aside for the others.
-	share, aside, asideDebt float64
-	// levels are what level was lately.
-	levels history
-	// settled is the time for which the bucket was filled, filledAt when it was.
-	settled  time.Duration
-	filledAt time.Time
-	pacer    pacer
+type bucket struct {
+	level    float64
+	admitted int64
+	// share is the share of the burst that this instance may use, as of the last refill.
+	// reserved and reservedDebt are the tokens and the debt set aside for silent instances.
+	share, reserved, reservedDebt float64
+	// history has the recent values of level.
+	history history
+	// creditedTime is the time for which the bucket has been filled, refilledAt when that
+	// was last done.
+	creditedTime time.Duration
+	refilledAt   time.Time
+	pacer        pacer
 }
 
 type peer struct {
-	start int64
-	heard time.Time
-	// known is when it became known.
-	known time.Time
-	gone  bool
-	// informed says that it knows the buckets, met that its counts are known.
-	informed, met bool
-	// patience is the silence after which its part is left to it.
-	patience time.Duration
-	counts   Counts
+	start    int64
+	lastSeen time.Time
+	// knownSince is when this instance learned of the peer.
+	knownSince time.Time
+	down       bool
+	// hasQuotaState reports that the peer knows the levels. hasBaseline reports that the
+	// peer's counts are known, so that changes of them can be applied.
+	hasQuotaState, hasBaseline bool
+	// silenceTimeout is the time without a report after which the peer's share is reserved
+	// for it.
+	silenceTimeout time.Duration
+	counts         Counts
 }
 
-// New returns a ledger of an instance that starts now.
-func New(now time.Time) *Ledger {
-	return &Ledger{
-		began:    now,
-		now:      now,
-		limits:   map[string]Limit{},
-		accounts: map[string]*account{},
-		peers:    map[string]*peer{},
+// NewBuckets returns the buckets of an instance that starts now.
+func NewBuckets(now time.Time) *Buckets {
+	return &Buckets{
+		startedAt: now,
+		now:       now,
+		limits:    map[string]Limit{},
+		buckets:   map[string]*bucket{},
+		peers:     map[string]*peer{},
 	}
 }
 
-// SetLimits takes over the limits of all organisations. Buckets keep their
-// level, cut to a smaller burst.
-func (l *Ledger) SetLimits(now time.Time, limits map[string]Limit) {
-	l.refillAll(now)
-	l.limits = limits
-	for name, a := range l.accounts {
+// SetLimits replaces the limits of all organisations. Buckets keep their level unless it
+// exceeds a smaller burst.
+func (bs *Buckets) SetLimits(now time.Time, limits map[string]Limit) {
+	bs.refillAll(now)
+	bs.limits = limits
+	for name, b := range bs.buckets {
 		limit, known := limits[name]
 		if !known {
-			delete(l.accounts, name)
+			delete(bs.buckets, name)
 			continue
 		}
-		a.level = min(a.level, l.cap(limit, a.share))
+		b.level = min(b.level, bs.capacity(limit, b.share))
 	}
 }
 
-// Report is what another instance tells.
+// Report is the quota state in a message of another instance.
 type Report struct {
 	Instance string
-	// Start tells its lives apart.
+	// Start distinguishes the incarnations of the instance.
 	Start int64
-	// Counts are what it let in since its start: all if Whole, else those that
-	// changed.
+	// Counts are the requests that the instance has admitted since its start: all of them
+	// if Full is set, else those that changed.
 	Counts Counts
-	Full  bool
-	// Uptime is the time since its start.
+	Full   bool
+	// Uptime is the time since the instance's start.
 	Uptime time.Duration
-	// HasQuotaState says that it knows the buckets, Levels are those, nil if they are not told.
+	// HasQuotaState reports that the instance knows the levels. Levels is nil if the
+	// message does not carry them.
 	HasQuotaState bool
-	Levels   BucketLevels
-	// SilenceTimeout is the silence after which its part is left to it.
+	Levels        BucketLevels
+	// SilenceTimeout is the time without a report after which the instance's share is
+	// reserved for it.
 	SilenceTimeout time.Duration
 }
 
-// ApplyReport takes over what another instance tells.
-func (l *Ledger) ApplyReport(now time.Time, r Report) {
-	l.now = now
-	p := l.peers[r.Instance]
-	if p == nil || p.start != r.Start || p.gone {
-		l.divide(now, func() { p = l.meet(now, p, r) })
+// ApplyReport processes a report of another instance.
+func (bs *Buckets) ApplyReport(now time.Time, r Report) {
+	bs.now = now
+	p := bs.peers[r.Instance]
+	if p == nil || p.start != r.Start || p.down {
+		bs.changePeers(now, func() { p = bs.registerPeer(now, p, r) })
 	}
-	if p.met && len(r.Counts) > 0 {
-		l.take(now, p, r.Counts)
+	if p.hasBaseline && len(r.Counts) > 0 {
+		bs.applyCounts(now, p, r.Counts)
 	}
-	p.heard, p.informed, p.patience = now, r.HasQuotaState, r.SilenceTimeout
-	l.inform(now, r.Levels)
+	p.lastSeen, p.hasQuotaState, p.silenceTimeout = now, r.HasQuotaState, r.SilenceTimeout
+	bs.adoptLevels(now, r.Levels)
 }
 
-// take counts what an instance let in. That it lives is noted after this: the tokens of
-// the time until now come after what it used of them.
-func (l *Ledger) take(now time.Time, p *peer, counts Counts) {
+// applyCounts takes the requests that a peer has admitted off the buckets. It must be
+// called before the peer's last report time is updated: the tokens for the time until now
+// are added only after what the peer has used of them.
+func (bs *Buckets) applyCounts(now time.Time, p *peer, counts Counts) {
 	for org, count := range counts {
 		if count == p.counts[org] {
 			continue
 		}
-		a := l.account(now, org)
-		if now.Sub(a.filledAt) > refillEvery {
-			l.refill(now, org, l.parts(now))
+		b := bs.bucket(now, org)
+		if now.Sub(b.refilledAt) > maxRefillAge {
+			bs.refill(now, org, bs.shares(now))
 		}
-		a.level -= float64(count - p.counts[org])
-		a.pacer.used += float64(count - p.counts[org])
+		b.level -= float64(count - p.counts[org])
+		b.pacer.fleetUsage += float64(count - p.counts[org])
 		p.counts[org] = count
 	}
 }
 
-// meet notes an instance, or a new life of one. Its counts are taken from the
-// first message that has all of them.
-func (l *Ledger) meet(now time.Time, before *peer, r Report) *peer {
-	if before != nil && before.start == r.Start {
-		before.gone = false
-		return before
+// registerPeer adds a peer, or replaces its previous incarnation. The peer's baseline is
+// the first report with all counts.
+func (bs *Buckets) registerPeer(now time.Time, previous *peer, r Report) *peer {
+	if previous != nil && previous.start == r.Start {
+		previous.down = false
+		return previous
 	}
-	p := &peer{start: r.Start, known: now, counts: Counts{}}
-	if before != nil && before.start == 0 {
-		p.known = before.known
+	p := &peer{start: r.Start, knownSince: now, counts: Counts{}}
+	if previous != nil && previous.start == 0 {
+		p.knownSince = previous.knownSince
 	}
-	l.peers[r.Instance] = p
-	if r.Uptime <= now.Sub(l.began) {
-		// All that it let in counts here, also what is told later.
-		p.met = true
+	bs.peers[r.Instance] = p
+	if r.Uptime <= now.Sub(bs.startedAt) {
+		// The peer started after this instance. All requests that it has admitted are taken
+		// off here, also those reported later.
+		p.hasBaseline = true
 		return p
 	}
-	// It has been there for longer. What it let in before counts in the buckets
-	// that are taken over.
+	// The peer started before this instance. The requests that it admitted until now are
+	// already part of the levels that are adopted.
 	if r.Full {
-		p.met = true
+		p.hasBaseline = true
 		p.counts = maps.Clone(r.Counts)
 		if p.counts == nil {
 			p.counts = Counts{}
@@ -204,163 +214,167 @@
 	return p
 }
 
-// Liveness says when an instance was heard of by another one.
+// Liveness is a report of when another instance last received a heartbeat from an instance.
 type Liveness struct {
 	Instance string
-	// Start tells its lives apart.
+	// Start distinguishes the incarnations of the instance.
 	Start int64
 	At    time.Time
 }
 
-// ConfirmAlive takes over signs of instances that told nothing new.
-func (l *Ledger) ConfirmAlive(now time.Time, signs []Liveness) {
-	l.now = now
-	for _, s := range signs {
-		p := l.peers[s.Instance]
-		if p == nil || p.start != s.Start && p.start != 0 || !s.At.After(p.heard) {
+// ConfirmAlive processes liveness reports about instances that reported nothing new.
+func (bs *Buckets) ConfirmAlive(now time.Time, reports []Liveness) {
+	bs.now = now
+	for _, r := range reports {
+		p := bs.peers[r.Instance]
+		if p == nil || p.start != r.Start && p.start != 0 || !r.At.After(p.lastSeen) {
 			continue
 		}
-		if p.gone {
-			l.divide(now, func() { p.gone = false })
+		if p.down {
+			bs.changePeers(now, func() { p.down = false })
 		}
-		p.heard = s.At
+		p.lastSeen = r.At
 	}
 }
 
-// inform takes the buckets over, once, and not before it is known whose there are.
-func (l *Ledger) inform(now time.Time, levels BucketLevels) {
-	if l.informed || levels == nil || len(l.limits) == 0 {
+// adoptLevels adopts the levels of the buckets, once only, and not before the limits are
+// known: without them the organisations are not known.
+func (bs *Buckets) adoptLevels(now time.Time, levels BucketLevels) {
+	if bs.hasQuotaState || levels == nil || len(bs.limits) == 0 {
 		return
 	}
-	l.divide(now, func() { l.informed = true })
-	parts := l.parts(now)
-	for org, limit := range l.limits {
-		a := l.account(now, org)
-		a.level = l.cap(limit, parts.own)
-		if level, told := levels[org]; told {
-			a.level = min(a.level, level)
+	bs.changePeers(now, func() { bs.hasQuotaState = true })
+	s := bs.shares(now)
+	for org, limit := range bs.limits {
+		b := bs.bucket(now, org)
+		b.level = bs.capacity(limit, s.own)
+		if level, found := levels[org]; found {
+			b.level = min(b.level, level)
 		}
 	}
 }
 
-// BucketLevels gives the buckets that are not full, nil if they are not known.
-func (l *Ledger) BucketLevels(now time.Time) BucketLevels {
-	l.now = now
-	if !l.knows(now) {
+// BucketLevels returns the buckets that are not full, nil if the state of the buckets is not
+// known.
+func (bs *Buckets) BucketLevels(now time.Time) BucketLevels {
+	bs.now = now
+	if !bs.resolveQuotaState(now) {
 		return nil
 	}
 	levels := BucketLevels{}
-	parts := l.parts(now)
-	for org, a := range l.accounts {
-		l.refill(now, org, parts)
-		if a.level < l.cap(l.limits[org], a.share)-fullMargin {
-			levels[org] = a.level
+	s := bs.shares(now)
+	for org, b := range bs.buckets {
+		bs.refill(now, org, s)
+		if b.level < bs.capacity(bs.limits[org], b.share)-fullMargin {
+			levels[org] = b.level
 		}
 	}
 	return levels
 }
 
-// knows says whether the buckets are known. If nobody else can know them, they
-// are taken as they are here.
-func (l *Ledger) knows(now time.Time) bool {
-	if !l.informed && (l.nobodyKnows() || now.Sub(l.began) > aloneAfter) {
-		l.informed = true
-		settled := l.parts(now).settled
-		for _, a := range l.accounts {
-			a.settled = settled
+// resolveQuotaState reports whether the levels are known. If no other instance can know
+// them, or none has sent them within stateWaitTimeout, the levels here become the valid
+// ones.
+func (bs *Buckets) resolveQuotaState(now time.Time) bool {
+	if !bs.hasQuotaState && (bs.quotaStateLost() || now.Sub(bs.startedAt) > stateWaitTimeout) {
+		bs.hasQuotaState = true
+		credited := bs.shares(now).creditedTime
+		for _, b := range bs.buckets {
+			b.creditedTime = credited
 		}
 	}
-	return l.informed
+	return bs.hasQuotaState
 }
 
-// nobodyKnows says that the buckets are lost with all who knew them. While no other instance
-// is known that can't be said.
-func (l *Ledger) nobodyKnows() bool {
-	if len(l.peers) == 0 {
+// quotaStateLost reports that no instance that knows the levels is left. That can't be said
+// while no other instance is known.
+func (bs *Buckets) quotaStateLost() bool {
+	if len(bs.peers) == 0 {
 		return false
 	}
-	for _, p := range l.peers {
-		if !p.gone && (p.heard.IsZero() || p.informed) {
+	for _, p := range bs.peers {
+		if !p.down && (p.lastSeen.IsZero() || p.hasQuotaState) {
 			return false
 		}
 	}
 	return true
 }
 
-// AddPeer makes an instance known that was not heard yet.
-func (l *Ledger) AddPeer(now time.Time, name string) {
-	l.now = now
-	if l.peers[name] == nil {
-		l.divide(now, func() { l.peers[name] = &peer{known: now, counts: Counts{}} })
+// AddPeer adds an instance that has not reported yet.
+func (bs *Buckets) AddPeer(now time.Time, name string) {
+	bs.now = now
+	if bs.peers[name] == nil {
+		bs.changePeers(now, func() { bs.peers[name] = &peer{knownSince: now, counts: Counts{}} })
 	}
 }
 
-// MarkDown notes that an instance can let nothing in any more.
-func (l *Ledger) MarkDown(name string) {
-	if p := l.peers[name]; p != nil && !p.gone {
-		l.divide(l.now, func() { p.gone = true })
+// MarkDown records that an instance can admit no more requests.
+func (bs *Buckets) MarkDown(name string) {
+	if p := bs.peers[name]; p != nil && !p.down {
+		bs.changePeers(bs.now, func() { p.down = true })
 	}
 }
 
-// Decision is whether a request is let in, and by what that was decided.
+// Decision is the answer to a request for admission, with the values that it is based on.
 type Decision struct {
 	Admitted bool
-	// Wait is how long it takes until one more may come, if it is not.
+	// Wait is the time until the next request can be admitted. It is set if Admitted is
+	// not.
 	Wait time.Duration
-	// Level is the tokens that were there, Share the part of the fleet that may
-	// be used here.
+	// Level is the bucket's level in tokens before the decision. Share is the share of the
+	// fleet's burst that this instance may use.
 	Level, Share float64
 }
 
-// Admit lets a request in, or says how long it takes until one more may come.
-func (l *Ledger) Admit(now time.Time, org string) Decision {
-	limit, known := l.limits[org]
+// Admit decides whether to admit a request of an organisation.
+func (bs *Buckets) Admit(now time.Time, org string) Decision {
+	limit, known := bs.limits[org]
 	if !known || limit.Rate <= 0 {
 		return Decision{Admitted: true, Share: 1}
 	}
-	l.now = now
-	a := l.account(now, org)
-	parts := l.parts(now)
-	l.refill(now, org, parts)
-	d := Decision{Level: a.level, Share: a.share}
-	if a.level >= 1 && a.pacer.lets(now, limit, a.level, parts) {
-		a.level--
-		a.own++
+	bs.now = now
+	b := bs.bucket(now, org)
+	s := bs.shares(now)
+	bs.refill(now, org, s)
+	d := Decision{Level: b.level, Share: b.share}
+	if b.level >= 1 && b.pacer.admit(now, limit, b.level, s) {
+		b.level--
+		b.admitted++
 		d.Admitted = true
 		return d
 	}
-	d.Wait = time.Duration((1 - a.level) / (limit.Rate * a.share) * float64(time.Second))
+	d.Wait = time.Duration((1 - b.level) / (limit.Rate * b.share) * float64(time.Second))
 	return d
 }
 
 // Refund returns the token of a request that did not run.
-func (l *Ledger) Refund(org string) {
-	if a := l.accounts[org]; a != nil {
-		a.level++
-		a.own--
+func (bs *Buckets) Refund(org string) {
+	if b := bs.buckets[org]; b != nil {
+		b.level++
+		b.admitted--
 	}
 }
 
-// AdmittedCounts gives what this instance let in since its start.
-func (l *Ledger) AdmittedCounts() Counts {
-	counts := make(Counts, len(l.accounts))
-	for name, a := range l.accounts {
-		if a.own != 0 {
-			counts[name] = a.own
+// AdmittedCounts returns the requests that this instance has admitted since its start.
+func (bs *Buckets) AdmittedCounts() Counts {
+	counts := make(Counts, len(bs.buckets))
+	for name, b := range bs.buckets {
+		if b.admitted != 0 {
+			counts[name] = b.admitted
 		}
 	}
 	return counts
 }
 
-func (l *Ledger) account(now time.Time, org string) *account {
-	a := l.accounts[org]
-	if a == nil {
-		parts := l.parts(now)
-		a = &account{
-			settled: parts.settled, filledAt: now, share: parts.own, level: l.cap(l.limits[org], parts.own),
-			pacer: pacer{at: now, part: 1 / parts.heard, tokens: leastTurn},
+func (bs *Buckets) bucket(now time.Time, org string) *bucket {
+	b := bs.buckets[org]
+	if b == nil {
+		s := bs.shares(now)
+		b = &bucket{
+			creditedTime: s.creditedTime, refilledAt: now, share: s.own, level: bs.capacity(bs.limits[org], s.own),
+			pacer: pacer{updatedAt: now, share: 1 / s.reachable, tokens: minTokens},
 		}
-		l.accounts[org] = a
+		bs.buckets[org] = b
 	}
-	return a
+	return b
 }
--- a/internal/coordination/routed/quota/shares.go
+++ b/internal/coordination/routed/quota/shares.go
@@ -2,66 +2,68 @@
 
 import "time"
 
-// parts says how the rates are divided among the instances now. It is the same for
-// all organisations.
-type parts struct {
-	// own is the part of the bursts that may be used here: all but those of silent
-	// instances, if they are more than may be dead, and the own part alone while the
-	// buckets are not known.
+// shares describes how the rates are currently divided among the instances. It is the same
+// for all organisations.
+type shares struct {
+	// own is the share of the bursts that this instance may use: all but the shares of
+	// silent instances, if those are more than may be presumed dead. While the levels are
+	// not known, it is this instance's share alone.
 	own float64
-	// quietSince is when the first of the instances was heard last that are not heard now.
-	quietSince time.Time
-	// settled is the time for which the rates may be used here, as a mean over all
-	// instances. The own time counts until now, that of another instance until it was
-	// heard: what it let in since is not known yet.
+	// silentSince is the earliest time of the last report among the instances that are
+	// suspected or known to be silent.
+	silentSince time.Time
+	// creditedTime is the time for which the rates may be used here, as a mean over all
+	// instances. The time of this instance counts until now. The time of another instance
+	// counts until its last report, since what it has admitted after that is not known yet.
 	//
-	// What goes wrong without that: instances are cut off from each other while an
-	// organisation sends more than its rate. Until they notice, each would use the whole
-	// rate, and a fleet that notices after a second lets in some rates' seconds too much.
-	settled time.Duration
-	// heard is how many instances are heard, this one included, and group the part of the
-	// rates that is theirs together. fresh says that what they told is not old.
-	heard, group float64
-	fresh        bool
+	// Otherwise a network partition, while an organisation sends more than its rate, would
+	// let each instance use the whole rate until it notices. A fleet that notices after a
+	// second would admit several seconds' worth of the rate too much.
+	creditedTime time.Duration
+	// reachable is the number of reachable instances, this one included. reachableShare is
+	// their share of the rates together. fresh reports that their reports are recent, see
+	// freshShare.
+	reachable, reachableShare float64
+	fresh                     bool
 }
 
-func (l *Ledger) parts(now time.Time) parts {
-	size, heard, quiet := 1.0, 1.0, 0.0
-	settled, quietSince := now.Sub(l.began), now
-	var silentFor, ages, patience time.Duration
-	for _, p := range l.peers {
-		if p.gone {
+func (bs *Buckets) shares(now time.Time) shares {
+	size, reachable, suspected := 1.0, 1.0, 0.0
+	credited, silentSince := now.Sub(bs.startedAt), now
+	var silentFor, ages, silenceTimeout time.Duration
+	for _, p := range bs.peers {
+		if p.down {
 			continue
 		}
 		size++
-		at := p.heardOrKnown()
-		settled += at.Sub(l.began)
-		if q := p.quiet(now); q > 0 {
-			quiet += q
-			quietSince = earlier(quietSince, at)
+		at := p.lastSeenOrKnown()
+		credited += at.Sub(bs.startedAt)
+		if q := p.suspicion(now); q > 0 {
+			suspected += q
+			silentSince = earlier(silentSince, at)
 		}
-		if l.silent(now, p) {
+		if bs.silent(now, p) {
 			silentFor += now.Sub(at)
 			continue
 		}
-		heard++
+		reachable++
 		ages += now.Sub(at)
-		patience = max(patience, p.patience)
+		silenceTimeout = max(silenceTimeout, p.silenceTimeout)
 	}
-	if !l.knows(now) {
-		return parts{own: 1 / size, settled: time.Duration(float64(now.Sub(l.began)) / size), heard: 1, group: 1 / size, fresh: true}
+	if !bs.resolveQuotaState(now) {
+		return shares{own: 1 / size, creditedTime: time.Duration(float64(now.Sub(bs.startedAt)) / size), reachable: 1, reachableShare: 1 / size, fresh: true}
 	}
-	out := parts{own: 1, heard: heard, group: heard / size, quietSince: quietSince}
-	out.fresh = float64(ages) <= freshShare*float64(patience)*(heard-1)
-	if quiet/size > likelyDead {
-		out.own = 1 - quiet/size
+	out := shares{own: 1, reachable: reachable, reachableShare: reachable / size, silentSince: silentSince}
+	out.fresh = float64(ages) <= freshShare*float64(silenceTimeout)*(reachable-1)
+	if suspected/size > presumedDeadShare {
+		out.own = 1 - suspected/size
 	}
-	if out.group >= 1-likelyDead {
-		// They are most likely dead, and their parts are used by the others.
-		settled += silentFor
-		out.group = 1
+	if out.reachableShare >= 1-presumedDeadShare {
+		// The silent instances are presumed dead, and the others use their shares.
+		credited += silentFor
+		out.reachableShare = 1
 	}
-	out.settled = time.Duration(float64(settled) / size)
+	out.creditedTime = time.Duration(float64(credited) / size)
 	return out
 }
 
@@ -72,89 +74,93 @@
 	return a
 }
 
-func (l *Ledger) silent(now time.Time, p *peer) bool {
-	return !p.gone && (p.heard.IsZero() || now.Sub(p.heard) > p.patience)
+func (bs *Buckets) silent(now time.Time, p *peer) bool {
+	return !p.down && (p.lastSeen.IsZero() || now.Sub(p.lastSeen) > p.silenceTimeout)
 }
 
-// heardOrKnown is when the instance was heard last, or became known without being heard.
-func (p *peer) heardOrKnown() time.Time {
-	if p.heard.IsZero() {
-		return p.known
+// lastSeenOrKnown returns the time of the last report, or the time at which the instance
+// became known if it has not reported yet.
+func (p *peer) lastSeenOrKnown() time.Time {
+	if p.lastSeen.IsZero() {
+		return p.knownSince
 	}
-	return p.heard
+	return p.lastSeen
 }
 
-// calmShare is the part of its patience for which an instance that tells nothing is not
-// suspected of being cut off. Later its part of the bursts is left to it bit by bit, so
-// that a burst is not used on both sides of a cut that is noticed a moment later.
-const calmShare = 0.5
+// trustedShare is the share of the silence timeout for which an instance that does not
+// report is not suspected to be silent. After that its share of the bursts is gradually
+// reserved for it, so that a burst is not used on both sides of a network partition before
+// the partition is noticed.
+const trustedShare = 0.5
 
-// quiet says how far an instance counts as silent, from 0 to 1.
-func (p *peer) quiet(now time.Time) float64 {
-	if p.heard.IsZero() {
+// suspicion returns the degree to which an instance counts as silent, from 0 to 1.
+func (p *peer) suspicion(now time.Time) float64 {
+	if p.lastSeen.IsZero() {
 		return 1
 	}
-	calm := calmShare * float64(p.patience)
-	beyond := float64(now.Sub(p.heard)) - calm
-	return min(1, max(0, beyond/max(1, float64(p.patience)-calm)))
+	trusted := trustedShare * float64(p.silenceTimeout)
+	beyond := float64(now.Sub(p.lastSeen)) - trusted
+	return min(1, max(0, beyond/max(1, float64(p.silenceTimeout)-trusted)))
 }
 
-// refill adds the tokens of the time that was settled since the last look.
-func (l *Ledger) refill(now time.Time, org string, parts parts) {
-	a, limit := l.accounts[org], l.limits[org]
-	a.levels.note(now, a.level)
-	l.setAside(a, parts)
-	gained := max(0, parts.settled-a.settled)
-	a.settled += gained
-	a.filledAt = now
-	a.level = min(a.level+limit.Rate*gained.Seconds(), l.cap(limit, a.share))
+// refill adds the tokens for the time credited since the last refill.
+func (bs *Buckets) refill(now time.Time, org string, s shares) {
+	b, limit := bs.buckets[org], bs.limits[org]
+	b.history.add(now, b.level)
+	bs.updateReserve(b, s)
+	gained := max(0, s.creditedTime-b.creditedTime)
+	b.creditedTime += gained
+	b.refilledAt = now
+	b.level = min(b.level+limit.Rate*gained.Seconds(), bs.capacity(limit, b.share))
 }
 
-// setAside leaves parts of what is in a bucket, or of what it owes, to instances that are
-// not heard, and takes them back when these are heard again: then what they used of it
-// shows in their counts. They know of no debts but those of the time when they were heard.
-func (l *Ledger) setAside(a *account, parts parts) {
-	share := parts.own
+// updateReserve reserves shares of a bucket's level, or of its debt, for instances that are
+// silent, and takes them back when these are reachable again, because what they used is
+// then part of their counts. A silent instance knows only the debt of the time when it was
+// last seen, so only that much debt is left to it.
+func (bs *Buckets) updateReserve(b *bucket, s shares) {
+	share := s.own
 	switch {
-	case share < a.share:
-		if shared := a.levels.at(parts.quietSince) * (1 - share); shared < a.asideDebt {
-			a.level += a.asideDebt - shared
-			a.asideDebt = shared
+	case share < b.share:
+		if knownDebt := b.history.at(s.silentSince) * (1 - share); knownDebt < b.reservedDebt {
+			b.level += b.reservedDebt - knownDebt
+			b.reservedDebt = knownDebt
 		}
-		if kept := a.level * share / a.share; kept < a.level {
-			a.aside += a.level - kept
-			a.level = kept
+		if kept := b.level * share / b.share; kept < b.level {
+			b.reserved += b.level - kept
+			b.level = kept
 		}
-	case share > a.share:
-		left := (1 - share) / (1 - a.share)
-		a.level += (a.aside + a.asideDebt) * (1 - left)
-		a.aside, a.asideDebt = a.aside*left, a.asideDebt*left
+	case share > b.share:
+		remaining := (1 - share) / (1 - b.share)
+		b.level += (b.reserved + b.reservedDebt) * (1 - remaining)
+		b.reserved, b.reservedDebt = b.reserved*remaining, b.reservedDebt*remaining
 	}
-	a.share = share
+	b.share = share
 }
 
-func (l *Ledger) refillAll(now time.Time) {
-	if len(l.accounts) == 0 {
+func (bs *Buckets) refillAll(now time.Time) {
+	if len(bs.buckets) == 0 {
 		return
 	}
-	parts := l.parts(now)
-	for org := range l.accounts {
-		l.refill(now, org, parts)
+	s := bs.shares(now)
+	for org := range bs.buckets {
+		bs.refill(now, org, s)
 	}
 }
 
-// divide changes who is there. What came in before goes by who was there until now.
-func (l *Ledger) divide(now time.Time, change func()) {
-	l.refillAll(now)
+// changePeers applies a change of the set of instances. The time before the change is
+// credited by the previous set.
+func (bs *Buckets) changePeers(now time.Time, change func()) {
+	bs.refillAll(now)
 	change()
-	settled := l.parts(now).settled
-	for _, a := range l.accounts {
-		a.settled = settled
+	credited := bs.shares(now).creditedTime
+	for _, b := range bs.buckets {
+		b.creditedTime = credited
 	}
 }
 
-// cap is the most tokens that a bucket holds: the burst, less the parts of
-// silent instances.
-func (l *Ledger) cap(limit Limit, share float64) float64 {
-	return max(leastCap, limit.Burst*share)
+// capacity returns the maximum level of a bucket: the burst without the shares of silent
+// instances.
+func (bs *Buckets) capacity(limit Limit, share float64) float64 {
+	return max(minCapacity, limit.Burst*share)
 }
