--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -20,50 +20,51 @@
 )
 
 const (
-	// stallLimit ends a run whose target does not go on; the item goes on
-	// elsewhere. Slowed targets make several events in that time, and a full one lets
-	// an item wait.
-	stallLimit = 1500 * time.Millisecond
-	// longestRun bounds the time that a target is given for a run: twice the
-	// usual run, and some more. Where the path to a target is cut, the item
-	// goes on elsewhere, and the target must not keep the slot for long. An item
-	// that needs more goes on at the next target.
-	longestRun = 15 * time.Second
+	// stallTimeout ends a run whose target sends no event; the item then continues
+	// at another target. Slow targets send several events in that time; a full
+	// target may keep an item waiting.
+	stallTimeout = 1500 * time.Millisecond
+	// maxRunTime bounds the run time granted to a target: twice the usual run time
+	// and a reserve. If the path to a target is interrupted, the item continues at
+	// another target, and the first one must not hold the slot for long. An item
+	// that needs more time continues at the next target.
+	maxRunTime = 15 * time.Second
 )
 
-// task is an item on its way to its result. The runner's lock guards the fields
-// that it and the runs share; text and position belong to the run.
+// task is an item that has no result yet. The runner's lock guards the fields that
+// the runner and the run share; text and position belong to the run.
 type task struct {
 	openItem
-	runner *Runner
-	home   *holding
+	runner  *Runner
+	replica *partitionReplica
 
 	notBefore time.Time
 	cancel    context.CancelFunc
 	choice    placement.Choice
 	yielding  bool
 	ended     bool
-	// late says that the item can't be done in time any more.
+	// late says that the item can no longer be done by its deadline.
 	late bool
-	// inherited says that another instance may have begun the item; until claimsUntil
-	// it may still say that it runs it.
-	inherited   bool
-	claimsUntil time.Time
-	// worked is the time that runs have taken so far, began when the last one did.
-	worked time.Duration
-	began  time.Time
+	// mayRunElsewhere says that another instance may have started the item. Until
+	// claimsUntil, that instance may still claim it.
+	mayRunElsewhere bool
+	claimsUntil     time.Time
+	// runTime is the time that runs have taken so far, startedAt the start of the
+	// last run.
+	runTime   time.Duration
+	startedAt time.Time
 
-	// output is what came since it was kept last.
-	output   output
+	// output is what was received since output was last stored.
+	output   pendingOutput
 	text     strings.Builder
 	events   int
 	position int
-	// failures are runs that the target ended as failed, troubles those that
-	// broke off in a row.
-	failures, troubles int
+	// failures counts the runs that a target reported as failed, interruptions the
+	// interrupted runs in a row.
+	failures, interruptions int
 }
 
-// service is where the item runs by the configuration in force.
+// service returns the service for the item under the configuration in force.
 func (t *task) service(table *route.Table) (string, bool) {
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
 	if !ok {
@@ -72,20 +73,20 @@
 	return r.Choose(t.id.item)
 }
 
-// clockMargin is how far the wall clocks of two instances may be apart, one of which took
-// the job. They may jump by seconds, and back again.
+// clockMargin bounds the difference between the wall clocks of two instances, one of
+// which accepted the job. Clocks may jump by seconds, and back again.
 const clockMargin = 10 * time.Second
 
-// expires is when the item's time is over by anybody's clock.
-func (t *task) expires() time.Time { return t.job.GiveUp.Add(clockMargin) }
+// expiresAt is when the item has expired by the clock of every instance.
+func (t *task) expiresAt() time.Time { return t.job.GiveUp.Add(clockMargin) }
 
-// hopeless says why an item can't be done any more.
-func (t *task) hopeless(now time.Time, table *route.Table) string {
-	if !t.job.GiveUp.IsZero() && now.After(t.expires()) {
+// failureReason says why an item can no longer be done, or is empty.
+func (t *task) failureReason(now time.Time, table *route.Table) string {
+	if !t.job.GiveUp.IsZero() && now.After(t.expiresAt()) {
 		return "expired"
 	}
 	r, ok := table.Match(t.job.Host, t.job.Prefix)
-	// A configuration older than the job does not know its route yet.
+	// A configuration older than the job may not have its route yet.
 	if (!ok || r.Kind != route.Batch) && table.Version() >= t.job.ConfigVersion {
 		return "route_removed"
 	}
@@ -95,23 +96,23 @@
 	return ""
 }
 
-// giveUp ends the item as failed. It may be called with the runner's lock.
-func (t *task) giveUp(reason string) {
+// fail ends the item with a failed result. The caller may hold the runner's lock.
+func (t *task) fail(reason string) {
 	_ = level.Info(t.runner.opts.Logger).Log("event", "item_failed", "item", t.id.item, "job", t.id.job, "reason", reason,
 		"failures", t.failures, "position", t.position)
 	go t.runner.finish(t, jobs.Result{Item: t.id.item, Outcome: jobs.Failed, Text: t.text.String()})
 }
 
-// ending is how a run ended.
-type ending int
+// runOutcome says how a run ended.
+type runOutcome int
 
 const (
-	whole ending = iota
-	refused
-	failedRun
-	impossible
-	broken
-	left
+	completed runOutcome = iota
+	rejected
+	failedAtTarget
+	unprocessable
+	interrupted
+	cancelled
 )
 
 // run sends the item to a target and reads its output to the end.
@@ -119,148 +120,151 @@
 	opts := t.runner.opts
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var silent atomic.Bool
-	stall := time.AfterFunc(stallLimit, func() {
-		silent.Store(true)
+	var stalled atomic.Bool
+	stall := time.AfterFunc(stallTimeout, func() {
+		stalled.Store(true)
 		cancel()
 	})
 	defer stall.Stop()
-	began, from := time.Now(), t.position
-	how, result, err := t.exchange(ctx, choice, stall)
-	if silent.Load() {
-		how, result = broken, placement.Silent
+	start, from := time.Now(), t.position
+	outcome, result, err := t.sendAndRead(ctx, choice, stall)
+	if stalled.Load() {
+		outcome, result = interrupted, placement.TimedOut
 	}
-	t.hasWorked(time.Since(began))
+	t.addRunTime(time.Since(start))
 	opts.Placer.Done(choice, result)
 	_ = level.Info(opts.Logger).Log("event", "item_run", "item", t.id.item, "job", t.id.job, "target", choice.ID,
-		"broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots, "how", how.String(), "from", from, "position", t.position, "took_ms", time.Since(began).Milliseconds(),
+		"broker", choice.Broker, "busy", choice.Busy, "slots", choice.Slots, "how", outcome.String(), "from", from, "position", t.position, "took_ms", time.Since(start).Milliseconds(),
 		"due_in_ms", time.Until(t.job.Due).Milliseconds(), "err", err)
-	t.after(how)
+	t.handleOutcome(outcome)
 }
 
-// String names an ending in logs.
-func (e ending) String() string {
-	return [...]string{"whole", "refused", "failed", "impossible", "broken", "left"}[e]
+// String is the name of the outcome in logs.
+func (o runOutcome) String() string {
+	return [...]string{"whole", "refused", "failed", "impossible", "broken", "left"}[o]
 }
 
-// after says what comes after a run.
-func (t *task) after(how ending) {
+// handleOutcome finishes the item or queues it for its next run.
+func (t *task) handleOutcome(outcome runOutcome) {
 	r := t.runner
-	switch how {
-	case whole:
+	switch outcome {
+	case completed:
 		r.finish(t, jobs.Result{Item: t.id.item, Outcome: jobs.Succeeded, Text: t.text.String()})
-	case impossible:
-		t.giveUp("impossible")
-	case refused:
-		r.requeue(t, yieldPause)
-	case left:
-		r.requeue(t, yieldPause)
-	case failedRun:
-		t.restart()
-		r.requeue(t, failPause<<min(t.failures, 4))
-	case broken:
-		t.troubles++
-		r.requeue(t, min(failMost, failPause<<min(t.troubles, 5)))
+	case unprocessable:
+		t.fail("impossible")
+	case rejected:
+		r.requeue(t, yieldDelay)
+	case cancelled:
+		r.requeue(t, yieldDelay)
+	case failedAtTarget:
+		t.restartAfterFailure()
+		r.requeue(t, failureBackoff<<min(t.failures, 4))
+	case interrupted:
+		t.interruptions++
+		r.requeue(t, min(maxFailureBackoff, failureBackoff<<min(t.interruptions, 5)))
 	}
 }
 
-// hasWorked counts the time of a run.
-func (t *task) hasWorked(d time.Duration) {
+// addRunTime adds the duration of a run.
+func (t *task) addRunTime(d time.Duration) {
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
-	t.worked += d
+	t.runTime += d
 }
 
-// restart counts a run that failed and forgets its output.
-func (t *task) restart() {
+// restartAfterFailure counts a failed run and discards the output.
+func (t *task) restartAfterFailure() {
 	t.text.Reset()
 	t.runner.mu.Lock()
 	defer t.runner.mu.Unlock()
 	t.failures++
-	t.events, t.position, t.worked = 0, exchange.FromStart, 0
-	t.output.failed(t.failures)
-	if t.home != nil {
-		t.home.keepSoon()
+	t.events, t.position, t.runTime = 0, exchange.FromStart, 0
+	t.output.resetAfterFailure(t.failures)
+	if t.replica != nil {
+		t.replica.requestStore()
 	}
 }
 
-func (t *task) exchange(ctx context.Context, choice placement.Choice, stall *time.Timer) (ending, placement.Result, error) {
+// sendAndRead sends the item to a target and reads the answer.
+func (t *task) sendAndRead(ctx context.Context, choice placement.Choice, stall *time.Timer) (runOutcome, placement.Result, error) {
 	opts := t.runner.opts
 	answer, err := opts.Targets.Send(ctx, choice.Address, t.dispatch(choice))
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			return left, placement.Left, err
+			return cancelled, placement.Cancelled, err
 		case errors.Is(err, external.ErrNotSent):
-			return refused, placement.Unreachable, err
+			return rejected, placement.Unreachable, err
 		default:
-			return broken, placement.Broken, err
+			return interrupted, placement.Broken, err
 		}
 	}
 	defer answer.Close()
 	head := answer.Head()
-	opts.Placer.Told(choice, head.Load)
+	opts.Placer.ReportLoad(choice, head.Load)
 	switch {
 	case head.Elsewhere:
 		opts.Targets.Forget(choice.Address)
-		return refused, placement.Replaced, nil
+		return rejected, placement.Replaced, nil
 	case head.NotRun:
-		return refused, placement.Full, nil
+		return rejected, placement.Full, nil
 	case head.Status == http.StatusUnprocessableEntity:
-		return impossible, placement.Served, nil
+		return unprocessable, placement.Served, nil
 	case head.Status == http.StatusInternalServerError:
-		return failedRun, placement.Served, nil
+		return failedAtTarget, placement.Served, nil
 	case !head.Success():
-		return broken, placement.Broken, nil
+		return interrupted, placement.Broken, nil
 	}
 	return t.read(ctx, answer, stall)
 }
 
+// dispatch is the request for the next run of the item.
 func (t *task) dispatch(choice placement.Choice) *exchange.Dispatch {
 	header := make(http.Header, len(t.item.Header))
 	for name, value := range t.item.Header {
 		header.Set(name, value)
 	}
-	most := longestRun
+	limit := maxRunTime
 	if !t.job.GiveUp.IsZero() {
-		most = min(most, time.Until(t.expires()))
+		limit = min(limit, time.Until(t.expiresAt()))
 	}
 	return &exchange.Dispatch{
 		ID: t.id.item, Method: http.MethodPost, Host: t.job.Host, Path: t.item.Path,
-		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, most),
+		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, limit),
 		After: t.position, Header: header, Body: t.item.Body,
 	}
 }
 
-// errGap: an event is missing, so what follows can't be joined to what is there.
-var errGap = errors.New("an event is missing")
+// errGap means that an event is missing, so that later events can't be joined to the
+// output.
+var errGap = errors.New("gap in the numbers of the stream events")
 
-// read takes the output in, event by event, so that a run that breaks off goes
-// on after the last whole one.
-func (t *task) read(ctx context.Context, answer external.OpenAnswer, stall *time.Timer) (ending, placement.Result, error) {
+// read reads the output event by event, so that after an interruption the next run
+// continues after the last complete event.
+func (t *task) read(ctx context.Context, answer external.OpenAnswer, stall *time.Timer) (runOutcome, placement.Result, error) {
 	events := sse.NewReader(answer)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			t.troubles = 0
-			return whole, placement.Served, nil
+			t.interruptions = 0
+			return completed, placement.Served, nil
 		}
 		if err != nil {
 			if ctx.Err() != nil {
-				return left, placement.Left, err
+				return cancelled, placement.Cancelled, err
 			}
-			return broken, placement.Broken, err
+			return interrupted, placement.Broken, err
 		}
-		stall.Reset(stallLimit)
-		t.runner.opts.Placer.Heard(t.choice.ID)
-		if err := t.take(&event); err != nil {
-			return broken, placement.Broken, err
+		stall.Reset(stallTimeout)
+		t.runner.opts.Placer.DataReceived(t.choice.ID)
+		if err := t.addEvent(&event); err != nil {
+			return interrupted, placement.Broken, err
 		}
 	}
 }
 
-// take adds one event.
-func (t *task) take(event *sse.Event) error {
+// addEvent adds one event to the output.
+func (t *task) addEvent(event *sse.Event) error {
 	if event.Numbered {
 		switch {
 		case t.position != exchange.FromStart && event.Position <= t.position:
--- a/internal/coordination/routed/mesh/bench_test.go
+++ b/internal/coordination/routed/mesh/bench_test.go
@@ -36,7 +36,7 @@
 	go func() { _ = server.Serve(b.Context()) }()
 	heartbeat := Heartbeat{From: instance("a", 2), Admitted: delegate.admitted, Informed: true, Partitions: []int{1, 2}}
 	for i := range 10 {
-		heartbeat.Held = append(heartbeat.Held, placement.Held{Target: fmt.Sprint("i-9c9397eba", i), Online: 2, Batch: 1})
+		heartbeat.Held = append(heartbeat.Held, placement.InFlight{Target: fmt.Sprint("i-9c9397eba", i), Online: 2, Batch: 1})
 	}
 	for b.Loop() {
 		heartbeat.Seq++
--- a/internal/coordination/routed/mesh/heartbeat.go
+++ b/internal/coordination/routed/mesh/heartbeat.go
@@ -46,7 +46,7 @@
 	// StoreAge is the time since the platform's store last answered the sender.
 	StoreAge time.Duration
 	// Held are the slots that the sender occupies at targets.
-	Held []placement.Held
+	Held []placement.InFlight
 	// Admitted counts the requests that the sender has admitted, by organisation. It has
 	// all counts if Whole is set, else only the counts that changed since the last message.
 	Admitted quota.Counts
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -58,9 +58,9 @@
 	mesh    *mesh.Mesh
 	peers   *peer.Server
 	calls   *peer.Client
-	keeper  *batchjobs.Keeper
+	keeper  *batchjobs.PartitionOwner
 	runner  *batchjobs.Runner
-	desk    *batchjobs.Desk
+	desk    *batchjobs.JobService
 	front   *front.Front
 
 	isolation *isolation
@@ -103,7 +103,7 @@
 		cutOff: d.mesh.Isolated, storeAge: d.view.StoreAge, logger: d.logger,
 		takesJobs: func() bool {
 			table := d.view.Table()
-			return table != nil && table.TakesJobs()
+			return table != nil && table.HasAnyBatchRoute()
 		},
 	}
 	d.joinFront()
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		Follows: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.slots.First() },
+		TargetsFromPeers: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.slots.IsBroker() },
 	})
 }
 
@@ -149,7 +149,7 @@
 		Self: d.self, Peers: d.mesh, Caller: d.calls, Broker: d.broker, Local: d.placer,
 		Connected: d.targets.Connected, Logger: d.logger,
 	})
-	d.broker.SetLeads(d.slots.Leads)
+	d.broker.SetIsSoleBroker(d.slots.IsSoleBroker)
 }
 
 func (d *Daemon) joinJobs() {
@@ -163,8 +163,8 @@
 		Targets: d.targets, Placer: d.slots, Logger: d.logger,
 	}
 	d.runner = batchjobs.NewRunner(opts)
-	d.keeper = batchjobs.NewKeeper(opts, d.runner)
-	d.desk = batchjobs.NewDesk(opts, d.keeper, d.runner)
+	d.keeper = batchjobs.NewPartitionOwner(opts, d.runner)
+	d.desk = batchjobs.NewJobService(opts, d.keeper, d.runner)
 }
 
 func (d *Daemon) joinFront() {
@@ -201,7 +201,7 @@
 // invariant and stops the process; the platform starts it again.
 func (d *Daemon) plant() {
 	d.tree = suture.New("tillerd", suture.Spec{EventHook: d.event, PassThroughPanics: true})
-	for _, duty := range d.view.Duties() {
+	for _, duty := range d.view.BackgroundServices() {
 		d.tree.Add(duty)
 	}
 	d.tree.Add(d.peers)
@@ -210,9 +210,9 @@
 	d.tree.Add(d.broker)
 	d.tree.Add(d.slots)
 	d.tree.Add(&broker.Sweeper{
-		Broker: d.broker, First: d.slots.First, Targets: d.targets, Orphans: d.desk.Orphans, Logger: d.logger,
+		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, FilterOrphans: d.desk.Orphans, Logger: d.logger,
 	})
-	d.tree.Add(&broker.Checker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
+	d.tree.Add(&broker.HealthChecker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
 	d.tree.Add(d.runner)
 	d.tree.Add(d.keeper)
 	d.tree.Add(d.front)
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -13,44 +13,44 @@
 
 // Versions implements mesh.Delegate.
 func (l *local) Versions() mesh.Versions {
-	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.Mark(), RosterDigest: l.view.Digest(), StoreAge: l.view.StoreAge()}
+	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.RosterMark(), RosterDigest: l.view.RosterDigest(), StoreAge: l.view.StoreAge()}
 }
 
 // FillHeartbeat implements mesh.Delegate.
 func (l *local) FillHeartbeat(beat *mesh.Heartbeat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
-	beat.Held = l.placer.Held()
+	beat.Held = l.placer.InFlight()
 	beat.Admitted = l.meter.AdmittedCounts()
 	beat.Levels = l.meter.BucketLevels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
-	beat.Partitions, beat.Generation = l.keeper.Holding()
-	beat.HasLost = l.keeper.HasLost()
+	beat.Partitions, beat.Generation = l.keeper.Owned()
+	beat.HasLost = l.keeper.HasLostPartition()
 	beat.Claims = l.runner.Claims()
 }
 
 // SnapshotSince implements mesh.Delegate.
 func (l *local) SnapshotSince(args mesh.SnapshotArgs) mesh.SnapshotReply {
-	reply := mesh.SnapshotReply{Config: l.view.Config(args.ConfigVersion)}
-	reply.Targets, reply.RosterMark, reply.Listed = l.view.Targets(args.RosterMark)
+	reply := mesh.SnapshotReply{Config: l.view.ConfigNewerThan(args.ConfigVersion)}
+	reply.Targets, reply.RosterMark, reply.Listed = l.view.TargetsNewerThan(args.RosterMark)
 	return reply
 }
 
 // ApplySnapshot implements mesh.Delegate.
 func (l *local) ApplySnapshot(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
-		l.view.TakeConfig(reply.Config, "peer")
+		l.view.AdoptConfig(reply.Config, "peer")
 	}
 	if reply.Listed {
-		l.view.TakeTargets(reply.Targets, reply.RosterMark)
+		l.view.AdoptTargets(reply.Targets, reply.RosterMark)
 	}
 }
 
 // HeartbeatReceived implements mesh.Delegate.
 func (l *local) HeartbeatReceived(beat mesh.Heartbeat, patience time.Duration) {
 	if !beat.Relayed {
-		l.view.TakeDrains(beat.Drains, "peer")
+		l.view.AdoptDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
 	}
 	var levels quota.BucketLevels
@@ -71,14 +71,14 @@
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
-	l.broker.Silent(i.Name)
+	l.broker.InstanceSilent(i.Name)
 	l.calls.Forget(i.Address)
 }
 
 // PeerDown implements mesh.Delegate.
 func (l *local) PeerDown(name string) {
 	l.placer.SetPeer(name, nil)
-	l.broker.Gone(name)
+	l.broker.InstanceDown(name)
 	l.meter.MarkDown(name)
 }
 
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -56,7 +56,7 @@
 
 // Relay serves online requests.
 type Relay interface {
-	Serve(ctx context.Context, job *relay.Job, sink relay.Sink) relay.Outcome
+	Serve(ctx context.Context, job *relay.RoutedRequest, sink relay.Sink) relay.Outcome
 }
 
 // Desk serves the calls of batch jobs.
@@ -64,7 +64,7 @@
 	Submit(ctx context.Context, job *jobs.Job) batchjobs.Verdict
 	Results(ctx context.Context, call batchjobs.ResultsCall) batchjobs.ResultsReply
 	Body(ctx context.Context, call batchjobs.BodyCall) batchjobs.BodyReply
-	End(ctx context.Context, call batchjobs.JobCall) batchjobs.Verdict
+	Cancel(ctx context.Context, call batchjobs.JobCall) batchjobs.Verdict
 }
 
 // Options make a Front.
