--- a/internal/coordination/routed/quota/quota_test.go
+++ b/internal/coordination/routed/quota/quota_test.go
@@ -330,7 +330,7 @@
 // reachable again, the requests that they admitted in that time must not count against the
 // organisation twice. Otherwise its callers here would be rejected for a second.
 func TestEndOfPartitionRejectsNothingBelowTheRate(t *testing.T) {
-	const peers, patience = 9, 1250 * time.Millisecond
+	const peers, relayedSilenceTimeout = 9, 1250 * time.Millisecond
 	limit := Limit{Rate: 40, Burst: 40}
 	buckets, now := NewBuckets(start), start
 	buckets.SetLimits(now, map[string]Limit{"o": limit})
@@ -338,7 +338,7 @@
 		for i := range peers {
 			buckets.ApplyReport(now, Report{
 				Instance: fmt.Sprint("n", i), Start: 1, Counts: Counts{"o": count}, Full: true,
-				HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: patience,
+				HasQuotaState: true, Levels: BucketLevels{}, SilenceTimeout: relayedSilenceTimeout,
 			})
 		}
 	}
