--- a/internal/coordination/routed/batchjobs/handover.go
+++ b/internal/coordination/routed/batchjobs/handover.go
@@ -88,7 +88,7 @@
 
 // callOwner calls the owner of a partition once.
 func (r *Runner) callOwner(ctx context.Context, number int, method string, args any) bool {
-	owner, ok := r.opts.Peers.Holder(number)
+	owner, ok := r.opts.Peers.OwnerOf(number)
 	if !ok {
 		return false
 	}
--- a/internal/coordination/routed/batchjobs/orphans.go
+++ b/internal/coordination/routed/batchjobs/orphans.go
@@ -55,7 +55,7 @@
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	for _, p := range s.opts.Peers.Peers() {
-		if p.State != mesh.Up || len(p.Beat.Partitions) == 0 {
+		if p.State != mesh.Up || len(p.Heartbeat.Partitions) == 0 {
 			continue
 		}
 		calls.Go(func() {
--- a/internal/coordination/routed/batchjobs/owner.go
+++ b/internal/coordination/routed/batchjobs/owner.go
@@ -118,9 +118,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for number := range o.owned {
-		if other, ok := o.opts.Peers.Holder(number); ok && other.Beat.Generation > o.generation {
+		if other, ok := o.opts.Peers.OwnerOf(number); ok && other.Heartbeat.Generation > o.generation {
 			_ = level.Info(o.opts.Logger).Log("event", "jobs_given_way", "partition", number, "holder", other.Name,
-				"generation", other.Beat.Generation, "own", o.generation)
+				"generation", other.Heartbeat.Generation, "own", o.generation)
 			o.release(number)
 		}
 	}
--- a/internal/daemon/routed/registration.go
+++ b/internal/daemon/routed/registration.go
@@ -72,7 +72,7 @@
 	}
 	d.view.StoreAnswered()
 	list := r.decode(page)
-	d.mesh.Listed(list)
+	d.mesh.AddInstances(list)
 	r.rounds++
 	listed := map[string]int64{}
 	for _, i := range list {
@@ -101,7 +101,7 @@
 // good, and each instance that starts leaves them a part of the rates.
 func (r *registration) remove(ctx context.Context, listed map[string]int64) error {
 	var records []external.KeyedRecord
-	for _, i := range r.daemon.mesh.Lost() {
+	for _, i := range r.daemon.mesh.PresumedDead() {
 		if start, ok := listed[i.Name]; ok && start == i.Start {
 			records = append(records, external.KeyedRecord{Key: i.Name})
 		}
