--- a/internal/coordination/routed/batchjobs/options.go
+++ b/internal/coordination/routed/batchjobs/options.go
@@ -19,9 +19,9 @@
 // Peers gives access to the other instances.
 type Peers interface {
 	Peers() []mesh.Peer
-	Holder(partition int) (mesh.Peer, bool)
-	// Claimed returns the items that reachable instances run for other owners.
-	Claimed() []mesh.Claim
+	OwnerOf(partition int) (mesh.Peer, bool)
+	// Claims returns the items that reachable instances run for other owners.
+	Claims() []mesh.Claim
 }
 
 // Placer chooses targets.
--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -11,18 +11,18 @@
 // local joins what instances tell each other with those who know and use it.
 type local struct{ *Daemon }
 
-// Versions implements mesh.Local.
+// Versions implements mesh.Delegate.
 func (l *local) Versions() mesh.Versions {
 	return mesh.Versions{Config: l.view.Version(), RosterMark: l.view.RosterMark(), RosterDigest: l.view.RosterDigest(), StoreAge: l.view.StoreAge()}
 }
 
-// Describe implements mesh.Local.
-func (l *local) Describe(beat *mesh.Beat) {
+// FillHeartbeat implements mesh.Delegate.
+func (l *local) FillHeartbeat(beat *mesh.Heartbeat) {
 	beat.Leaving = l.leaving.Load()
 	beat.Drains = l.view.Drains()
 	beat.Held = l.placer.InFlight()
-	beat.Admitted = l.meter.Own()
-	beat.Levels = l.meter.Levels()
+	beat.Admitted = l.meter.AdmittedCounts()
+	beat.Levels = l.meter.BucketLevels()
 	beat.Informed = beat.Levels != nil
 	beat.TellsLevels = beat.Informed
 	beat.Partitions, beat.Generation = l.keeper.Owned()
@@ -30,15 +30,15 @@
 	beat.Claims = l.runner.Claims()
 }
 
-// Newer implements mesh.Local.
-func (l *local) Newer(args mesh.SnapshotArgs) mesh.SnapshotReply {
+// SnapshotSince implements mesh.Delegate.
+func (l *local) SnapshotSince(args mesh.SnapshotArgs) mesh.SnapshotReply {
 	reply := mesh.SnapshotReply{Config: l.view.ConfigNewerThan(args.ConfigVersion)}
 	reply.Targets, reply.RosterMark, reply.Listed = l.view.TargetsNewerThan(args.RosterMark)
 	return reply
 }
 
-// Adopt implements mesh.Local.
-func (l *local) Adopt(reply mesh.SnapshotReply) {
+// ApplySnapshot implements mesh.Delegate.
+func (l *local) ApplySnapshot(reply mesh.SnapshotReply) {
 	if len(reply.Config) > 0 {
 		l.view.AdoptConfig(reply.Config, "peer")
 	}
@@ -47,27 +47,27 @@
 	}
 }
 
-// PeerHeard implements mesh.Local.
-func (l *local) PeerHeard(beat mesh.Beat, patience time.Duration) {
+// HeartbeatReceived implements mesh.Delegate.
+func (l *local) HeartbeatReceived(beat mesh.Heartbeat, patience time.Duration) {
 	if !beat.Relayed {
 		l.view.AdoptDrains(beat.Drains, "peer")
 		l.placer.SetPeer(beat.From.Name, beat.Held)
 	}
-	var levels quota.Levels
+	var levels quota.BucketLevels
 	if beat.TellsLevels {
-		levels = quota.Levels{}
+		levels = quota.BucketLevels{}
 		maps.Copy(levels, beat.Levels)
 	}
-	l.meter.Heard(quota.Report{
-		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Whole: beat.Whole,
-		Informed: beat.Informed, Levels: levels, Patience: patience,
+	l.meter.ApplyReport(quota.Report{
+		Instance: beat.From.Name, Start: beat.From.Start, Uptime: beat.Uptime, Counts: beat.Admitted, Full: beat.Whole,
+		HasQuotaState: beat.Informed, Levels: levels, SilenceTimeout: patience,
 	})
 }
 
-// PeersAlive implements mesh.Local.
-func (l *local) PeersAlive(signs []quota.Sign) { l.meter.Alive(signs) }
+// PeersConfirmedAlive implements mesh.Delegate.
+func (l *local) PeersConfirmedAlive(signs []quota.Liveness) { l.meter.ConfirmAlive(signs) }
 
-// PeerSilent implements mesh.Local. What a silent instance has at targets is not
+// PeerSilent implements mesh.Delegate. What a silent instance has at targets is not
 // known any more; targets tell of it themselves.
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
@@ -75,15 +75,15 @@
 	l.calls.Forget(i.Address)
 }
 
-// PeerGone implements mesh.Local.
-func (l *local) PeerGone(name string) {
+// PeerDown implements mesh.Delegate.
+func (l *local) PeerDown(name string) {
 	l.placer.SetPeer(name, nil)
 	l.broker.InstanceDown(name)
-	l.meter.Gone(name)
+	l.meter.MarkDown(name)
 }
 
-// DomainSilent implements mesh.Local.
-func (l *local) DomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
+// SetDomainSilent implements mesh.Delegate.
+func (l *local) SetDomainSilent(domain string, silent bool) { l.placer.SetDomainSilent(domain, silent) }
 
-// PeerListed implements mesh.Local.
-func (l *local) PeerListed(name string) { l.meter.Expect(name) }
+// PeerDiscovered implements mesh.Delegate.
+func (l *local) PeerDiscovered(name string) { l.meter.AddPeer(name) }
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -24,15 +24,15 @@
 		require.NoError(t, err)
 		defer fresh.closeConnections()
 		fresh.meter.SetOrganisations([]route.Organisation{{Name: "two", Rate: 10, Burst: 10}})
-		beat := mesh.Beat{
+		beat := mesh.Heartbeat{
 			From: mesh.Instance{Name: "other", Domain: "d0", Address: "10.0.1.9:82", Start: 1},
 			Seq:  1, Informed: true, Whole: true, Uptime: time.Hour,
 		}
 		knows := &local{fresh}
-		knows.PeerHeard(beat, time.Second)
-		require.Nil(t, fresh.meter.Levels())
-		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.Levels{"two": -3}
-		knows.PeerHeard(beat, time.Second)
-		require.NotNil(t, fresh.meter.Levels())
+		knows.HeartbeatReceived(beat, time.Second)
+		require.Nil(t, fresh.meter.BucketLevels())
+		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.BucketLevels{"two": -3}
+		knows.HeartbeatReceived(beat, time.Second)
+		require.NotNil(t, fresh.meter.BucketLevels())
 	})
 }
