--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -72,7 +72,7 @@
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
 	l.broker.InstanceSilent(i.Name)
-	l.calls.Forget(i.Address)
+	l.calls.CloseConnections(i.Address)
 }
 
 // PeerGone implements mesh.Local.
--- a/internal/transport/peer/client.go
+++ b/internal/transport/peer/client.go
@@ -174,14 +174,14 @@
 	return secured, nil
 }
 
-// Forget closes the connections to an address. Calls on them fail at once, and the
+// CloseConnections closes the connections to an address. Calls on them fail at once, and the
 // next call dials anew.
 //
 // What goes wrong without it: a cut loses what is under way on a connection. Its
 // sender tries again after pauses that double, so that a connection stays silent for
 // as long again as the cut lasted, while new ones work. The first calls after the cut
 // wait on it until they time out.
-func (c *Client) Forget(address string) {
+func (c *Client) CloseConnections(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, found := range c.links {
--- a/internal/transport/peer/silent_test.go
+++ b/internal/transport/peer/silent_test.go
@@ -100,12 +100,12 @@
 		go func() { hangs <- client.Call(ctx, address, "Echo.Say", "hello", &lost) }()
 		time.Sleep(time.Second)
 
-		client.Forget("10.0.0.9:80")
+		client.CloseConnections("10.0.0.9:80")
 		synctest.Wait()
 		require.Empty(t, hangs, "another instance was forgotten")
 
 		began := time.Now()
-		client.Forget(address)
+		client.CloseConnections(address)
 		require.Error(t, <-hangs)
 		require.NoError(t, client.Call(ctx, address, "Echo.Say", "hello", &reply))
 		require.Less(t, time.Since(began), 10*time.Millisecond)
