--- a/internal/transport/targetconn/client.go
+++ b/internal/transport/targetconn/client.go
@@ -19,33 +19,34 @@
 )
 
 const (
-	// wholeBody is the largest body that is written before the answer is
-	// awaited. It fits into the socket's buffer, so that the write can't wait
-	// for a target that answers without reading.
-	wholeBody = 16 << 10
-	// crossedAnswers is how many answers to other requests are skipped on one
-	// connection before it is given up.
-	crossedAnswers = 4
-	// crossedBytes bounds what is read of an answer that is skipped.
-	crossedBytes = 1 << 20
+	// inlineBodyLimit is the size in bytes of the largest body that is written before
+	// the response is read. Such a body fits into the socket's buffer, so the write
+	// can't block on a target that responds without reading.
+	inlineBodyLimit = 16 << 10
+	// maxMismatched is the number of responses to other requests that are skipped on
+	// one connection before the connection is closed.
+	maxMismatched = 4
+	// maxMismatchedBytes bounds the bytes read of a response that is skipped.
+	maxMismatchedBytes = 1 << 20
 )
 
 var (
-	dialled = metrics.NewCounter(`target_connections_total{event="opened"}`)
-	failed  = metrics.NewCounter(`target_connections_total{event="failed"}`)
-	crossed = metrics.NewCounter(`target_crossed_answers_total`)
+	connectionsOpened = metrics.NewCounter(`target_connections_total{event="opened"}`)
+	connectionsFailed = metrics.NewCounter(`target_connections_total{event="failed"}`)
+	mismatched        = metrics.NewCounter(`target_crossed_answers_total`)
 )
 
-// Codec is how requests to targets and their answers look on the wire.
+// Codec encodes requests to targets and decodes their responses.
 type Codec struct {
 	EncodeDispatch func(*exchange.Dispatch) http.Header
 	DecodeReply    func(status int, header http.Header) exchange.Reply
-	// ReportPath is where a target reports of itself.
+	// ReportPath is the path of a target's report on its load and runs.
 	ReportPath   string
 	DecodeReport func(body []byte) (exchange.Report, error)
 	DecodeHealth func(status int, header http.Header) exchange.Health
-	// EndRunPath is where a run is ended. Its answer may name memory that the target
-	// keeps, which is freed at HandlePath.
+	// EndRunPath is the path of the call that ends a run. The response may contain a
+	// handle for memory that the target still keeps for the run; a DELETE of
+	// HandlePath frees it.
 	EndRunPath   string
 	EncodeEndRun func(id, by string) ([]byte, error)
 	DecodeEndRun func(status int, body []byte) (handle string, err error)
@@ -58,7 +59,7 @@
 	pool  *pool
 }
 
-// New returns a client without connections.
+// New returns a client that connects to targets over a network.
 func New(network external.Network, codec Codec) *Client {
 	return &Client{codec: codec, pool: newPool(network, time.Now)}
 }
@@ -66,68 +67,72 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.pool.closeAll() }
 
-// Connected says that an idle connection to an address is kept.
-func (c *Client) Connected(address string) bool { return c.pool.has(address) }
+// Connected reports whether the client holds an idle connection to an address.
+func (c *Client) Connected(address string) bool { return c.pool.hasIdle(address) }
 
 // Forget closes the idle connections to an address.
-func (c *Client) Forget(address string) { c.pool.forget(address) }
+func (c *Client) Forget(address string) { c.pool.closeIdle(address) }
 
-// answer is an answer whose body is still to be read.
-type answer struct {
+// openResponse is a response whose body is still to be read.
+type openResponse struct {
 	reply exchange.Reply
 	body  io.ReadCloser
 	conn  *conn
 	pool  *pool
-	stop  func() bool
-	whole bool
-	reuse bool
-	// written is closed once the request's body is sent or given up.
-	written <-chan struct{}
+	// stopCancel ends the watch that closes conn when the request's context ends.
+	stopCancel func() bool
+	// atEOF reports whether the body was read to its end.
+	atEOF bool
+	// reusable reports whether the response permits another request on conn.
+	reusable bool
+	// requestDone is closed once the request's body is sent or sending it failed.
+	requestDone <-chan struct{}
 }
 
-// Send implements external.Sender. When ctx ends, the connection is closed, and
-// the target drops the request then.
+// Send implements external.Sender. When ctx ends, the connection is closed, which
+// makes the target drop the request.
 func (c *Client) Send(ctx context.Context, address string, d *exchange.Dispatch) (external.OpenAnswer, error) {
-	link, err := c.link(ctx, address)
+	conn, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrNotSent, err)
 	}
-	stop := context.AfterFunc(ctx, link.close)
-	opened, err := c.exchange(link, d)
+	stopCancel := context.AfterFunc(ctx, conn.close)
+	response, err := c.exchange(conn, d)
 	if err != nil {
-		stop()
-		link.close()
+		stopCancel()
+		conn.close()
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", err, ctx.Err())
 		}
 		return nil, err
 	}
-	opened.stop = stop
-	return opened, nil
+	response.stopCancel = stopCancel
+	return response, nil
 }
 
-// link gives a connection that was kept, or a new one.
-func (c *Client) link(ctx context.Context, address string) (*conn, error) {
-	if kept, ok := c.pool.take(address); ok {
-		return kept, nil
+// connect returns an idle connection from the pool, or else opens a new one.
+func (c *Client) connect(ctx context.Context, address string) (*conn, error) {
+	if idle, ok := c.pool.get(address); ok {
+		return idle, nil
 	}
 	socket, err := c.pool.dial(ctx, address)
 	if err != nil {
-		failed.Inc()
+		connectionsFailed.Inc()
 		return nil, err
 	}
-	dialled.Inc()
+	connectionsOpened.Inc()
 	return newConn(address, socket), nil
 }
 
-func (c *Client) exchange(link *conn, d *exchange.Dispatch) (*answer, error) {
+// exchange sends a request and reads responses until one belongs to the request.
+func (c *Client) exchange(conn *conn, d *exchange.Dispatch) (*openResponse, error) {
 	request := c.request(d)
-	written, err := write(link, request, len(d.Body))
+	requestDone, err := send(conn, request, len(d.Body))
 	if err != nil {
 		return nil, err
 	}
-	for range crossedAnswers {
-		response, err := http.ReadResponse(link.reader, request)
+	for range maxMismatched {
+		response, err := http.ReadResponse(conn.reader, request)
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", external.ErrMayHaveRun, err)
 		}
@@ -136,33 +141,33 @@
 		}
 		reply := c.codec.DecodeReply(response.StatusCode, response.Header)
 		if reply.ID == d.ID || reply.ID == "" && reply.NotRun {
-			return c.answer(link, reply, response, written), nil
+			return c.open(conn, reply, response, requestDone), nil
 		}
-		crossed.Inc()
-		if err := skip(response); err != nil {
+		mismatched.Inc()
+		if err := discard(response); err != nil {
 			return nil, fmt.Errorf("%w: %w", external.ErrMayHaveRun, err)
 		}
 	}
-	return nil, fmt.Errorf("%w: too many answers to other requests", external.ErrMayHaveRun)
+	return nil, fmt.Errorf("%w: too many responses to other requests", external.ErrMayHaveRun)
 }
 
-func (c *Client) answer(link *conn, reply exchange.Reply, response *http.Response, written <-chan struct{}) *answer {
-	link.idleLimit = reply.IdleLimit
+func (c *Client) open(conn *conn, reply exchange.Reply, response *http.Response, requestDone <-chan struct{}) *openResponse {
+	conn.idleLimit = reply.IdleLimit
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	return &answer{
-		reply: reply, body: response.Body, conn: link, pool: c.pool,
-		reuse: framed && !response.Close, written: written,
+	return &openResponse{
+		reply: reply, body: response.Body, conn: conn, pool: c.pool,
+		reusable: framed && !response.Close, requestDone: requestDone,
 	}
 }
 
-// skip reads an answer that belongs to another request to its end.
-func skip(response *http.Response) error {
+// discard reads a response to another request to its end.
+func discard(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errors.New("answer to another request without an end")
+		return errors.New("response to another request has neither a length nor chunked encoding")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, crossedBytes))
-	if err == nil && n == crossedBytes {
-		err = errors.New("answer to another request is too long")
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBytes))
+	if err == nil && n == maxMismatchedBytes {
+		err = errors.New("response to another request is too long")
 	}
 	return err
 }
@@ -170,12 +175,12 @@
 func (c *Client) request(d *exchange.Dispatch) *http.Request {
 	header := c.codec.EncodeDispatch(d)
 	if len(header["User-Agent"]) == 0 {
-		// An empty one keeps net/http from adding its own.
+		// An empty value keeps net/http from adding its own.
 		header.Set("User-Agent", "")
 	}
 	return &http.Request{
 		Method:        d.Method,
-		URL:           target(d),
+		URL:           requestURL(d),
 		Host:          d.Host,
 		Header:        header,
 		Body:          io.NopCloser(bytes.NewReader(d.Body)),
@@ -183,8 +188,8 @@
 	}
 }
 
-// target gives the path and query exactly as the caller sent them.
-func target(d *exchange.Dispatch) *url.URL {
+// requestURL returns the path and query exactly as the caller sent them.
+func requestURL(d *exchange.Dispatch) *url.URL {
 	u := &url.URL{Scheme: "http", Host: d.Host, RawPath: d.Path, RawQuery: d.Query}
 	path, err := url.PathUnescape(d.Path)
 	if err != nil {
@@ -195,81 +200,84 @@
 	return u
 }
 
-// write sends a request. A large body is sent beside the reading of the answer,
-// which may come first.
-func write(link *conn, request *http.Request, size int) (<-chan struct{}, error) {
-	counted := &countedWriter{to: link}
-	buffered := bufio.NewWriterSize(counted, wholeBody+readBuffer)
-	send := func() error {
+// send writes a request. A large body is written concurrently with reading the
+// response, because the target may respond before it has read the body. The channel
+// is closed once writing has ended.
+func send(conn *conn, request *http.Request, size int) (<-chan struct{}, error) {
+	counting := &countingWriter{conn: conn}
+	buffered := bufio.NewWriterSize(counting, inlineBodyLimit+readBuffer)
+	write := func() error {
 		if err := request.Write(buffered); err != nil {
 			return err
 		}
 		return buffered.Flush()
 	}
-	written := make(chan struct{})
-	if size > wholeBody {
+	done := make(chan struct{})
+	if size > inlineBodyLimit {
 		go func() {
-			defer close(written)
-			if send() != nil {
-				link.close()
+			defer close(done)
+			if write() != nil {
+				conn.close()
 			}
 		}()
-		return written, nil
+		return done, nil
 	}
-	defer close(written)
-	if err := send(); err != nil {
-		if counted.sent.Load() == 0 {
+	defer close(done)
+	if err := write(); err != nil {
+		if counting.written.Load() == 0 {
 			return nil, fmt.Errorf("%w: %w", external.ErrNotSent, err)
 		}
 		return nil, fmt.Errorf("%w: %w", external.ErrMayHaveRun, err)
 	}
-	return written, nil
+	return done, nil
 }
 
-// countedWriter knows whether anything left.
-type countedWriter struct {
-	to   *conn
-	sent atomic.Int64
+// countingWriter counts the bytes that were written to a connection.
+type countingWriter struct {
+	conn    *conn
+	written atomic.Int64
 }
 
 // Write implements io.Writer.
-func (w *countedWriter) Write(p []byte) (int, error) {
-	n, err := w.to.net.Write(p)
-	w.sent.Add(int64(n))
+func (w *countingWriter) Write(p []byte) (int, error) {
+	n, err := w.conn.net.Write(p)
+	w.written.Add(int64(n))
 	return n, err
 }
 
 // Head implements external.OpenAnswer.
-func (a *answer) Head() *exchange.Reply { return &a.reply }
+func (r *openResponse) Head() *exchange.Reply { return &r.reply }
 
-// Read implements io.Reader on the answer's body.
-func (a *answer) Read(p []byte) (int, error) {
-	n, err := a.body.Read(p)
+// Read implements io.Reader on the response body.
+func (r *openResponse) Read(p []byte) (int, error) {
+	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		r.atEOF = true
 	}
 	return n, err
 }
 
-// Close keeps the connection if the answer was read to its end and nothing on
-// it was amiss, and closes it otherwise.
-func (a *answer) Close() {
-	if !a.whole {
-		a.conn.close()
+// Close returns the connection to the pool if the response was read to its end and
+// nothing unexpected was received on the connection. Otherwise it closes the
+// connection.
+func (r *openResponse) Close() {
+	if !r.atEOF {
+		r.conn.close()
 	}
-	reuse := a.stop() && a.whole && a.reuse && a.sentWhole() && a.conn.reader.Buffered() == 0
+	reuse := r.stopCancel() && r.atEOF && r.reusable && r.requestSent() && r.conn.reader.Buffered() == 0
 	if !reuse {
-		a.conn.close()
+		r.conn.close()
 		return
 	}
-	a.pool.put(a.conn)
+	r.pool.put(r.conn)
 }
 
-// sentWhole says that the request's body is not being sent any more. Otherwise a
-// target that answered early reads the rest of it as the next request.
-func (a *answer) sentWhole() bool {
+// requestSent reports whether sending the request's body has ended. If the connection
+// were reused before that, a target that responded early would read the rest of the
+// body as the next request.
+func (r *openResponse) requestSent() bool {
 	select {
-	case <-a.written:
+	case <-r.requestDone:
 		return true
 	default:
 		return false
--- a/internal/transport/targetconn/doc.go
+++ b/internal/transport/targetconn/doc.go
@@ -1,11 +1,12 @@
-// Package targetconn sends requests to targets over kept HTTP/1.1 connections
-// and says of each failure whether the request may have run.
+// Package targetconn sends requests to targets over persistent HTTP/1.1
+// connections and reports for each failure whether the request may have run.
 //
-// It uses net/http to write requests and read answers, but keeps the connections
-// itself, for three reasons. A request that may not be repeated must not be sent
-// again by a transport that thinks it safe. A target may send an answer that
-// belongs to an earlier request; it is told apart by its id, and the next one is
-// read from the same connection, which a shared transport has no place for. And
-// a connection on which anything is amiss must not be used again, which is
-// decided here by what was seen on it.
+// It uses net/http to write requests and read responses, but manages the
+// connections itself, for three reasons. First, http.Transport resends a request
+// that it considers safe, and a request that is not idempotent must not be sent
+// twice. Second, a target may send the response to an earlier request. The client
+// recognises it by its request id and reads the next response from the same
+// connection, which http.Transport has no means for. Third, a connection on which
+// anything unexpected was received must not be reused, and only the code that read
+// from the connection can decide that.
 package targetconn
--- a/internal/transport/targetconn/inspect.go
+++ b/internal/transport/targetconn/inspect.go
@@ -12,9 +12,9 @@
 	"merlintiller/internal/protocol/exchange"
 )
 
-// reportBytes bounds the answer to a call that is no request of a caller. A report
-// names each run of a target, some hundred bytes at most.
-const reportBytes = 256 << 10
+// maxControlBody bounds the response to a call that is not a caller's request, in
+// bytes. A report lists each run of a target, some hundred bytes at most per run.
+const maxControlBody = 256 << 10
 
 // Report implements external.Inspector.
 func (c *Client) Report(ctx context.Context, address string) (exchange.Report, error) {
@@ -23,7 +23,7 @@
 		return exchange.Report{}, trace.Wrap(err)
 	}
 	if status != http.StatusOK {
-		return exchange.Report{}, trace.BadParameter("target at %s answered %d to a call for its report", address, status)
+		return exchange.Report{}, trace.BadParameter("target at %s responded with status %d to a call for its report", address, status)
 	}
 	report, err := c.codec.DecodeReport(body)
 	return report, trace.Wrap(err)
@@ -56,39 +56,39 @@
 	return c.codec.DecodeHealth(status, header), nil
 }
 
-// call makes one call and reads its whole answer.
+// call makes one call and reads the entire response.
 func (c *Client) call(ctx context.Context, address, method, path string, content []byte) (status int, header http.Header, body []byte, err error) {
-	link, err := c.link(ctx, address)
+	conn, err := c.connect(ctx, address)
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	stop := context.AfterFunc(ctx, link.close)
+	stop := context.AfterFunc(ctx, conn.close)
 	defer stop()
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(content))
 	if err != nil {
-		link.close()
+		conn.close()
 		return 0, nil, nil, trace.Wrap(err)
 	}
 	if len(content) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if err := request.Write(link.net); err != nil {
-		link.close()
+	if err := request.Write(conn.net); err != nil {
+		conn.close()
 		return 0, nil, nil, trace.Wrap(err)
 	}
-	response, err := http.ReadResponse(link.reader, request)
+	response, err := http.ReadResponse(conn.reader, request)
 	if err != nil {
-		link.close()
+		conn.close()
 		return 0, nil, nil, trace.Wrap(err)
 	}
-	body, err = io.ReadAll(io.LimitReader(response.Body, reportBytes+1))
-	if err == nil && len(body) > reportBytes {
-		err = fmt.Errorf("answer of more than %d bytes", reportBytes)
+	body, err = io.ReadAll(io.LimitReader(response.Body, maxControlBody+1))
+	if err == nil && len(body) > maxControlBody {
+		err = fmt.Errorf("response of more than %d bytes", maxControlBody)
 	}
-	if err != nil || response.Close || link.reader.Buffered() > 0 || !stop() {
-		link.close()
+	if err != nil || response.Close || conn.reader.Buffered() > 0 || !stop() {
+		conn.close()
 		return response.StatusCode, response.Header, body, trace.Wrap(err)
 	}
-	c.pool.put(link)
+	c.pool.put(conn)
 	return response.StatusCode, response.Header, body, nil
 }
--- a/internal/transport/targetconn/pool.go
+++ b/internal/transport/targetconn/pool.go
@@ -10,44 +10,43 @@
 )
 
 const (
-	// dialTimeout bounds a connect. Targets stand within a few milliseconds; a
-	// connect that takes longer meets a cut or a dead machine, and the request
-	// still has time to go elsewhere.
+	// dialTimeout bounds connecting. Targets are within a few milliseconds. A connect
+	// that takes longer indicates a network partition or a machine that is down, and
+	// the request still has time to be sent to another target.
 	dialTimeout = 250 * time.Millisecond
-	// idleUnknown is how long a connection is kept whose target did not say.
-	idleUnknown = 10 * time.Second
-	// idleMargin is how much earlier than the target this side stops using an
-	// idle connection, so that no request crosses the target's close.
+	// defaultIdleLimit is how long an idle connection is kept if the target stated
+	// no limit.
+	defaultIdleLimit = 10 * time.Second
+	// idleMargin is how much earlier than the target this side stops using an idle
+	// connection, so that the target does not close it while a request is being sent.
 	idleMargin = 700 * time.Millisecond
-	// idleEach bounds the idle connections to one target.
-	idleEach = 64
-	// sweepEvery is how often connections past their time are closed.
-	sweepEvery = 5 * time.Second
+	// maxIdlePerTarget bounds the idle connections to one target.
+	maxIdlePerTarget = 64
+	// sweepInterval is the interval at which expired connections are closed.
+	sweepInterval = 5 * time.Second
 )
 
-// pool keeps idle connections, the one used last first, so that the others run
-// out of their time.
+// pool keeps idle connections. It reuses the most recently used connection first, so
+// that surplus connections expire.
 type pool struct {
 	network external.Network
 	now     func() time.Time
 
-	mu    sync.Mutex
-	idle  map[string][]*conn
-	swept time.Time
+	mu        sync.Mutex
+	idle      map[string][]*conn
+	lastSweep time.Time
 }
 
 func newPool(network external.Network, now func() time.Time) *pool {
 	return &pool{network: network, now: now, idle: map[string][]*conn{}}
 }
 
-// dial opens a connection.
 func (p *pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return p.network.Dial(ctx, address)
 }
 
-// closeAll closes all idle connections.
 func (p *pool) closeAll() {
 	p.mu.Lock()
 	all := p.idle
@@ -60,14 +59,15 @@
 	}
 }
 
-// take gives an idle connection that is still good.
-func (p *pool) take(address string) (*conn, bool) {
+// get returns an idle connection that has not expired and has received nothing since
+// its last use.
+func (p *pool) get(address string) (*conn, bool) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil, false
 		}
-		if p.usable(c) && c.quiet() {
+		if p.unexpired(c) && c.noInput() {
 			return c, true
 		}
 		c.close()
@@ -86,10 +86,10 @@
 	return c
 }
 
-func (p *pool) usable(c *conn) bool {
+func (p *pool) unexpired(c *conn) bool {
 	limit := c.idleLimit
 	if limit == 0 {
-		limit = idleUnknown
+		limit = defaultIdleLimit
 	}
 	return p.now().Sub(c.idleSince) < limit-min(idleMargin, limit/2)
 }
@@ -99,25 +99,25 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
-	if list := p.idle[c.address]; len(list) < idleEach {
+	if list := p.idle[c.address]; len(list) < maxIdlePerTarget {
 		p.idle[c.address] = append(list, c)
 		return
 	}
 	c.close()
 }
 
-// sweep closes what is past its time. Targets come and go, and their addresses
-// with them.
+// sweep closes expired connections, also those to targets that no longer exist and
+// whose addresses no request uses any more.
 func (p *pool) sweep() {
 	now := p.now()
-	if now.Sub(p.swept) < sweepEvery {
+	if now.Sub(p.lastSweep) < sweepInterval {
 		return
 	}
-	p.swept = now
+	p.lastSweep = now
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if p.usable(c) {
+			if p.unexpired(c) {
 				kept = append(kept, c)
 			} else {
 				c.close()
@@ -131,15 +131,15 @@
 	}
 }
 
-// has says that an idle connection to an address is kept.
-func (p *pool) has(address string) bool {
+// hasIdle reports whether the pool holds an idle connection to an address.
+func (p *pool) hasIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address]) > 0
 }
 
-// forget closes the idle connections to an address.
-func (p *pool) forget(address string) {
+// closeIdle closes the idle connections to an address.
+func (p *pool) closeIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
