--- a/internal/transport/peer/client.go
+++ b/internal/transport/peer/client.go
@@ -15,24 +15,28 @@
 )
 
 const (
-	// dialTimeout bounds a connect with its handshake. Failure domains are
-	// well under a millisecond apart, regions some ten milliseconds.
+	// dialTimeout bounds connecting and the TLS handshake. The network delay is well
+	// under a millisecond between failure domains and some ten milliseconds between
+	// regions.
 	dialTimeout = time.Second
-	// idleTimeout closes a connection that carried no call for so long, so
-	// that connections to replaced instances don't pile up.
+	// idleTimeout is the time without a call after which a connection is closed, so
+	// that connections to replaced instances don't accumulate.
 	idleTimeout = 5 * time.Minute
 )
 
-type lane struct {
+// connKey identifies a connection: each receiver at an address has its own.
+type connKey struct {
 	address  string
 	receiver string
 }
 
-type link struct {
+// clientConn is an open connection to a receiver of another instance.
+type clientConn struct {
 	client *rpc.Client
-	used   time.Time
-	// answered is when the last reply came.
-	answered time.Time
+	// lastUsed is when the last call began.
+	lastUsed time.Time
+	// lastReply is when the last reply arrived.
+	lastReply time.Time
 }
 
 // Client calls other instances. It is safe for concurrent use.
@@ -41,26 +45,26 @@
 	network external.Network
 
 	mu    sync.Mutex
-	links map[lane]*link
+	conns map[connKey]*clientConn
 }
 
-// NewClientOn returns a client without TLS on a network.
+// NewClientOn returns a client that connects over a network without TLS.
 func NewClientOn(network external.Network) *Client {
-	return &Client{network: network, links: map[lane]*link{}}
+	return &Client{network: network, conns: map[connKey]*clientConn{}}
 }
 
 // NewClient returns a client; a nil tlsConfig means plaintext.
 func NewClient(tlsConfig *tls.Config) *Client {
-	return &Client{tls: tlsConfig, network: external.OSNetwork{Timeout: dialTimeout}, links: map[lane]*link{}}
+	return &Client{tls: tlsConfig, network: external.OSNetwork{Timeout: dialTimeout}, conns: map[connKey]*clientConn{}}
 }
 
 // Call invokes "Receiver.Method" at an address and waits for the reply until
-// ctx ends. An error says nothing about the effect, unless it is an
-// rpc.ServerError, which is the receiver's own answer. reply must not be used
-// after an error: a late answer may still be written to it.
+// ctx ends. An error leaves open whether the method took effect, unless it is an
+// rpc.ServerError, which the receiver itself returned. reply must not be used
+// after an error: a late reply may still be written to it.
 func (c *Client) Call(ctx context.Context, address, method string, args, reply any) error {
 	receiver, _, _ := strings.Cut(method, ".")
-	key := lane{address: address, receiver: receiver}
+	key := connKey{address: address, receiver: receiver}
 	client, err := c.get(ctx, key)
 	if err != nil {
 		return trace.Wrap(err, "connecting to instance at %s", address)
@@ -69,88 +73,88 @@
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return c.settle(key, client, call.Error)
+		return c.finish(key, client, call.Error)
 	case <-ctx.Done():
-		c.unanswered(key, client, began)
+		c.dropIfUnresponsive(key, client, began)
 		return trace.Wrap(ctx.Err(), "calling %s at %s", method, address)
 	}
 }
 
-// unanswered drops a connection on which nothing came back during a call that
-// timed out. A slow receiver that answers other calls keeps its connection.
+// dropIfUnresponsive drops a connection on which no reply arrived during a call that
+// timed out. A slow receiver that answers other calls meanwhile keeps its connection.
 //
-// What goes wrong without it: a connection goes silent without a reset, while new
-// ones would work. Each call on it times out, and the instance at its other end
-// seems to be gone.
-func (c *Client) unanswered(key lane, client *rpc.Client, began time.Time) {
+// A connection can stop carrying data without a reset while new connections would
+// work. If it were kept, each call on it would time out and the instance would seem
+// to be down.
+func (c *Client) dropIfUnresponsive(key connKey, client *rpc.Client, began time.Time) {
 	c.mu.Lock()
-	found, ok := c.links[key]
-	silent := ok && found.client == client && found.answered.Before(began)
+	conn, ok := c.conns[key]
+	unresponsive := ok && conn.client == client && conn.lastReply.Before(began)
 	c.mu.Unlock()
-	if silent {
+	if unresponsive {
 		c.drop(key, client)
 	}
 }
 
-// settle drops the connection after any error that is not the receiver's own
-// answer, so that the next call dials anew.
-func (c *Client) settle(key lane, client *rpc.Client, err error) error {
-	_, answered := err.(rpc.ServerError)
-	if err != nil && !answered {
+// finish records the reply to a call, or drops the connection after an error that the
+// receiver did not return itself, so that the next call dials a new connection.
+func (c *Client) finish(key connKey, client *rpc.Client, err error) error {
+	_, fromReceiver := err.(rpc.ServerError)
+	if err != nil && !fromReceiver {
 		c.drop(key, client)
 		return trace.Wrap(err)
 	}
 	c.mu.Lock()
-	if found, ok := c.links[key]; ok && found.client == client {
-		found.answered = time.Now()
+	if conn, ok := c.conns[key]; ok && conn.client == client {
+		conn.lastReply = time.Now()
 	}
 	c.mu.Unlock()
 	return trace.Wrap(err)
 }
 
-func (c *Client) get(ctx context.Context, key lane) (*rpc.Client, error) {
+func (c *Client) get(ctx context.Context, key connKey) (*rpc.Client, error) {
 	c.mu.Lock()
-	if found, ok := c.links[key]; ok {
-		found.used = time.Now()
+	if conn, ok := c.conns[key]; ok {
+		conn.lastUsed = time.Now()
 		c.mu.Unlock()
-		return found.client, nil
+		return conn.client, nil
 	}
 	c.mu.Unlock()
 	conn, err := c.dial(ctx, key.address)
 	if err != nil {
 		return nil, err
 	}
-	return c.keep(key, rpc.NewClient(conn)), nil
+	return c.add(key, rpc.NewClient(conn)), nil
 }
 
-// keep stores a fresh connection. If another call was faster, its connection
-// is used and the fresh one closed.
-func (c *Client) keep(key lane, fresh *rpc.Client) *rpc.Client {
+// add stores a new connection. If a concurrent call has already stored one, add
+// returns that one and closes the new one.
+func (c *Client) add(key connKey, client *rpc.Client) *rpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if found, ok := c.links[key]; ok {
-		_ = fresh.Close()
-		return found.client
+	if conn, ok := c.conns[key]; ok {
+		_ = client.Close()
+		return conn.client
 	}
-	c.links[key] = &link{client: fresh, used: time.Now()}
+	c.conns[key] = &clientConn{client: client, lastUsed: time.Now()}
 	c.closeIdle()
-	return fresh
+	return client
 }
 
 func (c *Client) closeIdle() {
-	for key, found := range c.links {
-		if time.Since(found.used) > idleTimeout {
-			_ = found.client.Close()
-			delete(c.links, key)
+	for key, conn := range c.conns {
+		if time.Since(conn.lastUsed) > idleTimeout {
+			_ = conn.client.Close()
+			delete(c.conns, key)
 		}
 	}
 }
 
-func (c *Client) drop(key lane, client *rpc.Client) {
+func (c *Client) drop(key connKey, client *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if found, ok := c.links[key]; ok && found.client == client {
-		delete(c.links, key)
+	if conn, ok := c.conns[key]; ok && conn.client == client {
+		delete(c.conns, key)
 	}
 	_ = client.Close()
 }
@@ -174,20 +178,20 @@
 	return secured, nil
 }
 
-// CloseConnections closes the connections to an address. Calls on them fail at once, and the
-// next call dials anew.
+// CloseConnections closes the connections to an address. Calls in progress on them
+// fail at once, and the next call dials a new connection.
 //
-// What goes wrong without it: a cut loses what is under way on a connection. Its
-// sender tries again after pauses that double, so that a connection stays silent for
-// as long again as the cut lasted, while new ones work. The first calls after the cut
-// wait on it until they time out.
+// A network partition loses the packets in flight on a connection. TCP retransmits
+// them at intervals that double, so that after the partition ends the connection stays
+// silent for about as long as the partition lasted, while new connections work. If it
+// were kept, the first calls after the partition would wait on it until they time out.
 func (c *Client) CloseConnections(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, found := range c.links {
+	for key, conn := range c.conns {
 		if key.address == address {
-			_ = found.client.Close()
-			delete(c.links, key)
+			_ = conn.client.Close()
+			delete(c.conns, key)
 		}
 	}
 }
@@ -196,8 +200,8 @@
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, found := range c.links {
-		_ = found.client.Close()
-		delete(c.links, key)
+	for key, conn := range c.conns {
+		_ = conn.client.Close()
+		delete(c.conns, key)
 	}
 }
--- a/internal/transport/peer/peer_test.go
+++ b/internal/transport/peer/peer_test.go
@@ -50,9 +50,9 @@
 	require.Equal(t, "hello", reply)
 }
 
-// One instance is slow to answer a question. The caller's wait ends with its
-// context, and calls to another receiver at the same instance still go through.
-func TestSlowReceiverHoldsUpNoOther(t *testing.T) {
+// One receiver of an instance does not return. A call to it ends with its context,
+// and calls to another receiver of the same instance still succeed.
+func TestSlowReceiverDoesNotBlockOthers(t *testing.T) {
 	address, _ := start(t)
 	client := NewClient(nil)
 	defer client.Close()
@@ -68,15 +68,15 @@
 	require.ErrorIs(t, <-failed, context.Canceled)
 }
 
-// An instance is replaced at the same address. The first call after that finds
-// a dead connection; the one after it dials anew and is answered.
-func TestReplacedInstanceIsDialledAnew(t *testing.T) {
-	// An address that no other process is given while nobody listens there.
+// An instance is replaced by another one at the same address. The first call after
+// that fails on the old connection; the next one dials a new connection and succeeds.
+func TestReplacedInstanceIsRedialled(t *testing.T) {
+	// No other process is assigned this address while nothing listens on it.
 	address, err := harness.FreeAddress()
 	require.NoError(t, err)
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	run := func(l net.Listener) (stop func()) {
+	serve := func(l net.Listener) (stop func()) {
 		server := NewServer(l, nil, log.NewNopLogger())
 		require.NoError(t, server.Register("Echo", &echo{}))
 		ctx, cancel := context.WithCancel(t.Context())
@@ -84,7 +84,7 @@
 		go func() { defer close(done); _ = server.Serve(ctx) }()
 		return func() { cancel(); <-done }
 	}
-	stop := run(listener)
+	stop := serve(listener)
 	client := NewClient(nil)
 	defer client.Close()
 	var reply string
@@ -93,43 +93,42 @@
 	require.Error(t, client.Call(t.Context(), address, "Echo.Say", "two", &reply))
 	listener, err = net.Listen("tcp", address)
 	require.NoError(t, err)
-	defer run(listener)()
+	defer serve(listener)()
 	require.NoError(t, client.Call(t.Context(), address, "Echo.Say", "three", &reply))
 	require.Equal(t, "three", reply)
 }
 
-// slowCloser is a listener that wakes its accept loop a while before Close
-// returns, as a busy kernel may.
-type slowCloser struct {
-	woken chan struct{}
-	first net.Conn
+// slowCloseListener is a listener whose accept loop ends one second before Close
+// returns, as can happen in a busy kernel.
+type slowCloseListener struct {
+	closed chan struct{}
+	first  net.Conn
 }
 
-func (l *slowCloser) Accept() (net.Conn, error) {
+func (l *slowCloseListener) Accept() (net.Conn, error) {
 	if conn := l.first; conn != nil {
 		l.first = nil
 		return conn, nil
 	}
-	<-l.woken
+	<-l.closed
 	return nil, net.ErrClosed
 }
 
-func (l *slowCloser) Close() error {
-	close(l.woken)
+func (l *slowCloseListener) Close() error {
+	close(l.closed)
 	<-time.After(time.Second)
 	return nil
 }
 
-func (l *slowCloser) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *slowCloseListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// An instance is stopped and its address is given to another one. Its accept
-// loop ends at once, its open connections a moment later. If it counted as
-// stopped between the two, a call to the new instance could still be answered
-// by the old one.
-func TestStoppedServerAnswersNothing(t *testing.T) {
+// An instance stops and its address is given to another one. The accept loop of the
+// old instance ends before its open connections are closed. Serve must not return in
+// between, or the old instance could still answer a call to the new one.
+func TestStoppedServerAnswersNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		server := NewServer(&slowCloser{woken: make(chan struct{}), first: near}, nil, log.NewNopLogger())
+		server := NewServer(&slowCloseListener{closed: make(chan struct{}), first: near}, nil, log.NewNopLogger())
 		require.NoError(t, server.Register("Echo", &echo{}))
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -1,7 +1,7 @@
-// Package peer carries calls between instances by net/rpc over TCP, with
-// mutual TLS where the settings give certificates. It counts the bytes that
-// control costs, and keeps a connection for each receiver, so that a snapshot
-// on its way never delays a question about rates.
+// Package peer carries calls between instances by net/rpc over TCP, with mutual TLS
+// if the settings name certificates. It counts the bytes sent and received, and keeps
+// one connection per receiver, so that the transfer of a snapshot never delays a call
+// about rates.
 package peer
 
 import (
@@ -23,10 +23,10 @@
 var (
 	bytesRead    = expvar.NewInt("peer.bytes_read")
 	bytesWritten = expvar.NewInt("peer.bytes_written")
-	refused      = expvar.NewInt("peer.refused")
+	rejected     = expvar.NewInt("peer.refused")
 )
 
-// maxConnections bounds the connections that other instances hold here: a few
+// maxConnections bounds the connections accepted from other instances: a few
 // receivers for each instance that has this one in its partial view.
 const maxConnections = 512
 
@@ -42,8 +42,9 @@
 	conns  map[net.Conn]struct{}
 }
 
-// NewServer takes over a listener. A nil tlsConfig means plaintext, which
-// settings allow only on loopback or when they say so.
+// NewServer returns a server that accepts connections on listener and closes it. A
+// nil tlsConfig means plaintext, which the settings permit on loopback, or elsewhere
+// if allowed explicitly.
 func NewServer(listener net.Listener, tlsConfig *tls.Config, logger log.Logger) *Server {
 	return &Server{
 		listener: listener,
@@ -54,7 +55,7 @@
 	}
 }
 
-// Register offers the methods of a receiver under a name.
+// Register serves the methods of a receiver under a name.
 func (s *Server) Register(name string, receiver any) error {
 	return trace.Wrap(s.rpc.RegisterName(name, receiver))
 }
@@ -75,7 +76,7 @@
 			return trace.Wrap(err, "accepting peer connections")
 		}
 		if !s.add(conn) {
-			refused.Add(1)
+			rejected.Add(1)
 			_ = conn.Close()
 			continue
 		}
@@ -110,16 +111,16 @@
 	}
 }
 
-// serveConn refuses a caller that shows no certificate of the fleet before any
-// byte reaches net/rpc, and logs it: an outsider that could call a receiver
-// could give itself tokens or withdraw keys.
+// serveConn serves one connection. A client without a certificate of the fleet is
+// rejected and logged before any byte reaches net/rpc: an outsider that could call a
+// receiver could grant itself tokens or withdraw keys.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	defer s.remove(conn)
 	var stream net.Conn = &countingConn{Conn: conn}
 	if s.tls != nil {
 		secured := tls.Server(stream, s.tls)
 		if err := s.handshake(ctx, secured); err != nil {
-			refused.Add(1)
+			rejected.Add(1)
 			_ = level.Warn(s.logger).Log("event", "peer_refused", "remote", conn.RemoteAddr(), "err", err)
 			return
 		}
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// countingConn counts the bytes of control traffic.
+// countingConn counts the bytes of traffic between instances.
 type countingConn struct{ net.Conn }
 
 func (c *countingConn) Read(p []byte) (int, error) {
--- a/internal/transport/peer/silent_test.go
+++ b/internal/transport/peer/silent_test.go
@@ -13,9 +13,9 @@
 	"merlintiller/internal/standin/memnet"
 )
 
-// A connection goes silent for good: packets on it vanish and no reset comes,
-// while new connections work. Calls on it time out one after the other, and the
-// instance at its other end seems to be gone, until the process ends.
+// A connection stops carrying data: packets on it are lost and no reset arrives, while
+// new connections work. If it were kept, each call on it would time out and the
+// instance would seem to be down until the calling process is restarted.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(time.Millisecond)
@@ -28,8 +28,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx) }()
-		// The first connection is one on which nothing comes back.
-		client := NewClientOn(&firstSilent{Network: network})
+		// No reply arrives on the first connection.
+		client := NewClientOn(&silentFirstDial{Network: network})
 		call := func(within time.Duration) error {
 			limited, stop := context.WithTimeout(ctx, within)
 			defer stop()
@@ -39,8 +39,9 @@
 		require.Error(t, call(100*time.Millisecond))
 		require.NoError(t, call(100*time.Millisecond))
 
-		// A call that takes long on a connection that works does not end it.
-		working := client.links[lane{address, "Echo"}].client
+		// A call that times out does not close the connection if another call on it was
+		// answered meanwhile.
+		working := client.conns[connKey{address, "Echo"}].client
 		limited, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
 		var reply string
@@ -50,7 +51,7 @@
 		require.NoError(t, call(100*time.Millisecond))
 		require.Error(t, <-slow)
 		require.NoError(t, call(100*time.Millisecond))
-		require.Same(t, working, client.links[lane{address, "Echo"}].client)
+		require.Same(t, working, client.conns[connKey{address, "Echo"}].client)
 		close(receiver.release)
 		client.Close()
 		cancel()
@@ -58,17 +59,18 @@
 	})
 }
 
-// firstSilent dials a listener that never answers at first.
-type firstSilent struct {
+// silentFirstDial is a network whose first connection goes to a listener that never
+// accepts.
+type silentFirstDial struct {
 	*memnet.Network
 	dialled bool
 }
 
-func (f *firstSilent) Listen(address string) (net.Listener, error) {
+func (f *silentFirstDial) Listen(address string) (net.Listener, error) {
 	return f.Host("10.0.0.1").Listen(address)
 }
 
-func (f *firstSilent) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (f *silentFirstDial) Dial(ctx context.Context, address string) (net.Conn, error) {
 	if f.dialled {
 		return f.Host("10.0.0.1").Dial(ctx, address)
 	}
@@ -79,11 +81,12 @@
 	return f.Host("10.0.0.1").Dial(ctx, "10.0.0.3:80")
 }
 
-// A failure domain is cut off for seconds. When the cut ends, the connections from
-// before are still silent, and a request that asks for a slot over one of them waits
-// for nothing. An instance that was silent is spoken to over new connections, and
-// calls that hang on old ones fail at once, so that their callers go elsewhere.
-func TestForgottenInstanceIsDialledAnew(t *testing.T) {
+// A network partition isolates a failure domain for seconds. The connections from
+// before it are still silent when it ends, and a request for a slot on one of them
+// would time out. CloseConnections makes the next calls use new connections, and calls
+// in progress on the old ones fail at once, so that their callers can use another
+// instance.
+func TestCloseConnectionsForcesRedial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New(time.Millisecond)
 		const address = "10.0.0.2:80"
@@ -94,19 +97,19 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx) }()
-		client := NewClientOn(&firstSilent{Network: network})
-		var lost, reply string
-		hangs := make(chan error, 1)
-		go func() { hangs <- client.Call(ctx, address, "Echo.Say", "hello", &lost) }()
+		client := NewClientOn(&silentFirstDial{Network: network})
+		var unanswered, reply string
+		pending := make(chan error, 1)
+		go func() { pending <- client.Call(ctx, address, "Echo.Say", "hello", &unanswered) }()
 		time.Sleep(time.Second)
 
 		client.CloseConnections("10.0.0.9:80")
 		synctest.Wait()
-		require.Empty(t, hangs, "another instance was forgotten")
+		require.Empty(t, pending, "connections to another instance were closed")
 
 		began := time.Now()
 		client.CloseConnections(address)
-		require.Error(t, <-hangs)
+		require.Error(t, <-pending)
 		require.NoError(t, client.Call(ctx, address, "Echo.Say", "hello", &reply))
 		require.Less(t, time.Since(began), 10*time.Millisecond)
 		client.Close()
