--- a/internal/transport/targetconn/inspect_test.go
+++ b/internal/transport/targetconn/inspect_test.go
@@ -101,7 +101,7 @@
 	for name, answer := range map[string]http.HandlerFunc{
 		"failure":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) },
 		"no report": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("busy")) },
-		"truncated": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"aborted":   func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"too long":  func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxControlBody+1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
