--- a/internal/transport/targethttp/client.go
+++ b/internal/transport/targethttp/client.go
@@ -15,9 +15,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// Client reaches targets over its own pool of connections. Online calls, batch
-// items and calls that may not be repeated each get a Client of their own, so
-// that one kind can't use up the connections of another.
+// Client calls targets over its own connection pool. Online calls, batch items and
+// calls that are not idempotent each use a separate Client, so that one kind can't
+// exhaust the connections of another.
 type Client struct {
 	opts      Options
 	transport *http.Transport
@@ -35,7 +35,7 @@
 	opts = opts.withDefaults()
 	c := &Client{opts: opts, counts: new(expvar.Map).Init()}
 	c.transport = &http.Transport{
-		DialContext:         counted(dial),
+		DialContext:         countWrites(dial),
 		MaxIdleConns:        0,
 		MaxIdleConnsPerHost: opts.MaxIdlePerTarget,
 		IdleConnTimeout:     opts.IdleTimeout,
@@ -44,15 +44,15 @@
 		Proxy:               nil,
 	}
 	if opts.Name != "" {
-		published.Set(opts.Name, c.counts)
+		clientCounts.Set(opts.Name, c.counts)
 	}
 	return c
 }
 
-var published = expvar.NewMap("target")
+var clientCounts = expvar.NewMap("target")
 
-// Count gives a counter of the client by its name: "crossed", "not_run",
-// "may_have_run".
+// Count returns the value of one of the client's counters: "crossed" (responses to
+// another call), "not_run" or "may_have_run".
 func (c *Client) Count(name string) int64 {
 	if n, ok := c.counts.Get(name).(*expvar.Int); ok {
 		return n.Value()
@@ -60,41 +60,42 @@
 	return 0
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Do implements external.Target.
 func (c *Client) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
 	if isControl(call.Path) {
-		return nil, c.failed(protocol.NotRun, external.ErrPathClosed)
+		return nil, c.callError(protocol.NotRun, external.ErrPathClosed)
 	}
-	var sent sending
-	ctx, cancel := context.WithCancel(httptrace.WithClientTrace(ctx, sent.trace()))
+	var tracker writeTracker
+	ctx, cancel := context.WithCancel(httptrace.WithClientTrace(ctx, tracker.trace()))
 	req, err := newRequest(ctx, address, call)
 	if err != nil {
 		cancel()
-		return nil, c.failed(protocol.NotRun, err)
+		return nil, c.callError(protocol.NotRun, err)
 	}
-	// RoundTrip and not http.Client: a redirect would send the call again.
+	// RoundTrip does not follow redirects, unlike http.Client. Following one would
+	// send the call again.
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
 		cancel()
 		run := protocol.MayHaveRun
-		if sent.nothingSent() {
+		if tracker.nothingWritten() {
 			run = protocol.NotRun
 		}
-		return nil, c.failed(run, err)
+		return nil, c.callError(run, err)
 	}
-	return c.check(call, resp, cancel)
+	return c.checkResponse(call, resp, cancel)
 }
 
 // newRequest builds a request that net/http can't send twice.
 //
-// What goes wrong without it: http.Transport sends a request again on its own
-// if a kept connection turns out closed, when the method or an Idempotency-Key
-// header makes it look safe and the body can be had again. A call that may not
-// be repeated would run twice, seen only in the target's own books. A body
-// without GetBody that is not http.NoBody rules it out on every such path.
+// http.Transport sends a request again if a reused connection turns out to be closed,
+// provided that the method or an Idempotency-Key header makes the request look safe
+// and the body can be obtained again. A call that is not idempotent would run twice,
+// and only the target would know. A body without GetBody that is not http.NoBody
+// prevents this on every such path.
 func newRequest(ctx context.Context, address string, call external.Call) (*http.Request, error) {
 	url := "http://" + address + call.Path
 	req, err := http.NewRequestWithContext(ctx, call.Method, url, nil)
@@ -114,28 +115,29 @@
 	return req, nil
 }
 
-// check decides whether an answer is this call's own.
-func (c *Client) check(call external.Call, resp *http.Response, cancel context.CancelFunc) (*external.Answer, error) {
+// checkResponse rejects a response that belongs to another call, and one that reports
+// that the call did not run.
+func (c *Client) checkResponse(call external.Call, resp *http.Response, cancel context.CancelFunc) (*external.Answer, error) {
 	echoed := protocol.CallID(resp.Header.Get(headerCallID))
 	if echoed != call.ID {
-		// Cancelled before it is read to the end, so the connection is closed
-		// and whatever else comes on it reaches nobody.
+		// Cancelling before the body has been read closes the connection, so that
+		// no later data on it is taken for a response.
 		cancel()
 		_ = resp.Body.Close()
 		c.counts.Add("crossed", 1)
-		return nil, c.failed(protocol.MayHaveRun, fmt.Errorf("%w: it echoes %q", external.ErrCrossed, echoed))
+		return nil, c.callError(protocol.MayHaveRun, fmt.Errorf("%w: response echoes call id %q", external.ErrCrossed, echoed))
 	}
-	if err := notBegun(resp); err != nil {
+	if err := notRun(resp); err != nil {
 		drain(resp.Body)
 		cancel()
-		return nil, c.failed(protocol.NotRun, err)
+		return nil, c.callError(protocol.NotRun, err)
 	}
-	body := &body{ReadCloser: resp.Body, cancel: cancel}
+	body := &cancelBody{ReadCloser: resp.Body, cancel: cancel}
 	return &external.Answer{EchoedID: echoed, Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// notBegun is the target's own word that the call did not begin.
-func notBegun(resp *http.Response) error {
+// notRun returns an error if the target reports that it did not begin the call.
+func notRun(resp *http.Response) error {
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get(headerNotRun) != "true" {
 		return nil
 	}
@@ -145,8 +147,8 @@
 	return external.ErrNotBegun
 }
 
-// maxDrain is how much of an unwanted body is read so that its connection can
-// be kept.
+// maxDrain is the number of bytes read of an unwanted body so that its connection can
+// be reused.
 const maxDrain = 4 << 10
 
 func drain(body io.ReadCloser) {
@@ -154,19 +156,19 @@
 	_ = body.Close()
 }
 
-func (c *Client) failed(run protocol.RunState, err error) error {
+func (c *Client) callError(run protocol.RunState, err error) error {
 	c.counts.Add(string(run), 1)
 	return &external.CallError{Run: run, Err: err}
 }
 
-// body ends the call's context when it is closed.
-type body struct {
+// cancelBody is a response body that cancels the call's context when it is closed.
+type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *cancelBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel()
 	return err
--- a/internal/transport/targethttp/client_test.go
+++ b/internal/transport/targethttp/client_test.go
@@ -20,36 +20,36 @@
 	"merlintiller/internal/protocol"
 )
 
-// rawTarget serves each request on its connections by a script, so that it can
-// close them at any point.
+// rawTarget is a target whose responses a script writes to the connection. The script
+// can close the connection at any point.
 type rawTarget struct {
 	listener net.Listener
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// script answers request n (from 1) of all requests; false closes the
-// connection.
+// script responds to request n, counted from 1 over all connections. It returns false
+// to close the connection.
 type script func(n int64, req *http.Request, conn net.Conn) bool
 
 func newRawTarget(t *testing.T, answer script) *rawTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	raw := &rawTarget{listener: listener}
-	var open sync.WaitGroup
-	open.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			raw.conns.Add(1)
-			open.Go(func() { raw.serve(conn, answer) })
+			running.Go(func() { raw.serve(conn, answer) })
 		}
 	})
 	t.Cleanup(func() {
 		_ = listener.Close()
-		open.Wait()
+		running.Wait()
 	})
 	return raw
 }
@@ -101,7 +101,7 @@
 	return string(data)
 }
 
-func TestAnswerComesWithItsID(t *testing.T) {
+func TestResponseEchoesCallID(t *testing.T) {
 	raw := newRawTarget(t, func(_ int64, req *http.Request, conn net.Conn) bool {
 		answerOK(req, conn)
 		return true
@@ -113,23 +113,23 @@
 	require.Equal(t, "ok", readAll(t, answer))
 }
 
-// Nobody listens at the target's address, as after its death. The caller may
-// be told that the call did not run, and it is true.
+// Nothing listens at the target's address, as after the target has crashed. The call
+// certainly did not run, and the error must say so.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
-	// The port of an open connection's own end: nobody listens there, and no
-	// other process can begin to.
+	// The address is the local end of an open connection: nothing listens there, and
+	// no other process can be assigned the port.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	holder, err := net.Dial("tcp", listener.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	defer holder.Close()
-	_, err = newTestClient(t, Options{}).Do(context.Background(), holder.LocalAddr().String(), testCall("c1"))
+	defer conn.Close()
+	_, err = newTestClient(t, Options{}).Do(context.Background(), conn.LocalAddr().String(), testCall("c1"))
 	require.Equal(t, protocol.NotRun, runState(t, err))
 }
 
-// The target dies after it read the call and before it answers. A caller that
-// was told "not run" would send the call again, and it would run twice.
+// The target crashes after it read the call and before it responds. A caller that was
+// told "not run" would send the call again, and it would run twice.
 func TestLostAnswerMayHaveRun(t *testing.T) {
 	raw := newRawTarget(t, func(int64, *http.Request, net.Conn) bool { return false })
 	_, err := newTestClient(t, Options{}).Do(context.Background(), raw.address(), testCall("c1"))
@@ -137,9 +137,9 @@
 	require.EqualValues(t, 1, raw.requests.Load())
 }
 
-// dieOnSecond answers the first call and closes the connection on the second,
-// after it took effect.
-func dieOnSecond(n int64, req *http.Request, conn net.Conn) bool {
+// closeOnSecond responds to the first call. On the second it closes the connection
+// after the call took effect.
+func closeOnSecond(n int64, req *http.Request, conn net.Conn) bool {
 	if n == 2 {
 		return false
 	}
@@ -147,11 +147,11 @@
 	return true
 }
 
-// A kept connection breaks just after the second call took effect at the
-// target. net/http takes that for a connection that had been closed while
-// idle and sends the call again on its own; the user finds it executed twice.
+// A reused connection breaks just after the second call took effect at the target.
+// net/http takes this for a connection that was closed while idle and would send the
+// call again, so that it runs twice.
 func TestCallOnStaleConnectionIsSentOnce(t *testing.T) {
-	raw := newRawTarget(t, dieOnSecond)
+	raw := newRawTarget(t, closeOnSecond)
 	client := newTestClient(t, Options{})
 	answer, err := client.Do(context.Background(), raw.address(), testCall("c1"))
 	require.NoError(t, err)
@@ -159,12 +159,12 @@
 	_, err = client.Do(context.Background(), raw.address(), testCall("c2"))
 	require.Equal(t, protocol.MayHaveRun, runState(t, err))
 	require.EqualValues(t, 2, raw.requests.Load(), "the second call was sent again")
-	require.EqualValues(t, 1, raw.conns.Load(), "the test needs a kept connection")
+	require.EqualValues(t, 1, raw.conns.Load(), "the test requires a reused connection")
 }
 
-// The same with a GET without a body, which net/http also sends again.
+// The same for a GET without a body, which net/http also sends again.
 func TestGetOnStaleConnectionIsSentOnce(t *testing.T) {
-	raw := newRawTarget(t, dieOnSecond)
+	raw := newRawTarget(t, closeOnSecond)
 	client := newTestClient(t, Options{})
 	get := external.Call{ID: "c1", Method: http.MethodGet, Path: "/work"}
 	answer, err := client.Do(context.Background(), raw.address(), get)
@@ -175,10 +175,10 @@
 	require.EqualValues(t, 2, raw.requests.Load(), "the second call was sent again")
 }
 
-// The check above can fail: a request built the usual way is sent three times
-// in place of two.
+// Control for the tests above: a request built by http.NewRequest is sent again, so the
+// target receives three requests for two calls.
 func TestUsualRequestOnStaleConnectionIsSentTwice(t *testing.T) {
-	raw := newRawTarget(t, dieOnSecond)
+	raw := newRawTarget(t, closeOnSecond)
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	for _, id := range []string{"c1", "c2"} {
@@ -194,8 +194,8 @@
 	require.EqualValues(t, 3, raw.requests.Load())
 }
 
-// Calls that may not be repeated each get a connection of their own, so that
-// none of them meets one that the target is about to close.
+// Calls that are not idempotent each use a new connection, so that the target can't be
+// closing the connection while the call is written.
 func TestFreshConnectionForEachCall(t *testing.T) {
 	raw := newRawTarget(t, func(_ int64, req *http.Request, conn net.Conn) bool {
 		answerOK(req, conn)
@@ -210,7 +210,7 @@
 	require.EqualValues(t, 3, raw.conns.Load())
 }
 
-func TestTargetsOwnWordThatItDidNotBegin(t *testing.T) {
+func TestTargetReportsThatCallDidNotRun(t *testing.T) {
 	cases := []struct {
 		name    string
 		leaving string
@@ -236,9 +236,9 @@
 	}
 }
 
-// A target mixes up two calls and answers with the other's id. A caller that
-// got it would read another organisation's answer. It is dropped and counted,
-// and the connection is closed, since what follows on it can't be trusted.
+// A target sends the response to another call, which would show the caller data of
+// another organisation. The response is dropped and counted, and the connection is
+// closed, because later data on it can't be trusted either.
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	raw := newRawTarget(t, func(n int64, req *http.Request, conn net.Conn) bool {
 		if n == 1 {
@@ -255,11 +255,11 @@
 	answer, err := client.Do(context.Background(), raw.address(), testCall("c2"))
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, answer))
-	require.EqualValues(t, 2, raw.conns.Load(), "the connection was used again")
+	require.EqualValues(t, 2, raw.conns.Load(), "the connection was reused")
 }
 
-// The caller gives up while the call waits for a connection: no byte left, and
-// none may leave after it was told "not run".
+// The caller cancels the call while it waits for a connection. No byte was sent, and
+// none may be sent after the caller was told "not run".
 func TestCancelledDialIsNotRun(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := newClient(Options{}, func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -271,8 +271,8 @@
 	require.Equal(t, protocol.NotRun, runState(t, err))
 }
 
-// The path of a call to a plain service comes from its caller. Dots and
-// doubled slashes must not lead it to where targets take orders.
+// The path of a call to a plain service comes from the caller. Neither dots nor doubled
+// slashes nor escapes may make it reach a control path.
 func TestControlPathsAreClosedToCalls(t *testing.T) {
 	for _, path := range []string{"/orders", "/orders/", "//orders", "/a/../orders", "/%6frders", "/cancel/x", "/load?x=1", "no-slash"} {
 		require.True(t, isControl(path), path)
@@ -294,7 +294,7 @@
 		}
 		for _, n := range []int64{int64(load.Running), int64(load.Waiting), load.AgeMS} {
 			require.GreaterOrEqual(t, n, int64(0))
-			require.LessOrEqual(t, n, int64(maxReport))
+			require.LessOrEqual(t, n, int64(maxReportNumber))
 		}
 	})
 }
--- a/internal/transport/targethttp/conn.go
+++ b/internal/transport/targethttp/conn.go
@@ -7,60 +7,60 @@
 	"sync/atomic"
 )
 
-// countedConn counts the bytes handed to the network, before they are handed
-// over. What goes wrong without it: net/http reports one error for "nothing
-// was written" and "written, then the connection broke", and a caller would be
-// told "not run" of a call that ran.
-type countedConn struct {
+// countingConn counts the bytes written to the network, before they are written.
+// net/http returns the same error whether nothing was written or the connection broke
+// after writing. Without the count, a caller could be told "not run" of a call that ran.
+type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.written.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-// dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-func counted(dial dialFunc) dialFunc {
+// countWrites makes dial return connections that count the bytes written to them.
+func countWrites(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn}, nil
+		return &countingConn{Conn: conn}, nil
 	}
 }
 
-// sending watches the connection that carries one call.
-type sending struct {
-	conn   atomic.Pointer[countedConn]
+// writeTracker tracks whether any byte of a call was written to its connection.
+type writeTracker struct {
+	conn atomic.Pointer[countingConn]
+	// before is the number of bytes written to conn before this call.
 	before atomic.Int64
 }
 
-func (s *sending) trace() *httptrace.ClientTrace {
+func (w *writeTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		conn, ok := info.Conn.(*countedConn)
+		conn, ok := info.Conn.(*countingConn)
 		if !ok {
 			panic("targethttp: connection without a byte count")
 		}
-		s.before.Store(conn.written.Load())
-		s.conn.Store(conn)
+		w.before.Store(conn.written.Load())
+		w.conn.Store(conn)
 	}}
 }
 
-// nothingSent reports, after a failed round trip, whether certainly no byte of
-// the call left. A connection carries one call at a time, so bytes after
-// GotConn are this call's. The connection is closed first: a write that has not
-// begun by then can't begin any more, and one that has begun is counted.
-func (s *sending) nothingSent() bool {
-	conn := s.conn.Load()
+// nothingWritten reports, after a failed round trip, whether certainly no byte of the
+// call was written. A connection carries one call at a time, so all bytes after GotConn
+// belong to this call. The connection is closed first: after that no write can begin,
+// and a write that had begun is already counted.
+func (w *writeTracker) nothingWritten() bool {
+	conn := w.conn.Load()
 	if conn == nil {
 		return true
 	}
 	_ = conn.Close()
-	return conn.written.Load() == s.before.Load()
+	return conn.written.Load() == w.before.Load()
 }
--- a/internal/transport/targethttp/control.go
+++ b/internal/transport/targethttp/control.go
@@ -19,21 +19,20 @@
 	"merlintiller/internal/protocol"
 )
 
-// maxControlBody bounds the answer to a control request: a target that sends
-// without end can't fill the instance's memory.
+// maxControlBody bounds the response to a control request, in bytes, so that a target
+// that sends endlessly can't exhaust the instance's memory.
 const maxControlBody = 1 << 20
 
-// errStatus is an answer with a status that was not expected.
+// errStatus is the error of a response with an unexpected status.
 var errStatus = errors.New("unexpected status")
 
-// controlPaths are where a target takes orders and answers about itself.
+// controlPaths are the paths of orders, reports and cancels at a target.
 var controlPaths = []string{"/orders", "/load", "/cache-events", "/cancel"}
 
 // isControl reports whether a call would reach a control path.
 //
-// What goes wrong without it: the path of a call to a plain service comes from
-// the caller, so anyone with a key could give orders to a target or cancel the
-// calls of others.
+// The path of a call to a plain service comes from the caller. Without this check,
+// anyone with a key could give orders to a target or cancel the calls of others.
 func isControl(target string) bool {
 	parsed, err := url.ParseRequestURI(target)
 	if err != nil {
@@ -97,10 +96,10 @@
 	return decodeLoad(data)
 }
 
-// maxReport bounds the numbers of a load report: streams of one target and an
-// age of a day in milliseconds. A target that reports nonsense must not shift
-// the means of its whole service.
-const maxReport = 24 * 60 * 60 * 1000
+// maxReportNumber bounds the numbers of a load report: the streams of one target, and an age
+// of one day in milliseconds. A target that reports implausible numbers must not distort
+// the averages of its whole service.
+const maxReportNumber = 24 * 60 * 60 * 1000
 
 func decodeLoad(data []byte) (external.Load, error) {
 	var load external.Load
@@ -108,8 +107,8 @@
 		return external.Load{}, err
 	}
 	for _, n := range []int64{int64(load.Running), int64(load.Waiting), load.AgeMS} {
-		if n < 0 || n > maxReport {
-			return external.Load{}, trace.Wrap(protocol.ErrMalformed, "load report with the number %d", n)
+		if n < 0 || n > maxReportNumber {
+			return external.Load{}, trace.Wrap(protocol.ErrMalformed, "load report contains the number %d", n)
 		}
 	}
 	return load, nil
@@ -125,13 +124,13 @@
 	return events, decodeControl(data, &events)
 }
 
-func (c *Client) get(ctx context.Context, address, at string) ([]byte, error) {
-	status, data, err := c.control(ctx, http.MethodGet, address, at, nil)
+func (c *Client) get(ctx context.Context, address, requestPath string) ([]byte, error) {
+	status, data, err := c.control(ctx, http.MethodGet, address, requestPath, nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	if status != http.StatusOK {
-		return nil, trace.Wrap(errStatus, "%s: %d", at, status)
+		return nil, trace.Wrap(errStatus, "%s: %d", requestPath, status)
 	}
 	return data, nil
 }
@@ -143,11 +142,11 @@
 	return nil
 }
 
-// control makes one short request and reads its whole answer.
-func (c *Client) control(ctx context.Context, method, address, at string, body []byte) (int, []byte, error) {
+// control sends one control request and reads the entire response.
+func (c *Client) control(ctx context.Context, method, address, requestPath string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ControlTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+at, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+requestPath, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -161,7 +160,7 @@
 		return 0, nil, err
 	}
 	if len(data) > maxControlBody {
-		return 0, nil, fmt.Errorf("%w: answer of more than %d bytes", protocol.ErrMalformed, maxControlBody)
+		return 0, nil, fmt.Errorf("%w: response of more than %d bytes", protocol.ErrMalformed, maxControlBody)
 	}
 	return resp.StatusCode, data, nil
 }
--- a/internal/transport/targethttp/doc.go
+++ b/internal/transport/targethttp/doc.go
@@ -1,45 +1,46 @@
-// Package targethttp reaches targets over HTTP: calls, cancels, orders, load
-// reports and cache events. It is the only package that knows their wire form.
+// Package targethttp communicates with targets over HTTP: calls, cancels, orders, load
+// reports and cache events. No other package knows the targets' wire format.
 //
-// What it takes care of beside the wire form is the run state of a failed
-// call: "not run" is said only if no byte of the call was handed to the
-// network, or if the target itself said that it did not begin.
+// It also determines the run state of a failed call. The state is "not run" only if no
+// byte of the call was passed to the network, or if the target itself reported that it
+// did not begin the call.
 package targethttp
 
 import "time"
 
-// Headers of the targets' wire form.
+// Headers of the targets' wire format.
 const (
-	// headerCallID carries the call's id to the target and back.
+	// headerCallID carries the call's id. The target echoes it.
 	headerCallID = "X-Call-Id"
-	// headerResumeAt asks for a stream from a token on.
+	// headerResumeAt is the number of tokens that the caller already has of a stream
+	// that is to resume.
 	headerResumeAt = "X-Resume-At"
-	// headerNotRun on a 503 says that the target did not begin.
+	// headerNotRun on a 503 means that the target did not begin the call.
 	headerNotRun = "X-Not-Run"
-	// headerLeaving on a 503 says that the target takes no new work.
+	// headerLeaving on a 503 means that the target accepts no new calls.
 	headerLeaving = "X-Leaving"
 )
 
-// Options tune the connections to targets. A zero field takes its default.
+// Options configures the connections to targets. A zero field has its default.
 type Options struct {
-	// Name counts the client's events in expvar under "target.<Name>". Empty
-	// counts nowhere.
+	// Name publishes the client's counters in expvar under "target.<Name>". Empty
+	// publishes none.
 	Name string
-	// DialTimeout bounds the opening of a connection. Default 1 s: targets
-	// are within the region, and a retry elsewhere is cheap before a byte left.
+	// DialTimeout bounds connecting. Default 1 s: targets are in the same region,
+	// and retrying at another target is cheap while no byte has been sent.
 	DialTimeout time.Duration
-	// MaxIdlePerTarget bounds the kept connections to one target. Default 64:
-	// about the streams that one instance has at one target in a burst.
+	// MaxIdlePerTarget bounds the idle connections to one target. Default 64:
+	// about the number of streams that one instance has at one target in a burst.
 	MaxIdlePerTarget int
-	// IdleTimeout closes unused connections. Default 60 s.
+	// IdleTimeout is the time after which an idle connection is closed. Default 60 s.
 	IdleTimeout time.Duration
-	// FreshConnections opens a connection for each call and never uses it
-	// again. It is meant for calls that may not be repeated: a kept
-	// connection that the target closes at the moment of writing leaves open
-	// whether the call ran, and a fresh one can't be in that state.
+	// FreshConnections opens a new connection for each call and does not reuse it.
+	// It is meant for calls that are not idempotent: if the target closes a reused
+	// connection while the call is being written, it is unknown whether the call ran.
+	// That can't happen on a new connection.
 	FreshConnections bool
-	// ControlTimeout bounds cancels, orders, load reports and cache events.
-	// Default 2 s.
+	// ControlTimeout bounds a request that cancels a call, sends an order, or reads
+	// orders, a load report or cache events. Default 2 s.
 	ControlTimeout time.Duration
 }
 
