--- a/internal/transport/platformhttp/client.go
+++ b/internal/transport/platformhttp/client.go
@@ -18,28 +18,30 @@
 )
 
 const (
-	// dialTimeout bounds a connect; the platform is a few milliseconds away.
+	// dialTimeout bounds connecting. The platform is a few milliseconds away.
 	dialTimeout = 2 * time.Second
-	// replyTimeout bounds the wait for an answer beyond the wait that a read
-	// asked for. A hung platform is then an outage, not a stuck duty.
+	// replyTimeout bounds the wait for a response, in addition to the wait that a read
+	// itself requests. A platform that hangs is thus treated as an outage instead of
+	// blocking a background service.
 	replyTimeout = 5 * time.Second
-	// maxPageBytes bounds a page: a reader never holds more.
+	// maxPageBytes bounds a response, and so the memory that one read uses.
 	maxPageBytes = 8 << 20
-	// idleConns keeps one connection for each duty that talks to the platform.
-	idleConns = 16
+	// maxIdleConns is one connection for each background service that uses the platform.
+	maxIdleConns = 16
 )
 
-// Client reaches one platform address.
+// Client is a client of the platform at one address.
 type Client struct {
 	base string
 	http *http.Client
 
-	// listed is the last listing with its entity tag: a list that did not
-	// change is answered by a few bytes. At 850 targets the whole of it once a
-	// second would cost six times an instance's budget for control.
-	listMu    sync.Mutex
-	listed    external.Listing
-	listedTag string
+	// lastListing is the last listing, and lastETag its entity tag. The platform
+	// answers a request for an unchanged listing in a few bytes. With 850 targets,
+	// fetching all of it once a second would cost six times an instance's budget for
+	// control traffic.
+	listMu      sync.Mutex
+	lastListing external.Listing
+	lastETag    string
 }
 
 var (
@@ -53,14 +55,14 @@
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}
 	return &Client{base: "http://" + address, http: &http.Client{Transport: transport}}
 }
 
-// Append implements external.Log. net/http sends a POST once: an append whose
-// answer is lost comes back as ErrUnavailable, and the journal decides.
+// Append implements external.Log. net/http sends a POST once: an append whose response
+// is lost returns ErrUnavailable, and the journal decides whether to send it again.
 func (c *Client) Append(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
 	target := c.base + "/log/" + url.PathEscape(stream)
 	body, err := c.do(ctx, http.MethodPost, target, payload, replyTimeout)
@@ -69,7 +71,7 @@
 	}
 	var reply AppendReply
 	if err := json.Unmarshal(body, &reply); err != nil {
-		return protocol.NoOffset, fmt.Errorf("%w: append answer: %w", external.ErrUnavailable, err)
+		return protocol.NoOffset, fmt.Errorf("%w: append response: %w", external.ErrUnavailable, err)
 	}
 	return reply.Offset, nil
 }
@@ -108,12 +110,12 @@
 func (c *Client) List(ctx context.Context) (external.Listing, error) {
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
-	reply, err := c.exchange(ctx, http.MethodGet, c.base+"/list", nil, replyTimeout, c.listedTag)
+	reply, err := c.exchange(ctx, http.MethodGet, c.base+"/list", nil, replyTimeout, c.lastETag)
 	if err != nil {
 		return external.Listing{}, err
 	}
-	if reply.status == http.StatusNotModified && c.listedTag != "" {
-		return c.listed, nil
+	if reply.status == http.StatusNotModified && c.lastETag != "" {
+		return c.lastListing, nil
 	}
 	if err := statusError(reply.status); err != nil {
 		return external.Listing{}, err
@@ -122,7 +124,7 @@
 	if err := json.Unmarshal(reply.body, &listing); err != nil {
 		return external.Listing{}, fmt.Errorf("%w: list: %w", external.ErrUnavailable, err)
 	}
-	c.listed, c.listedTag = listing, reply.tag
+	c.lastListing, c.lastETag = listing, reply.etag
 	return listing, nil
 }
 
@@ -148,24 +150,24 @@
 	return reply.body, statusError(reply.status)
 }
 
-// reply is an answer of the platform, whatever its status.
+// reply is a response of the platform with any status.
 type reply struct {
 	status int
-	tag    string
+	etag   string
 	body   []byte
 }
 
-// exchange sends one request. With a tag it asks for an answer only if what
-// the tag stands for has changed.
-func (c *Client) exchange(ctx context.Context, method, target string, payload []byte, timeout time.Duration, tag string) (*reply, error) {
+// exchange sends one request. With an etag, the platform responds with 304 if the
+// resource has not changed.
+func (c *Client) exchange(ctx context.Context, method, target string, payload []byte, timeout time.Duration, etag string) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(payload))
 	if err != nil {
 		return nil, err
 	}
-	if tag != "" {
-		req.Header.Set("If-None-Match", tag)
+	if etag != "" {
+		req.Header.Set("If-None-Match", etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -176,11 +178,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrUnavailable, err)
 	}
-	return &reply{status: resp.StatusCode, tag: resp.Header.Get("ETag"), body: body}, nil
+	return &reply{status: resp.StatusCode, etag: resp.Header.Get("ETag"), body: body}, nil
 }
 
-// statusError maps the platform's answers. An answer that is neither success
-// nor a known refusal says nothing about the effect.
+// statusError converts a status to an error. A status that is neither success nor a
+// known rejection leaves open whether the request took effect.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
--- a/internal/transport/platformhttp/client_test.go
+++ b/internal/transport/platformhttp/client_test.go
@@ -13,9 +13,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// The platform, or something between it and us, answers with other bytes than
-// its interface says. Whatever they are, an instance must take them for an
-// outage: it tries again, and neither stops nor takes them for entries.
+// The platform, or a proxy in between, sends bytes that its protocol does not define.
+// The client must return one of the isExpected errors for them, so that the instance retries
+// as in an outage, and must neither panic nor return them as entries.
 func FuzzAnswers(f *testing.F) {
 	page, err := protocol.Marshal(PageWire{Entries: []EntryWire{{Offset: 3, Payload: []byte("x")}}, Next: 4})
 	require.NoError(f, err)
@@ -34,7 +34,7 @@
 		}))
 		defer server.Close()
 		client := New(strings.TrimPrefix(server.URL, "http://"))
-		known := func(err error) bool {
+		isExpected := func(err error) bool {
 			for _, want := range []error{external.ErrUnavailable, external.ErrThrottled, external.ErrTrimmed, external.ErrEntryTooLarge} {
 				if err == nil || errors.Is(err, want) {
 					return true
@@ -43,12 +43,12 @@
 			return false
 		}
 		_, err := client.Append(t.Context(), "s", nil)
-		require.True(t, known(err), err)
+		require.True(t, isExpected(err), err)
 		_, err = client.Read(t.Context(), "s", 0, 1, 0)
-		require.True(t, known(err), err)
+		require.True(t, isExpected(err), err)
 		_, err = client.List(t.Context())
-		require.True(t, known(err), err)
+		require.True(t, isExpected(err), err)
 		_, err = client.Stat(t.Context(), "m", "v")
-		require.True(t, known(err), err)
+		require.True(t, isExpected(err), err)
 	})
 }
--- a/internal/transport/platformhttp/wire.go
+++ b/internal/transport/platformhttp/wire.go
@@ -1,23 +1,23 @@
-// Package platformhttp is the thin HTTP adapter for the platform: its log,
-// instance list and weight store. Log pages travel as CBOR, because a page in
-// JSON would be a third larger and every instance reads the control stream.
+// Package platformhttp is the HTTP client for the platform's log, instance list and
+// weight store. Log pages are encoded in CBOR: a page in JSON would be a third larger,
+// and every instance reads the control stream.
 package platformhttp
 
 import "merlintiller/internal/protocol"
 
-// AppendReply answers an append.
+// AppendReply is the response to an append.
 type AppendReply struct {
 	Offset protocol.Offset `json:"offset"`
 }
 
-// EntryWire is one entry of a page.
+// EntryWire is one log entry of a page.
 type EntryWire struct {
 	Offset  protocol.Offset `cbor:"1,keyasint"`
 	Payload []byte          `cbor:"2,keyasint"`
 }
 
-// PageWire answers a read. Trimmed says that the entries asked for have left
-// retention.
+// PageWire is the response to a read. Trimmed reports whether the entries that were
+// requested are past the retention period.
 type PageWire struct {
 	Entries []EntryWire     `cbor:"1,keyasint"`
 	Oldest  protocol.Offset `cbor:"2,keyasint"`
@@ -25,7 +25,7 @@
 	Trimmed bool            `cbor:"4,keyasint"`
 }
 
-// WeightReply answers a look at the weight store.
+// WeightReply is the response to a request for the size of a model's weights.
 type WeightReply struct {
 	Bytes int64 `json:"bytes"`
 }
