--- a/internal/transport/tlsconfig/config.go
+++ b/internal/transport/tlsconfig/config.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-var errNoCertificate = errors.New("the other side showed no certificate")
+var errNoCertificate = errors.New("peer presented no certificate")
 
-// Server is the configuration of a listener, nil for plaintext. If the source
-// has authorities, a client without a certificate of theirs is refused in the
-// handshake, before any byte of a call is read.
+// Server returns the configuration of a listener, nil for plaintext. If the source has
+// certificate authorities, a client without a certificate signed by one of them is
+// rejected in the handshake, before any byte of a call is read.
 func (s *Source) Server() *tls.Config {
 	if s == nil {
 		return nil
@@ -19,34 +19,34 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.serverNow(), nil
+			return s.currentServer(), nil
 		},
 	}
 }
 
-func (s *Source) serverNow() *tls.Config {
-	now := s.current.Load()
+func (s *Source) currentServer() *tls.Config {
+	current := s.current.Load()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{now.pair},
+		Certificates: []tls.Certificate{current.pair},
 		NextProtos:   []string{"http/1.1"},
 	}
-	if now.roots != nil {
+	if current.authorities != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
-		config.ClientCAs = now.roots
-		// A resumed session would skip the check against authorities that
-		// were changed meanwhile.
+		config.ClientCAs = current.authorities
+		// A resumed session would skip verification against certificate authorities
+		// that have changed since the session began.
 		config.SessionTicketsDisabled = true
 		config.NextProtos = nil
 	}
 	return config
 }
 
-// Client is the configuration for calls to other instances, nil for plaintext.
+// Client returns the configuration for calls to other instances, nil for plaintext.
 //
-// Instances come and go with their addresses, so a certificate proves that the
-// other side is an instance of the fleet, by its authority, and not which
-// address it has. The authority of peers must therefore sign instances only.
+// Instances and their addresses change, so the client verifies only that the server's
+// certificate is signed by the authority of the fleet, not which address the server
+// has. The authority of peers must therefore sign certificates of instances only.
 func (s *Source) Client() *tls.Config {
 	if s == nil {
 		return nil
@@ -56,9 +56,9 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &s.current.Load().pair, nil
 		},
-		// The library's own check wants a host name and a fixed pool of
-		// authorities. VerifyConnection checks the chain against the pool
-		// that is current at this handshake.
+		// The verification of crypto/tls requires a host name and a fixed pool of
+		// certificate authorities. VerifyConnection verifies the chain against the
+		// pool that is current at this handshake.
 		InsecureSkipVerify: true,
 		VerifyConnection:   s.verifyServer,
 	}
@@ -69,13 +69,13 @@
 		return errNoCertificate
 	}
 	options := x509.VerifyOptions{
-		Roots:         s.current.Load().roots,
+		Roots:         s.current.Load().authorities,
 		Intermediates: x509.NewCertPool(),
 		CurrentTime:   time.Now(),
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	}
 	if options.Roots == nil {
-		// A nil pool would mean the authorities of the operating system.
+		// A nil pool would select the certificate authorities of the operating system.
 		options.Roots = x509.NewCertPool()
 	}
 	for _, cert := range state.PeerCertificates[1:] {
--- a/internal/transport/tlsconfig/set.go
+++ b/internal/transport/tlsconfig/set.go
@@ -9,34 +9,34 @@
 	"merlintiller/internal/settings"
 )
 
-// Set holds the sources of all listeners of a process. Each may be nil.
+// Set holds the sources of all listeners of a process. A nil source means plaintext.
 type Set struct {
 	Callers, Peers, Operators *Source
 }
 
-// OpenAll reads the certificates that the settings name. It warns of each
-// listener that speaks plaintext beyond loopback, which settings must allow.
+// OpenAll loads the certificates that the settings name. It logs a warning for each
+// plaintext listener that is not on loopback; the settings must permit such a listener.
 func OpenAll(s *settings.Settings, logger log.Logger) (Set, error) {
 	var set Set
-	wanted := []struct {
+	listeners := []struct {
 		name, address string
 		files         Files
-		into          **Source
+		source        **Source
 	}{
 		{"callers", s.Listen.Callers, Files{Cert: s.TLS.Callers.Cert, Key: s.TLS.Callers.Key}, &set.Callers},
 		{"peers", s.Listen.Peers, Files(s.TLS.Peers), &set.Peers},
 		{"operators", s.Listen.Operators, Files(s.TLS.Operators), &set.Operators},
 	}
-	for _, w := range wanted {
-		if w.files == (Files{}) {
-			warnPlaintext(w.name, w.address, logger)
+	for _, l := range listeners {
+		if l.files == (Files{}) {
+			warnPlaintext(l.name, l.address, logger)
 			continue
 		}
-		source, err := Open(w.name, w.files, s.TLS.ReloadEvery, logger)
+		source, err := Open(l.name, l.files, s.TLS.ReloadEvery, logger)
 		if err != nil {
 			return Set{}, err
 		}
-		*w.into = source
+		*l.source = source
 	}
 	return set, nil
 }
@@ -49,7 +49,7 @@
 	_ = level.Warn(logger).Log("event", "plaintext_listener", "listener", name, "address", address)
 }
 
-// Services are the sources that look for changed files, for the supervisor.
+// Services returns the sources that are not nil, for the supervisor to run.
 func (s Set) Services() []*Source {
 	var out []*Source
 	for _, source := range []*Source{s.Callers, s.Peers, s.Operators} {
--- a/internal/transport/tlsconfig/source.go
+++ b/internal/transport/tlsconfig/source.go
@@ -1,8 +1,8 @@
-// Package tlsconfig gives the TLS configurations of a tillerd process, whose
-// certificates are read again when their files change.
+// Package tlsconfig builds the TLS configurations of a tillerd process and reloads
+// their certificates when the files change.
 //
-// A connection keeps the certificate that it began with, so a rotation cuts no
-// call. The next handshake uses the new one.
+// A connection keeps the certificate of its handshake, so a rotation interrupts no
+// call. The next handshake uses the new certificate.
 package tlsconfig
 
 import (
@@ -21,54 +21,57 @@
 	"github.com/gravitational/trace"
 )
 
-// expiryNotice is how long before its end a certificate is warned about: a
-// week lets an operator act on a working day.
+// expiryNotice is the remaining validity below which a warning about a certificate is
+// logged. A week allows an operator to act on a working day.
 const expiryNotice = 7 * 24 * time.Hour
 
-// expiresIn holds the seconds until each certificate ends.
+// expiresIn holds the seconds until each certificate expires.
 var expiresIn = expvar.NewMap("tls.expires_in_s")
 
-// Files names the PEM files of one listener. CA is empty where the other side
-// shows no certificate.
+// Files holds the paths of the PEM files of one listener. CA is empty if the peer does
+// not present a certificate.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// material is what the files held when they were last whole.
-type material struct {
-	pair  tls.Certificate
-	roots *x509.CertPool
-	raw   [][]byte
+// credentials holds the contents of the files when they were last loaded successfully.
+type credentials struct {
+	pair tls.Certificate
+	// authorities are the certificate authorities for the peer's certificate, nil
+	// without a CA file.
+	authorities *x509.CertPool
+	// pem holds the contents of the files, to detect changes.
+	pem [][]byte
 }
 
-// Source is the certificate of one listener. It is a suture service that looks
-// for changed files. A nil Source stands for plaintext.
+// Source holds the certificate of one listener. It is a suture service that polls the
+// files for changes. A nil Source means plaintext.
 type Source struct {
-	name    string
-	files   Files
-	every   time.Duration
-	logger  log.Logger
-	current atomic.Pointer[material]
+	name     string
+	files    Files
+	interval time.Duration
+	logger   log.Logger
+	current  atomic.Pointer[credentials]
 }
 
-// Open reads the files. The name stands in log events.
-func Open(name string, files Files, every time.Duration, logger log.Logger) (*Source, error) {
-	s := &Source{name: name, files: files, every: every, logger: log.With(logger, "listener", name)}
+// Open loads the files. The name appears in log events, in metrics and in errors.
+func Open(name string, files Files, interval time.Duration, logger log.Logger) (*Source, error) {
+	s := &Source{name: name, files: files, interval: interval, logger: log.With(logger, "listener", name)}
 	loaded, err := load(files)
 	if err != nil {
 		return nil, trace.Wrap(err, "certificate of %s", name)
 	}
 	s.current.Store(loaded)
-	s.noteExpiry(time.Now())
+	s.checkExpiry(time.Now())
 	return s, nil
 }
 
 // String names the service for the supervisor.
 func (s *Source) String() string { return "certificate-" + s.name }
 
-// Serve looks for changed files until ctx ends.
+// Serve polls the files for changes at the interval given to Open until ctx ends.
 func (s *Source) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(s.every)
+	ticker := time.NewTicker(s.interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -76,38 +79,38 @@
 			return ctx.Err()
 		case now := <-ticker.C:
 			s.reload()
-			s.noteExpiry(now)
+			s.checkExpiry(now)
 		}
 	}
 }
 
-// reload takes over changed files. While a rotation is half written, the
-// certificate and its key do not belong together; taking them would refuse
-// every caller. The old ones stay in use and the next look tries again.
+// reload loads the files if they have changed. In the middle of a rotation the
+// certificate and the key do not match, and using them would make every handshake fail.
+// The previous ones stay in use then, and the next poll tries again.
 func (s *Source) reload() {
 	loaded, err := load(s.files)
 	if err != nil {
 		_ = level.Warn(s.logger).Log("event", "certificate_not_reloaded", "err", err)
 		return
 	}
-	if same(loaded.raw, s.current.Load().raw) {
+	if equalPEM(loaded.pem, s.current.Load().pem) {
 		return
 	}
 	s.current.Store(loaded)
 	_ = level.Info(s.logger).Log("event", "certificate_reloaded", "not_after", loaded.pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
 }
 
-func (s *Source) noteExpiry(now time.Time) {
-	left := s.current.Load().pair.Leaf.NotAfter.Sub(now)
+func (s *Source) checkExpiry(now time.Time) {
+	remaining := s.current.Load().pair.Leaf.NotAfter.Sub(now)
 	value := new(expvar.Int)
-	value.Set(int64(left / time.Second))
+	value.Set(int64(remaining / time.Second))
 	expiresIn.Set(s.name, value)
-	if left < expiryNotice {
-		_ = level.Warn(s.logger).Log("event", "certificate_expiring", "left", left.Round(time.Second))
+	if remaining < expiryNotice {
+		_ = level.Warn(s.logger).Log("event", "certificate_expiring", "left", remaining.Round(time.Second))
 	}
 }
 
-func load(files Files) (*material, error) {
+func load(files Files) (*credentials, error) {
 	cert, err := os.ReadFile(files.Cert)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -120,23 +123,23 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	loaded := &material{pair: pair, raw: [][]byte{cert, key}}
+	loaded := &credentials{pair: pair, pem: [][]byte{cert, key}}
 	if files.CA == "" {
 		return loaded, nil
 	}
-	authorities, err := os.ReadFile(files.CA)
+	ca, err := os.ReadFile(files.CA)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	loaded.roots = x509.NewCertPool()
-	if !loaded.roots.AppendCertsFromPEM(authorities) {
-		return nil, trace.Wrap(errors.New("the file of authorities holds no certificate"))
+	loaded.authorities = x509.NewCertPool()
+	if !loaded.authorities.AppendCertsFromPEM(ca) {
+		return nil, trace.Wrap(errors.New("CA file contains no certificate"))
 	}
-	loaded.raw = append(loaded.raw, authorities)
+	loaded.pem = append(loaded.pem, ca)
 	return loaded, nil
 }
 
-func same(a, b [][]byte) bool {
+func equalPEM(a, b [][]byte) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/transport/tlsconfig/tlsconfig_test.go
+++ b/internal/transport/tlsconfig/tlsconfig_test.go
@@ -18,7 +18,7 @@
 	"merlintiller/internal/transport/peer"
 )
 
-// authority signs certificates for one test.
+// authority is the certificate authority of one test.
 type authority struct{ *harness.Authority }
 
 func newAuthority(t *testing.T) authority {
@@ -28,7 +28,7 @@
 	return authority{made}
 }
 
-// issue writes a certificate with its key and the authority's certificate.
+// issue writes a new certificate, its key and the authority's certificate to dir.
 func (a authority) issue(t *testing.T, dir string, serial int64) Files {
 	t.Helper()
 	files, err := a.Issue(dir, serial)
@@ -50,13 +50,13 @@
 
 type echo struct{}
 
-// Say gives the text back.
+// Say returns its argument.
 func (echo) Say(args string, reply *string) error {
 	*reply = args
 	return nil
 }
 
-// events is a logger that hands each event to the test.
+// events is a logger that sends the name of each log event to the test.
 type events chan string
 
 func (e events) Log(keyvals ...any) error {
@@ -89,23 +89,22 @@
 	return client.Call(t.Context(), address, "Echo.Say", "hello", &reply)
 }
 
-// Somebody on the network finds the port of the calls between instances. If it
-// were let in, it could hand itself tokens or withdraw every key. It is cut off
-// in the handshake, whether it shows nothing, plaintext, or a certificate of
-// its own making.
-func TestPeerCallsFromOutsideAreRefused(t *testing.T) {
+// An outsider connects to the listener for calls between instances. A call would let it
+// grant itself tokens or withdraw every key, so the handshake must fail, whether it
+// presents no certificate, uses plaintext, or presents a certificate of its own authority.
+func TestPeerCallsFromOutsideAreRejected(t *testing.T) {
 	fleet := newAuthority(t)
 	server := open(t, fleet.issue(t, t.TempDir(), 2))
 	member := open(t, fleet.issue(t, t.TempDir(), 3))
-	stranger := open(t, newAuthority(t).issue(t, t.TempDir(), 4))
+	outsider := open(t, newAuthority(t).issue(t, t.TempDir(), 4))
 	logged := make(events, 8)
 	address := startPeer(t, server.Server(), logged)
 
 	require.NoError(t, say(t, member.Client(), address))
-	bare := &tls.Config{InsecureSkipVerify: true}
-	require.Error(t, say(t, bare, address))
+	withoutCert := &tls.Config{InsecureSkipVerify: true}
+	require.Error(t, say(t, withoutCert, address))
 	require.Error(t, say(t, nil, address))
-	forged := stranger.Client()
+	forged := outsider.Client()
 	forged.VerifyConnection = nil
 	require.Error(t, say(t, forged, address))
 	for range 3 {
@@ -113,17 +112,17 @@
 	}
 }
 
-// An instance is pointed at a port that a stranger has taken over. It must not
-// hand its state to it.
-func TestInstanceRefusesForeignServer(t *testing.T) {
+// An instance connects to a port on which an outsider listens. It must not send its
+// state there.
+func TestInstanceRejectsForeignServer(t *testing.T) {
 	member := open(t, newAuthority(t).issue(t, t.TempDir(), 2))
-	stranger := open(t, newAuthority(t).issue(t, t.TempDir(), 3))
-	config := stranger.Server()
+	outsider := open(t, newAuthority(t).issue(t, t.TempDir(), 3))
+	config := outsider.Server()
 	address := startPeer(t, config, log.NewNopLogger())
 	require.ErrorContains(t, say(t, member.Client(), address), "unknown authority")
 }
 
-func serialSeen(t *testing.T, source *Source) int64 {
+func presentedSerial(t *testing.T, source *Source) int64 {
 	t.Helper()
 	near, far := net.Pipe()
 	go func() { _ = tls.Server(far, source.Server()).Handshake() }()
@@ -133,9 +132,9 @@
 	return client.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 }
 
-// A certificate is rotated while calls run. The connection that stands goes on,
-// and the next one gets the new certificate, without a restart.
-func TestRotationCutsNoConnection(t *testing.T) {
+// A certificate is rotated while connections are open. The open connection keeps working
+// and the new certificate is in use for later handshakes, without a restart.
+func TestRotationKeepsConnections(t *testing.T) {
 	fleet := newAuthority(t)
 	dir := t.TempDir()
 	files := fleet.issue(t, dir, 10)
@@ -154,9 +153,9 @@
 	require.Equal(t, int64(11), server.current.Load().pair.Leaf.SerialNumber.Int64())
 }
 
-// The tool that rotates certificates has written the new certificate and not
-// yet the new key. Loaded like that, every handshake would fail. The old pair
-// stays in use until the new one is whole.
+// The tool that rotates certificates has written the new certificate and not yet the new
+// key. If this pair were loaded, every handshake would fail. The old pair must stay in
+// use until both new files are written.
 func TestHalfWrittenRotationKeepsTheOldCertificate(t *testing.T) {
 	fleet := newAuthority(t)
 	dir := t.TempDir()
@@ -168,15 +167,15 @@
 	require.NoError(t, err)
 	write(t, files.Cert, cert)
 	source.reload()
-	require.Equal(t, int64(10), serialSeen(t, source))
+	require.Equal(t, int64(10), presentedSerial(t, source))
 	key, err := os.ReadFile(next.Key)
 	require.NoError(t, err)
 	write(t, files.Key, key)
 	source.reload()
-	require.Equal(t, int64(11), serialSeen(t, source))
+	require.Equal(t, int64(11), presentedSerial(t, source))
 }
 
-func TestServeLooksForChangedFiles(t *testing.T) {
+func TestServeReloadsChangedFiles(t *testing.T) {
 	fleet := newAuthority(t)
 	dir := t.TempDir()
 	files := fleet.issue(t, dir, 10)
@@ -194,7 +193,7 @@
 	})
 }
 
-func TestOpenAllWarnsOfPlaintextBeyondLoopback(t *testing.T) {
+func TestOpenAllWarnsOfPlaintextOffLoopback(t *testing.T) {
 	var logs bytes.Buffer
 	s := settings.Default()
 	s.Listen = settings.Listen{Callers: "10.0.0.1:1", Peers: "127.0.0.1:2", Operators: "127.0.0.1:3"}
