--- a/internal/transport/tlsconfig/source.go
+++ b/internal/transport/tlsconfig/source.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// reload loads the files if they have changed. In the middle of a rotation the
+// reload loads the files if they have changed. While a rotation is only half written, the
 // certificate and the key do not match, and using them would make every handshake fail.
 // The previous ones stay in use then, and the next poll tries again.
 func (s *Source) reload() {
