--- a/internal/transport/peer/server.go
+++ b/internal/transport/peer/server.go
@@ -42,9 +42,9 @@
 	conns  map[net.Conn]struct{}
 }
 
-// NewServer returns a server that accepts connections on listener and closes it. A
-// nil tlsConfig means plaintext, which the settings permit on loopback, or elsewhere
-// if allowed explicitly.
+// NewServer returns a server that accepts connections on listener and closes it when
+// Serve ends. A nil tlsConfig means plaintext, which the settings permit on loopback, or
+// elsewhere if allowed explicitly.
 func NewServer(listener net.Listener, tlsConfig *tls.Config, logger log.Logger) *Server {
 	return &Server{
 		listener: listener,
