--- a/internal/transport/targethttp/client.go
+++ b/internal/transport/targethttp/client.go
@@ -24,7 +24,7 @@
 	counts    *expvar.Map
 }
 
-// New returns a client.
+// New returns a client with its own connection pool.
 func New(opts Options) *Client {
 	opts = opts.withDefaults()
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
@@ -94,8 +94,8 @@
 // http.Transport sends a request again if a reused connection turns out to be closed,
 // provided that the method or an Idempotency-Key header makes the request look safe
 // and the body can be obtained again. A call that is not idempotent would run twice,
-// and only the target would know. A body without GetBody that is not http.NoBody
-// prevents this on every such path.
+// and only the target's records would show it. A body without GetBody that is not
+// http.NoBody prevents this on every such path.
 func newRequest(ctx context.Context, address string, call external.Call) (*http.Request, error) {
 	url := "http://" + address + call.Path
 	req, err := http.NewRequestWithContext(ctx, call.Method, url, nil)
--- a/internal/transport/targethttp/control.go
+++ b/internal/transport/targethttp/control.go
@@ -96,9 +96,9 @@
 	return decodeLoad(data)
 }
 
-// maxReportNumber bounds the numbers of a load report: the streams of one target, and an age
-// of one day in milliseconds. A target that reports implausible numbers must not distort
-// the averages of its whole service.
+// maxReportNumber bounds the numbers of a load report: the streams of one target, and
+// an age of one day in milliseconds. A target that reports implausible numbers must not
+// distort the averages of its whole service.
 const maxReportNumber = 24 * 60 * 60 * 1000
 
 func decodeLoad(data []byte) (external.Load, error) {
--- a/internal/transport/targethttp/doc.go
+++ b/internal/transport/targethttp/doc.go
@@ -21,7 +21,7 @@
 	headerLeaving = "X-Leaving"
 )
 
-// Options configures the connections to targets. A zero field has its default.
+// Options configures the connections to targets. A zero field selects its default.
 type Options struct {
 	// Name publishes the client's counters in expvar under "target.<Name>". Empty
 	// publishes none.
