--- a/internal/transport/platformhttp/client_test.go
+++ b/internal/transport/platformhttp/client_test.go
@@ -14,8 +14,8 @@
 )
 
 // The platform, or a proxy in between, sends bytes that its protocol does not define.
-// The client must return one of the isExpected errors for them, so that the instance retries
-// as in an outage, and must neither panic nor return them as entries.
+// The client must return one of the expected errors for them, so that the instance
+// retries as in an outage, and must neither panic nor return them as entries.
 func FuzzAnswers(f *testing.F) {
 	page, err := protocol.Marshal(PageWire{Entries: []EntryWire{{Offset: 3, Payload: []byte("x")}}, Next: 4})
 	require.NoError(f, err)
