--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -88,7 +88,7 @@
 			EndRunPath: platform.EndRunPath, EncodeEndRun: platform.EncodeEndRun, DecodeEndRun: platform.DecodeEndRun,
 			HandlePath: platform.HandlePath,
 		}),
-		calls: peer.NewClientOn(network),
+		calls: peer.NewClientWithNetwork(network),
 	}
 	d.meter = quota.NewMeter()
 	d.killed, d.kill = context.WithCancel(context.Background())
--- a/internal/transport/peer/client.go
+++ b/internal/transport/peer/client.go
@@ -48,8 +48,8 @@
 	conns map[connKey]*clientConn
 }
 
-// NewClientOn returns a client that connects over a network without TLS.
-func NewClientOn(network external.Network) *Client {
+// NewClientWithNetwork returns a client that connects over a network without TLS.
+func NewClientWithNetwork(network external.Network) *Client {
 	return &Client{network: network, conns: map[connKey]*clientConn{}}
 }
 
--- a/internal/transport/peer/silent_test.go
+++ b/internal/transport/peer/silent_test.go
@@ -29,7 +29,7 @@
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx) }()
 		// No reply arrives on the first connection.
-		client := NewClientOn(&silentFirstDial{Network: network})
+		client := NewClientWithNetwork(&silentFirstDial{Network: network})
 		call := func(within time.Duration) error {
 			limited, stop := context.WithTimeout(ctx, within)
 			defer stop()
@@ -97,7 +97,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = server.Serve(ctx) }()
-		client := NewClientOn(&silentFirstDial{Network: network})
+		client := NewClientWithNetwork(&silentFirstDial{Network: network})
 		var unanswered, reply string
 		pending := make(chan error, 1)
 		go func() { pending <- client.Call(ctx, address, "Echo.Say", "hello", &unanswered) }()
