--- a/internal/coordination/routed/batchjobs/replica_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -50,9 +50,9 @@
 // noPeers is a fleet without other instances.
 type noPeers struct{}
 
-func (noPeers) Peers() []mesh.Peer           { return nil }
-func (noPeers) Holder(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
-func (noPeers) Claimed() []mesh.Claim        { return nil }
+func (noPeers) Peers() []mesh.Peer            { return nil }
+func (noPeers) OwnerOf(int) (mesh.Peer, bool) { return mesh.Peer{}, false }
+func (noPeers) Claims() []mesh.Claim          { return nil }
 
 // own starts a replica that owns the partition.
 func (p *testPartition) own() *partitionReplica {
--- a/internal/coordination/routed/batchjobs/service.go
+++ b/internal/coordination/routed/batchjobs/service.go
@@ -61,7 +61,7 @@
 // callOwner calls the owner of a partition. It returns false if no owner is known
 // or the call failed.
 func (s *JobService) callOwner(ctx context.Context, number int, method string, args, reply any) bool {
-	owner, ok := s.opts.Peers.Holder(number)
+	owner, ok := s.opts.Peers.OwnerOf(number)
 	if !ok {
 		return false
 	}
@@ -78,7 +78,7 @@
 func (s *JobService) tryPeersWithStore(ctx context.Context, call func(ctx context.Context, address string) bool) {
 	tried := 0
 	for _, p := range s.opts.Peers.Peers() {
-		if p.State != mesh.Up || p.Beat.Leaving || p.Beat.StoreAge >= storeUnreachableAfter {
+		if p.State != mesh.Up || p.Heartbeat.Leaving || p.Heartbeat.StoreAge >= storeUnreachableAfter {
 			continue
 		}
 		if tried == maxPeersTried || ctx.Err() != nil {
@@ -137,7 +137,7 @@
 // resultsFromOwner asks the owner of a partition for results. It returns false if no
 // owner is known or the call failed.
 func (s *JobService) resultsFromOwner(ctx context.Context, number int, call ResultsCall) (ResultsReply, bool) {
-	owner, ok := s.opts.Peers.Holder(number)
+	owner, ok := s.opts.Peers.OwnerOf(number)
 	if !ok {
 		return ResultsReply{}, false
 	}
