--- a/internal/daemon/routed/local.go
+++ b/internal/daemon/routed/local.go
@@ -72,7 +72,7 @@
 func (l *local) PeerSilent(i mesh.Instance) {
 	l.placer.SetPeer(i.Name, nil)
 	l.broker.InstanceSilent(i.Name)
-	l.calls.Forget(i.Address)
+	l.calls.CloseConnections(i.Address)
 }
 
 // PeerDown implements mesh.Delegate.
