--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -100,7 +100,7 @@
 		FileTimeout:    s.Limits.FileTimeout,
 		WriteTimeout:   s.Limits.WriteTimeout,
 		IdleTimeout:    s.Limits.IdleTimeout,
-		DrainLag:       s.Timings.DrainNotice,
+		DrainDelay:       s.Timings.DrainNotice,
 	}
 }
 
--- a/internal/transport/edge/matrix_drain_test.go
+++ b/internal/transport/edge/matrix_drain_test.go
@@ -19,8 +19,8 @@
 // drainCells: an instance leaves while calls are in flight.
 func drainCells() []cell {
 	const step = "drain"
-	short := systemOptions{limits: Limits{DrainLag: time.Millisecond}}
-	long := systemOptions{limits: Limits{DrainLag: time.Hour}}
+	short := systemOptions{limits: Limits{DrainDelay: time.Millisecond}}
+	long := systemOptions{limits: Limits{DrainDelay: time.Hour}}
 	return []cell{
 		{step, "kill-before", killAtDrain, short, nil},
 		{step, "kill-after", killAtDrain, short, nil},
--- a/internal/transport/edge/matrix_test.go
+++ b/internal/transport/edge/matrix_test.go
@@ -104,7 +104,7 @@
 // would strike nothing here and are not counted as held.
 func TestWithdrawalAndDrainWithoutAFault(t *testing.T) {
 	require.NoError(t, withdrawnIsRefused(newSystem(t, systemOptions{})))
-	require.NoError(t, drainPlain(newSystem(t, systemOptions{limits: Limits{DrainLag: time.Millisecond}})))
+	require.NoError(t, drainPlain(newSystem(t, systemOptions{limits: Limits{DrainDelay: time.Millisecond}})))
 }
 
 var errNoEvidence = errors.New("the case did not come about")
--- a/internal/transport/edge/options.go
+++ b/internal/transport/edge/options.go
@@ -70,9 +70,9 @@
 	// IdleTimeout closes unused connections. Default 75 s, longer than the
 	// usual 60 s of balancers, so that the balancer closes first.
 	IdleTimeout time.Duration
-	// DrainLag is how long a leaving instance still takes requests: the time
+	// DrainDelay is how long a leaving instance still takes requests: the time
 	// the balancer and the platform's list need to notice. Default 5 s.
-	DrainLag time.Duration
+	DrainDelay time.Duration
 }
 
 func (l Limits) withDefaults() Limits {
@@ -87,6 +87,6 @@
 	defaults.SetPositive(&l.FileTimeout, 10*time.Minute)
 	defaults.SetPositive(&l.WriteTimeout, 5*time.Second)
 	defaults.SetPositive(&l.IdleTimeout, 75*time.Second)
-	defaults.SetPositive(&l.DrainLag, 5*time.Second)
+	defaults.SetPositive(&l.DrainDelay, 5*time.Second)
 	return l
 }
--- a/internal/transport/edge/server.go
+++ b/internal/transport/edge/server.go
@@ -101,7 +101,7 @@
 func (e *Edge) Drain(ctx context.Context) error {
 	e.phase.Store(leaving)
 	_ = e.opts.Logger.Log("event", "drain_started", "in_flight", e.inFlight.Load())
-	timer := time.NewTimer(e.limits.DrainLag)
+	timer := time.NewTimer(e.limits.DrainDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
