--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -50,7 +50,7 @@
 	}
 	ctx, cancel := context.WithTimeout(v.r.Context(), limit)
 	defer cancel()
-	v.settle(v.opts.Desk.Submit(ctx, job), http.StatusAccepted, "submit")
+	v.settle(v.opts.Jobs.Submit(ctx, job), http.StatusAccepted, "submit")
 }
 
 // settle answers a call that has a verdict and no content.
@@ -85,7 +85,7 @@
 	case exchange.JobResults:
 		v.results(ctx, batchjobs.ResultsCall{Job: call.Job, Organisation: organisation, After: call.After, Wait: wait})
 	case exchange.JobItem:
-		reply := v.opts.Desk.Body(ctx, batchjobs.BodyCall{Job: call.Job, Item: call.Item, Organisation: organisation})
+		reply := v.opts.Jobs.Body(ctx, batchjobs.BodyCall{Job: call.Job, Item: call.Item, Organisation: organisation})
 		if reply.Verdict != batchjobs.Done {
 			v.settle(reply.Verdict, http.StatusOK, "item")
 			return
@@ -93,12 +93,12 @@
 		v.answer(http.StatusOK, reply.Body, "application/octet-stream")
 		v.log("answered", http.StatusOK, "item")
 	case exchange.JobEnd:
-		v.settle(v.opts.Desk.Cancel(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
+		v.settle(v.opts.Jobs.Cancel(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
 	}
 }
 
 func (v *visit) results(ctx context.Context, call batchjobs.ResultsCall) {
-	reply := v.opts.Desk.Results(ctx, call)
+	reply := v.opts.Jobs.Results(ctx, call)
 	if reply.Verdict != batchjobs.Done {
 		v.settle(reply.Verdict, http.StatusOK, "results")
 		return
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -74,7 +74,7 @@
 	Table  func() *route.Table
 	Quota  Quota
 	Relay  Relay
-	Desk   Desk
+	Jobs   Desk
 	// NoJobs says whether no batch job can be kept now, and when its caller may come
 	// back.
 	NoJobs func() (retry time.Duration, none bool)
