--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -178,7 +178,7 @@
 		Table: d.view.Table,
 		Quota: d.meter,
 		Relay: relay.New(relay.Options{Targets: d.targets, Placer: d.slots, Logger: d.logger}),
-		Jobs:  d.desk, NoJobs: d.isolation.jobRetry, Logger: d.logger,
+		Jobs:  d.desk, JobsUnavailable: d.isolation.jobRetry, Logger: d.logger,
 	})
 }
 
--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -33,7 +33,7 @@
 		v.refuse(http.StatusBadRequest, 0, "job_unreadable")
 		return
 	}
-	if retry, none := v.opts.NoJobs(); none {
+	if retry, none := v.opts.JobsUnavailable(); none {
 		v.refuse(http.StatusServiceUnavailable, retry, "isolated")
 		return
 	}
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -75,9 +75,9 @@
 	Quota  Quota
 	Relay  Relay
 	Jobs   Desk
-	// NoJobs says whether no batch job can be kept now, and when its caller may come
+	// JobsUnavailable says whether no batch job can be kept now, and when its caller may come
 	// back.
-	NoJobs func() (retry time.Duration, none bool)
+	JobsUnavailable func() (retry time.Duration, none bool)
 	Logger log.Logger
 }
 
