--- a/internal/daemon/routed/leave.go
+++ b/internal/daemon/routed/leave.go
@@ -25,7 +25,7 @@
 func (d *Daemon) leave() {
 	began := time.Now()
 	d.leaving.Store(true)
-	d.front.Leave()
+	d.front.StartDraining()
 	_ = level.Info(d.logger).Log("event", "leaving", "in_flight", d.front.InFlight())
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(d.settings.Grace-d.leaveMargin()))
 	defer cancel()
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -133,8 +133,8 @@
 	f.serve(&visit{Front: f, w: w, r: r, began: time.Now(), table: f.opts.Table()})
 }
 
-// Leave asks callers to use other connections, with each answer.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// StartDraining asks callers to use other connections, with each answer.
+func (f *Front) StartDraining() { f.leaving.Store(true) }
 
 // InFlight counts the requests that run.
 func (f *Front) InFlight() int64 { return f.inFlight.Load() }
