--- a/internal/daemon/routed/leave.go
+++ b/internal/daemon/routed/leave.go
@@ -34,7 +34,7 @@
 	// The balancer sends nobody any more. Callers that have connections would
 	// go on sending until the end, and the last request would be cut by it; so
 	// idle connections are closed now, and the others after their request.
-	err := d.front.Finish(ctx)
+	err := d.front.Shutdown(ctx)
 	d.step(ctx, handOverStep, "items", d.runner.Shutdown)
 	d.step(ctx, storeStep, "withdraw", func(ctx context.Context) {
 		if err := d.withdraw(ctx); err != nil {
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -139,8 +139,8 @@
 // InFlight counts the requests that run.
 func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
-// Finish takes no more connections and waits for the requests that run.
-func (f *Front) Finish(ctx context.Context) error {
+// Shutdown takes no more connections and waits for the requests that run.
+func (f *Front) Shutdown(ctx context.Context) error {
 	server := f.server.Load()
 	if server == nil {
 		return nil
