--- a/internal/transport/operatorapi/views.go
+++ b/internal/transport/operatorapi/views.go
@@ -21,8 +21,8 @@
 	Changes  []fleet.Change      `json:"changes"`
 }
 
-// InstanceLine is an instance that is known here.
-type InstanceLine struct {
+// InstanceEntry is an instance that is known here.
+type InstanceEntry struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Domain   protocol.Domain     `json:"domain"`
 	// Session is its open session; empty if the log holds none.
@@ -38,7 +38,7 @@
 type InstancesAnswer struct {
 	Instance  protocol.InstanceID `json:"instance"`
 	LogUp     bool                `json:"log_up"`
-	Instances []InstanceLine      `json:"instances"`
+	Instances []InstanceEntry      `json:"instances"`
 }
 
 // TargetsAnswer lists the targets known to the answering instance.
@@ -65,10 +65,10 @@
 // know an instance that the other does not: a starting one has no session yet,
 // and one in a cut-off domain sends no heartbeat here.
 func (h *Handler) instances(w http.ResponseWriter, _ *http.Request) {
-	lines := map[protocol.InstanceID]InstanceLine{}
+	lines := map[protocol.InstanceID]InstanceEntry{}
 	h.config.Journal.View(func(state *replica.State) {
 		for _, info := range state.Sessions.All() {
-			lines[info.Instance] = InstanceLine{
+			lines[info.Instance] = InstanceEntry{
 				Instance: info.Instance, Domain: info.Domain, Session: info.Session.String(),
 				PeerAddress: info.PeerAddress, Heard: info.Instance == h.config.Instance,
 			}
@@ -80,11 +80,11 @@
 		line.Heard, line.SilentMS = peer.Reachable, peer.Silent.Milliseconds()
 		lines[peer.Instance] = line
 	}
-	out := InstancesAnswer{Instance: h.config.Instance, LogUp: h.config.Journal.LogUp(), Instances: []InstanceLine{}}
+	out := InstancesAnswer{Instance: h.config.Instance, LogUp: h.config.Journal.LogUp(), Instances: []InstanceEntry{}}
 	for _, line := range lines {
 		out.Instances = append(out.Instances, line)
 	}
-	slices.SortFunc(out.Instances, func(a, b InstanceLine) int {
+	slices.SortFunc(out.Instances, func(a, b InstanceEntry) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Instance, b.Instance))
 	})
 	answer(w, http.StatusOK, out)
