--- a/internal/transport/operatorapi/views.go
+++ b/internal/transport/operatorapi/views.go
@@ -28,8 +28,8 @@
 	// Session is its open session; empty if the log holds none.
 	Session     string `json:"session,omitempty"`
 	PeerAddress string `json:"peer_address"`
-	// Heard says that a heartbeat came lately, or that it is this instance.
-	Heard bool `json:"heard"`
+	// Reachable says that a heartbeat came lately, or that it is this instance.
+	Reachable bool `json:"heard"`
 	// SilentMS is the time since its last heartbeat.
 	SilentMS int64 `json:"silent_ms"`
 }
@@ -70,14 +70,14 @@
 		for _, info := range state.Sessions.All() {
 			lines[info.Instance] = InstanceEntry{
 				Instance: info.Instance, Domain: info.Domain, Session: info.Session.String(),
-				PeerAddress: info.PeerAddress, Heard: info.Instance == h.config.Instance,
+				PeerAddress: info.PeerAddress, Reachable: info.Instance == h.config.Instance,
 			}
 		}
 	})
 	for _, peer := range h.config.Peers.List() {
 		line := lines[peer.Instance]
 		line.Instance, line.Domain, line.PeerAddress = peer.Instance, peer.Domain, peer.Address
-		line.Heard, line.SilentMS = peer.Reachable, peer.Silent.Milliseconds()
+		line.Reachable, line.SilentMS = peer.Reachable, peer.Silent.Milliseconds()
 		lines[peer.Instance] = line
 	}
 	out := InstancesAnswer{Instance: h.config.Instance, LogUp: h.config.Journal.LogUp(), Instances: []InstanceEntry{}}
