--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -116,7 +116,7 @@
 		if session == "" {
 			session = "none"
 		}
-		heard := pick(i.Reachable, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SilentMS)*time.Millisecond))
+		heard := pick(i.Reachable, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SinceHeartbeatMS)*time.Millisecond))
 		t.add(string(i.Instance), string(i.Domain), session, i.PeerAddress, heard)
 	}
 	return env.show(result{data: answer, table: t, did: fmt.Sprintf("%d instances as %s knows them", len(answer.Instances), answer.Instance),
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -56,7 +56,7 @@
 func TestListsPrintEveryForm(t *testing.T) {
 	address := serve(t, map[string]any{
 		operatorapi.PathTargets:   operatorapi.TargetsAnswer{Instance: "a", Targets: []routing.Status{{Target: "t1", Service: "lm"}, {Target: "t2", Service: "other", Leaving: true}}},
-		operatorapi.PathInstances: operatorapi.InstancesAnswer{Instance: "a", Instances: []operatorapi.InstanceEntry{{Instance: "b", SilentMS: 1500}}},
+		operatorapi.PathInstances: operatorapi.InstancesAnswer{Instance: "a", Instances: []operatorapi.InstanceEntry{{Instance: "b", SinceHeartbeatMS: 1500}}},
 		operatorapi.PathHistory:   operatorapi.HistoryAnswer{Instance: "a", Changes: []fleet.Change{{ChangeID: "chg-1", Objects: []string{"key k1"}}, {ChangeID: "chg-0"}}},
 	})
 	cases := []struct {
--- a/internal/transport/operatorapi/views.go
+++ b/internal/transport/operatorapi/views.go
@@ -30,8 +30,8 @@
 	PeerAddress string `json:"peer_address"`
 	// Reachable says that a heartbeat came lately, or that it is this instance.
 	Reachable bool `json:"heard"`
-	// SilentMS is the time since its last heartbeat.
-	SilentMS int64 `json:"silent_ms"`
+	// SinceHeartbeatMS is the time since its last heartbeat.
+	SinceHeartbeatMS int64 `json:"silent_ms"`
 }
 
 // InstancesAnswer lists the instances known to the answering one.
@@ -77,7 +77,7 @@
 	for _, peer := range h.config.Peers.List() {
 		line := lines[peer.Instance]
 		line.Instance, line.Domain, line.PeerAddress = peer.Instance, peer.Domain, peer.Address
-		line.Reachable, line.SilentMS = peer.Reachable, peer.Silent.Milliseconds()
+		line.Reachable, line.SinceHeartbeatMS = peer.Reachable, peer.Silent.Milliseconds()
 		lines[peer.Instance] = line
 	}
 	out := InstancesAnswer{Instance: h.config.Instance, LogUp: h.config.Journal.LogUp(), Instances: []InstanceEntry{}}
