--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -158,7 +158,7 @@
 		return err
 	}
 	t := table{heading: []string{"KEY", "IN LOG", "TOLD", "NOT REACHED"}}
-	t.add(c.Key, fmt.Sprint(answer.InLog), fmt.Sprint(len(answer.Told)), fmt.Sprint(answer.Unreached))
+	t.add(c.Key, fmt.Sprint(answer.InLog), fmt.Sprint(len(answer.Confirmed)), fmt.Sprint(answer.Unreached))
 	return env.show(result{data: answer, table: t, did: answer.Message, next: answer.Next})
 }
 
--- a/internal/transport/operatorapi/change.go
+++ b/internal/transport/operatorapi/change.go
@@ -144,7 +144,7 @@
 }
 
 func (h *Handler) withdrawAnswer(key protocol.KeyID, result withdrawal.Result) WithdrawAnswer {
-	out := WithdrawAnswer{Key: key, InLog: inLog(result), Told: result.Told, Unreached: result.Unreached}
+	out := WithdrawAnswer{Key: key, InLog: inLog(result), Confirmed: result.Told, Unreached: result.Unreached}
 	if out.InLog {
 		out.Message = fmt.Sprintf("key %s is withdrawn: %s and %d other instances refuse it, and the log brings it to all that read it",
 			key, h.config.Instance, len(result.Told))
--- a/internal/transport/operatorapi/handler_test.go
+++ b/internal/transport/operatorapi/handler_test.go
@@ -234,7 +234,7 @@
 	var answer WithdrawAnswer
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &answer))
 	require.False(t, answer.InLog)
-	require.Equal(t, []protocol.InstanceID{"b"}, answer.Told)
+	require.Equal(t, []protocol.InstanceID{"b"}, answer.Confirmed)
 	require.Equal(t, []protocol.InstanceID{"c"}, answer.Unreached)
 	require.True(t, f.local["key-1"])
 }
--- a/internal/transport/operatorapi/messages.go
+++ b/internal/transport/operatorapi/messages.go
@@ -53,8 +53,8 @@
 	// InLog says that the control stream holds the withdrawal, so that every
 	// instance learns of it.
 	InLog bool `json:"in_log"`
-	// Told are the other instances that confirmed it directly.
-	Told []protocol.InstanceID `json:"told,omitempty"`
+	// Confirmed are the other instances that confirmed it directly.
+	Confirmed []protocol.InstanceID `json:"told,omitempty"`
 	// Unreached are the known instances that did not.
 	Unreached []protocol.InstanceID `json:"unreached,omitempty"`
 	Message   string                `json:"message"`
