--- a/internal/transport/operatorapi/handler.go
+++ b/internal/transport/operatorapi/handler.go
@@ -126,7 +126,7 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	answer(w, refusal.Code.HTTPStatus(), ErrorAnswer{Error: ErrorBody{
-		Code: refusal.Code, Message: refusal.Message, Run: refusal.Run, Next: next,
+		Code: refusal.Code, Message: refusal.Message, RunState: refusal.Run, Next: next,
 	}})
 }
 
--- a/internal/transport/operatorapi/handler_test.go
+++ b/internal/transport/operatorapi/handler_test.go
@@ -195,7 +195,7 @@
 			var answer ErrorAnswer
 			require.NoError(t, json.Unmarshal(w.Body.Bytes(), &answer))
 			require.Equal(t, c.code, answer.Error.Code)
-			require.Equal(t, c.run, answer.Error.Run)
+			require.Equal(t, c.run, answer.Error.RunState)
 			require.NotEmpty(t, answer.Error.Next)
 		})
 	}
--- a/internal/transport/operatorapi/messages.go
+++ b/internal/transport/operatorapi/messages.go
@@ -70,7 +70,7 @@
 type ErrorBody struct {
 	Code    protocol.Code     `json:"code"`
 	Message string            `json:"message"`
-	Run     protocol.RunState `json:"run_state"`
+	RunState     protocol.RunState `json:"run_state"`
 	// Next tells the operator what to do.
 	Next string `json:"next,omitempty"`
 }
