--- a/internal/transport/edge/badinput_test.go
+++ b/internal/transport/edge/badinput_test.go
@@ -23,7 +23,8 @@
 	return fmt.Sprintf(`{"model":%q,"stream":%t,"messages":[{"role":"user","content":%q}]}`, testModel, stream, question)
 }
 
-// post sends a body with the test key.
+// post sends a request with the given body. It uses the test key unless header has
+// an Authorization line.
 func (s *system) post(t testing.TB, path, body string, header http.Header) *http.Response {
 	req, err := http.NewRequest(http.MethodPost, s.url+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -40,8 +41,8 @@
 	return resp
 }
 
-// refusalOf reads the error that a response carries.
-func refusalOf(t testing.TB, resp *http.Response) errorDetail {
+// readRefusal decodes the error body of a response and checks its headers.
+func readRefusal(t testing.TB, resp *http.Response) errorDetail {
 	var body errorBody
 	require.NoError(t, json.NewDecoder(resp.Body).Decode(&body))
 	require.NotEmpty(t, resp.Header.Get("X-Request-Id"))
@@ -49,8 +50,8 @@
 	return body.Error
 }
 
-// Callers send what can't be served. Each one is told what is wrong and that
-// nothing ran, and no target sees the request.
+// Callers send invalid requests. Each response must name the error and the run
+// state not_run, and no target may receive the request.
 func TestBadRequestsGetClearErrors(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxBody: 1000, MaxHeaders: 20}})
 	many := http.Header{}
@@ -88,7 +89,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			resp := s.post(t, c.path, c.body, c.header)
-			refusal := refusalOf(t, resp)
+			refusal := readRefusal(t, resp)
 			require.Equal(t, c.status, resp.StatusCode, refusal.Message)
 			require.Equal(t, c.code, refusal.Code)
 			require.Equal(t, protocol.NotRun, refusal.RunState)
@@ -103,8 +104,8 @@
 	}
 }
 
-// raw opens a connection and sends bytes as they are.
-func (s *system) raw(t testing.TB, text string) net.Conn {
+// dialRaw opens a connection and sends text unchanged.
+func (s *system) dialRaw(t testing.TB, text string) net.Conn {
 	conn, err := net.Dial("tcp", s.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
@@ -117,36 +118,37 @@
 	return "POST " + testPath + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testSecret + "\r\n" + extra
 }
 
-// A caller floods the instance with an endless header. It is cut off at the
-// limit and told so.
+// A caller sends a header larger than MaxHeaderBytes. The server stops reading at
+// the limit and responds with status 431.
 func TestHugeHeaderIsRefused(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxHeaderBytes: 4 << 10}})
-	conn := s.raw(t, rawHeader("X-Long: "+strings.Repeat("x", 16<<10)+"\r\n\r\n"))
+	conn := s.dialRaw(t, rawHeader("X-Long: "+strings.Repeat("x", 16<<10)+"\r\n\r\n"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, resp.StatusCode)
 }
 
-// A caller sends half a header and then nothing. The connection is closed
-// after the limit; without it such callers take up all connections.
+// A caller sends half a header and then nothing. The server must close the
+// connection after HeaderTimeout; otherwise such callers could occupy all
+// connections.
 func TestHalfHeaderIsShed(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{HeaderTimeout: 20 * time.Millisecond}})
-	conn := s.raw(t, "POST "+testPath+" HTTP/1.1\r\nHost: x\r\n")
+	conn := s.dialRaw(t, "POST "+testPath+" HTTP/1.1\r\nHost: x\r\n")
 	_, err := io.ReadAll(conn)
-	require.NoError(t, err, "the connection ends")
+	require.NoError(t, err, "the server must close the connection")
 }
 
-// A caller sends half a body and then nothing. It is told so after the limit
-// and has held no place at a target.
+// A caller sends half a body and then nothing. The server must respond with status
+// 408 after BodyTimeout, and the request must not occupy a slot at a target.
 func TestHalfBodyIsShed(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{BodyTimeout: 20 * time.Millisecond}})
-	conn := s.raw(t, rawHeader("Content-Length: 100\r\n\r\n{\"model\":"))
+	conn := s.dialRaw(t, rawHeader("Content-Length: 100\r\n\r\n{\"model\":"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	require.NoError(t, err)
 	defer func() { _ = resp.Body.Close() }()
 	require.Equal(t, http.StatusRequestTimeout, resp.StatusCode)
-	require.Equal(t, protocol.NotRun, refusalOf(t, resp).RunState)
+	require.Equal(t, protocol.NotRun, readRefusal(t, resp).RunState)
 	require.Zero(t, s.inFlightAtTargets())
 }
 
@@ -158,40 +160,41 @@
 	return n
 }
 
-// A caller asks for a long stream and stops reading. Its call must not hold a
-// place at the target: it is cancelled there once a write has waited too long.
+// A caller requests a long stream and stops reading. The call must be cancelled at
+// the target after WriteTimeout, so that it does not keep its slot.
 func TestCallerThatStopsReadingIsShed(t *testing.T) {
 	s := newSystem(t, systemOptions{tokens: 1 << 20, limits: Limits{WriteTimeout: 50 * time.Millisecond}})
-	conn := s.raw(t, "")
+	conn := s.dialRaw(t, "")
 	require.NoError(t, conn.(*net.TCPConn).SetReadBuffer(4<<10))
 	body := chatBody("q", true)
 	_, err := io.WriteString(conn, rawHeader(fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return s.inFlightAtTargets() == 1 }, waitLong, time.Millisecond)
-	require.Eventually(t, func() bool { return s.inFlightAtTargets() == 0 && s.edge.InFlight() == 0 }, waitLong, time.Millisecond)
+	require.Eventually(t, func() bool { return s.inFlightAtTargets() == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return s.inFlightAtTargets() == 0 && s.edge.InFlight() == 0 }, testTimeout, time.Millisecond)
 }
 
-// waitLong bounds waits for things that come about by themselves; no verdict
-// depends on how long they take.
-const waitLong = 30 * time.Second
+// testTimeout limits waits for asynchronous events. No test result depends on how
+// long these events take.
+const testTimeout = 30 * time.Second
 
-// More connections come than the instance takes. Those beyond the limit are
-// closed at once, the others are served, and a place that gets free is used.
+// More connections are opened than MaxConnections allows. Connections beyond the
+// limit are closed immediately, the others are served, and a connection that
+// closes makes room for a new one.
 func TestConnectionsBeyondTheLimitAreShed(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxConnections: 1}})
-	first := s.raw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	first := s.dialRaw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(first)
 	resp, err := http.ReadResponse(in, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	second := s.raw(t, "")
+	second := s.dialRaw(t, "")
 	_, err = io.ReadAll(second)
 	require.NoError(t, err)
 	require.NoError(t, first.Close())
-	require.Eventually(t, func() bool { return s.healthy() }, waitLong, time.Millisecond)
+	require.Eventually(t, func() bool { return s.isHealthy() }, testTimeout, time.Millisecond)
 }
 
-func (s *system) healthy() bool {
+func (s *system) isHealthy() bool {
 	transport := &http.Transport{DisableKeepAlives: true}
 	req, _ := http.NewRequestWithContext(context.Background(), http.MethodGet, s.url+"/healthz", nil)
 	resp, err := transport.RoundTrip(req)
@@ -207,12 +210,12 @@
 	f.Add([]byte(`{"model":"m","messages":` + strings.Repeat("[", 100)))
 	f.Add([]byte(`{"model":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		asked, err := decodeEnvelope(data)
+		envelope, err := decodeEnvelope(data)
 		if err != nil {
 			return
 		}
-		require.NotEmpty(t, *asked.Model)
-		asked.prefix()
+		require.NotEmpty(t, *envelope.Model)
+		envelope.prefixHash()
 	})
 }
 
@@ -222,15 +225,15 @@
 	f.Add("99999999999999999999", "x")
 	now := time.Unix(1_000_000, 0)
 	f.Fuzz(func(t *testing.T, ms, at string) {
-		deadline, err := deadlineOf(http.Header{headerDeadlineMS: {ms}, headerDeadline: {at}}, now)
+		deadline, err := parseDeadline(http.Header{headerDeadlineMS: {ms}, headerDeadline: {at}}, now)
 		if err == nil && ms != "" {
 			require.True(t, deadline.After(now))
 		}
 	})
 }
 
-// A caller downloads a large batch result and stops reading. The connection is
-// shed, also there.
+// A caller downloads a large batch result and stops reading. The write timeout must
+// also apply to the batch API, so that the write fails.
 func TestCallerThatStopsReadingResultsIsShed(t *testing.T) {
 	failed := make(chan error, 1)
 	endless := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -242,23 +245,23 @@
 		}
 	})
 	s := newSystem(t, systemOptions{limits: Limits{WriteTimeout: 50 * time.Millisecond}, batch: endless})
-	s.raw(t, "GET /v1/files/f1/content HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testSecret+"\r\n\r\n")
+	s.dialRaw(t, "GET /v1/files/f1/content HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+testSecret+"\r\n\r\n")
 	require.Error(t, <-failed)
 }
 
-// Callers send more large bodies at once than the instance may hold in memory.
-// Those beyond the limit are refused as not run and told when to come back;
-// small requests and later ones are served.
+// Callers send more large bodies at once than MaxBuffered allows. Requests beyond
+// the limit are rejected with run state not_run and a retry delay; small requests
+// and later requests are served.
 func TestLargeBodiesInFlightAreBounded(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxBody: 1000, MaxBuffered: 1500}})
-	half := s.raw(t, rawHeader("Content-Length: 900\r\n\r\n{"))
-	require.Eventually(t, func() bool { return s.edge.buffered.Load() == 900 }, waitLong, time.Millisecond)
+	half := s.dialRaw(t, rawHeader("Content-Length: 900\r\n\r\n{"))
+	require.Eventually(t, func() bool { return s.edge.buffered.Load() == 900 }, testTimeout, time.Millisecond)
 	large := strings.Repeat("x", 700)
-	refusal := refusalOf(t, s.post(t, testPath, chatBody(large, false), nil))
+	refusal := readRefusal(t, s.post(t, testPath, chatBody(large, false), nil))
 	require.Equal(t, protocol.CodeOverloaded, refusal.Code)
 	require.Equal(t, protocol.NotRun, refusal.RunState)
 	require.Equal(t, http.StatusOK, s.post(t, testPath, chatBody("small", false), nil).StatusCode)
 	require.NoError(t, half.Close())
-	require.Eventually(t, func() bool { return s.edge.buffered.Load() == 0 }, waitLong, time.Millisecond)
+	require.Eventually(t, func() bool { return s.edge.buffered.Load() == 0 }, testTimeout, time.Millisecond)
 	require.Equal(t, http.StatusOK, s.post(t, testPath, chatBody(large, false), nil).StatusCode)
 }
--- a/internal/transport/edge/body.go
+++ b/internal/transport/edge/body.go
@@ -13,11 +13,13 @@
 const (
 	drainRetryAfter = 100 * time.Millisecond
 	startRetryAfter = time.Second
-	// bufferRetryAfter is about the time of a call with a large body.
+	// bufferRetryAfter is the approximate duration of a call with a large body.
 	bufferRetryAfter = time.Second
 )
 
-// reserve takes room for a body of the stated length, or the longest one.
+// reserve counts a body of the stated length against Limits.MaxBuffered. If the
+// length is unknown or too large, reserve counts Limits.MaxBody. It returns
+// false if the limit is reached.
 func (e *Edge) reserve(x *exchange) bool {
 	size := x.r.ContentLength
 	if size < 0 || size > e.limits.MaxBody {
@@ -31,28 +33,30 @@
 	return true
 }
 
+// release subtracts the bytes that reserve counted for x.
+// release subtracts the bytes that reserve counted for x.
 func (e *Edge) release(x *exchange) {
 	e.buffered.Add(-x.reserved)
 }
 
-// limitRead bounds the time to read the body. net/http sets it back at the
-// next request of the connection.
-func (e *Edge) limitRead(controller *http.ResponseController, limit time.Duration) {
+// setReadDeadline limits the time for reading the request body. net/http resets
+// the deadline at the next request of the connection.
+func (e *Edge) setReadDeadline(controller *http.ResponseController, limit time.Duration) {
 	_ = controller.SetReadDeadline(time.Now().Add(limit))
 }
 
-// readBody reads the whole body before anything is decided, so that a request
-// that is half sent holds no place and no tokens.
+// readBody reads the whole body before the request is admitted, so that a
+// partially sent request occupies no slot and consumes no tokens.
 func (e *Edge) readBody(x *exchange) ([]byte, bool) {
 	if !e.reserve(x) {
 		x.w.Header().Set("Connection", "close")
-		x.refuse(protocol.Refuse(protocol.CodeOverloaded, bufferRetryAfter, "too many large requests are in flight"))
+		x.reject(protocol.Refuse(protocol.CodeOverloaded, bufferRetryAfter, "too many large requests are in flight"))
 		return nil, false
 	}
 	controller := http.NewResponseController(x.w)
-	e.limitRead(controller, e.limits.BodyTimeout)
+	e.setReadDeadline(controller, e.limits.BodyTimeout)
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, e.limits.MaxBody))
-	// Without a deadline from here on net/http notices a caller that leaves.
+	// net/http detects a disconnected caller only if no read deadline is set.
 	_ = controller.SetReadDeadline(time.Time{})
 	if err == nil {
 		return body, true
@@ -61,12 +65,12 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(protocol.Refuse(protocol.CodeTooLarge, 0, "the body has more than %d bytes", tooLarge.Limit))
+		x.reject(protocol.Refuse(protocol.CodeTooLarge, 0, "request body exceeds %d bytes", tooLarge.Limit))
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		refusal := protocol.Refuse(protocol.CodeBadRequest, 0, "the body did not arrive within %s", e.limits.BodyTimeout)
+		refusal := protocol.Refuse(protocol.CodeBadRequest, 0, "request body was not received within %s", e.limits.BodyTimeout)
 		writeRefusal(x.w, refusal, http.StatusRequestTimeout)
 	default:
-		x.refuse(protocol.Refuse(protocol.CodeBadRequest, 0, "the body broke off"))
+		x.reject(protocol.Refuse(protocol.CodeBadRequest, 0, "request body ended early"))
 	}
 	return nil, false
 }
--- a/internal/transport/edge/completion.go
+++ b/internal/transport/edge/completion.go
@@ -14,8 +14,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// envelope is what the edge reads of a completion request. The rest passes
-// through to the target as it came.
+// envelope holds the fields of a completion request that the edge reads. The body
+// is forwarded to the target unchanged.
 type envelope struct {
 	Model    *string         `json:"model"`
 	Stream   bool            `json:"stream"`
@@ -28,7 +28,7 @@
 func decodeEnvelope(body []byte) (envelope, error) {
 	var e envelope
 	if err := json.Unmarshal(body, &e); err != nil {
-		return envelope{}, fmt.Errorf("the body is not a JSON object: %w", err)
+		return envelope{}, fmt.Errorf("request body is not a JSON object: %w", err)
 	}
 	if e.Model == nil || *e.Model == "" {
 		return envelope{}, errNoModel
@@ -36,12 +36,14 @@
 	return e, nil
 }
 
-// prefixBytes is how much of a prompt decides which targets may have it
-// cached: system prompts are longer, and questions that differ come after.
+// prefixBytes is the length of the prompt prefix that is hashed to find targets
+// that may have the prompt cached. System prompts are longer than 256 bytes, and
+// the parts that differ between requests follow them.
 const prefixBytes = 256
 
-// prefix is the hash of the prompt's beginning, 0 if the prompt is short.
-func (e *envelope) prefix() uint64 {
+// prefixHash returns the hash of the first prefixBytes of the prompt, or 0 if the
+// prompt is shorter.
+func (e *envelope) prefixHash() uint64 {
 	prompt := e.Messages
 	if len(prompt) == 0 {
 		prompt = e.Prompt
@@ -58,29 +60,29 @@
 	if !ok {
 		return
 	}
-	asked, err := decodeEnvelope(body)
+	envelope, err := decodeEnvelope(body)
 	if err != nil {
 		refusal := protocol.Refuse(protocol.CodeBadRequest, 0, "%s", err)
 		if errors.Is(err, errNoModel) {
 			refusal.Param = "model"
 		}
-		x.refuse(refusal)
+		x.reject(refusal)
 		return
 	}
-	model, ok := e.opts.Fleet().Models[protocol.ModelName(*asked.Model)]
+	model, ok := e.opts.Fleet().Models[protocol.ModelName(*envelope.Model)]
 	if !ok {
-		refusal := protocol.Refuse(protocol.CodeUnknownModel, 0, "no model %q", *asked.Model)
+		refusal := protocol.Refuse(protocol.CodeUnknownModel, 0, "model %q does not exist", *envelope.Model)
 		refusal.Param = "model"
-		x.refuse(refusal)
+		x.reject(refusal)
 		return
 	}
-	req := e.request(x, model.Service, x.r.URL.Path, body)
-	req.Stream = asked.Stream
-	req.Prefix = asked.prefix()
+	req := e.newRequest(x, model.Service, x.r.URL.Path, body)
+	req.Stream = envelope.Stream
+	req.Prefix = envelope.prefixHash()
 	e.serve(x, req)
 }
 
-func (e *Edge) request(x *exchange, service protocol.ServiceName, path string, body []byte) *online.Request {
+func (e *Edge) newRequest(x *exchange, service protocol.ServiceName, path string, body []byte) *online.Request {
 	return &online.Request{
 		ID:             x.id,
 		Caller:         x.caller,
@@ -94,72 +96,73 @@
 	}
 }
 
-// maxIdempotencyKey bounds the keys that are kept in the log.
+// maxIdempotencyKey is the maximum length of an idempotency key in bytes. The
+// keys are stored in the log.
 const maxIdempotencyKey = 256
 
-// serve runs an online call and tells the caller of its refusal.
+// serve runs an online call and reports a refusal to the caller.
 func (e *Edge) serve(x *exchange, req *online.Request) {
-	deadline, err := deadlineOf(x.r.Header, time.Now())
+	deadline, err := parseDeadline(x.r.Header, time.Now())
 	if err != nil {
-		x.refuse(protocol.Refuse(protocol.CodeBadRequest, 0, "%s", err))
+		x.reject(protocol.Refuse(protocol.CodeBadRequest, 0, "%s", err))
 		return
 	}
 	if len(req.IdempotencyKey) > maxIdempotencyKey {
-		x.refuse(protocol.Refuse(protocol.CodeBadRequest, 0, "the Idempotency-Key has more than %d bytes", maxIdempotencyKey))
+		x.reject(protocol.Refuse(protocol.CodeBadRequest, 0, "Idempotency-Key exceeds %d bytes", maxIdempotencyKey))
 		return
 	}
 	req.Deadline = deadline
-	w := newWriter(x.w, e.limits.WriteTimeout)
+	w := newTimedWriter(x.w, e.limits.WriteTimeout)
 	result := e.opts.Online.Serve(x.r.Context(), req, w)
 	if result.Refusal != nil {
-		e.tell(x, req, w, result)
+		e.reportFailure(x, req, w, result)
 	}
-	w.end()
+	w.clearDeadline()
 }
 
-// tell writes the final answer of a call that was given up on. Refusals of
-// calls that did not run are counted and not logged: in an overload their lines
-// would cost more than the refusals.
-func (e *Edge) tell(x *exchange, req *online.Request, w *writer, result online.Result) {
+// reportFailure writes the error response of a failed call. Refusals of calls that
+// did not run are counted but not logged: under overload, logging them would cost
+// more than refusing the calls.
+func (e *Edge) reportFailure(x *exchange, req *online.Request, w *timedWriter, result online.Result) {
 	if result.Refusal.Run != protocol.NotRun {
 		_ = e.opts.Logger.Log("event", "call_given_up", "request", req.ID, "organisation", req.Caller.Organisation,
 			"service", req.Service, "code", result.Refusal.Code, "run_state", result.Refusal.Run,
 			"target", result.Target, "attempts", result.Attempts, "begun", result.Started)
 	}
 	if !result.Started {
-		w.limit()
-		x.refuse(result.Refusal)
+		w.extendDeadline()
+		x.reject(result.Refusal)
 		return
 	}
-	published.Add(string(result.Refusal.Code), 1)
+	counters.Add(string(result.Refusal.Code), 1)
 	if _, err := w.Write(errorEvent(result.Refusal)); err == nil {
 		_ = w.Flush()
 	}
-	// The connection is cut without the end of the body, so that a client
-	// that does not read events sees a broken answer, too.
+	// The connection is closed before the end of the body, so that a client
+	// that ignores error events also detects the incomplete response.
 	panic(http.ErrAbortHandler)
 }
 
-// Headers that bound the time of a call.
+// Request headers that set the deadline of a call.
 const (
 	headerDeadline   = "X-Deadline"
 	headerDeadlineMS = "X-Deadline-Ms"
 )
 
-// deadlineOf reads X-Deadline-Ms, in milliseconds from now, or X-Deadline, an
-// RFC 3339 time. The zero time says that there is none.
-func deadlineOf(header http.Header, now time.Time) (time.Time, error) {
+// parseDeadline reads X-Deadline-Ms, in milliseconds from now, or X-Deadline, an
+// RFC 3339 time. It returns the zero time if neither header is set.
+func parseDeadline(header http.Header, now time.Time) (time.Time, error) {
 	if text := header.Get(headerDeadlineMS); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms <= 0 || ms > int64(24*time.Hour/time.Millisecond) {
-			return time.Time{}, fmt.Errorf("%s must be a number of milliseconds from 1 to a day", headerDeadlineMS)
+			return time.Time{}, fmt.Errorf("%s must be an integer number of milliseconds from 1 to one day", headerDeadlineMS)
 		}
 		return now.Add(time.Duration(ms) * time.Millisecond), nil
 	}
 	if text := header.Get(headerDeadline); text != "" {
 		at, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
-			return time.Time{}, fmt.Errorf("%s must be a time in the form of RFC 3339", headerDeadline)
+			return time.Time{}, fmt.Errorf("%s must be an RFC 3339 time", headerDeadline)
 		}
 		return at, nil
 	}
--- a/internal/transport/edge/errors.go
+++ b/internal/transport/edge/errors.go
@@ -14,7 +14,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// errorBody is the form of every error, OpenAI's with two fields more.
+// errorBody is the body of every error response: OpenAI's error object with the
+// additional fields run_state and retry_after_ms.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -24,9 +25,10 @@
 	Type    string        `json:"type"`
 	Code    protocol.Code `json:"code"`
 	Param   *string       `json:"param"`
-	// RunState says whether the request may have had an effect.
+	// RunState reports whether the request may have had an effect.
 	RunState protocol.RunState `json:"run_state"`
-	// RetryAfterMS is when to come back; 0 says not to.
+	// RetryAfterMS is the delay before a retry in milliseconds; 0 means that the
+	// request must not be retried.
 	RetryAfterMS int64 `json:"retry_after_ms"`
 }
 
@@ -61,31 +63,32 @@
 	return errorBody{Error: detail}
 }
 
-// writeRefusal answers a refused request.
+// writeRefusal writes the error response of a rejected request.
 //
-// X-Should-Retry tells OpenAI's clients whether to send again on their own.
-// Without it they repeat every 409 and 5xx, also that of a call that may have
-// run and may not be repeated.
+// X-Should-Retry tells OpenAI's client libraries whether to retry automatically.
+// Without the header they retry after every 409 and 5xx status, including those of
+// calls that are not idempotent and may have run.
 func writeRefusal(w http.ResponseWriter, refusal *protocol.Refusal, status int) {
-	published.Add(string(refusal.Code), 1)
+	counters.Add(string(refusal.Code), 1)
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(online.HeaderRunState, string(refusal.Run))
 	header.Set("X-Should-Retry", strconv.FormatBool(refusal.RetryAfter > 0))
 	if refusal.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatInt(wholeSeconds(refusal.RetryAfter), 10))
+		header.Set("Retry-After", strconv.FormatInt(ceilSeconds(refusal.RetryAfter), 10))
 		header.Set("Retry-After-Ms", strconv.FormatInt(refusal.RetryAfter.Milliseconds(), 10))
 	}
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(newErrorBody(refusal, status))
 }
 
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds returns d in seconds, rounded up.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// errorEvent tells of a failure within a begun stream. The end mark is never
-// sent after it.
+// errorEvent returns the server-sent event that reports a failure in a started
+// stream. The stream's end marker is never sent after this event.
 func errorEvent(refusal *protocol.Refusal) []byte {
 	data, err := json.Marshal(newErrorBody(refusal, refusal.Code.HTTPStatus()))
 	if err != nil {
@@ -98,7 +101,7 @@
 	return event.Bytes()
 }
 
-// errorLog passes net/http's complaints on as log events.
+// errorLog returns a logger that writes net/http's errors as log events.
 func errorLog(logger log.Logger) *stdlog.Logger {
 	return stdlog.New(log.NewStdlibAdapter(log.With(logger, "event", "http_error")), "", 0)
 }
--- a/internal/transport/edge/latency_test.go
+++ b/internal/transport/edge/latency_test.go
@@ -12,27 +12,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// firstByteOf sends a request and gives the time to the first byte of the
-// body; it reads the rest.
-func firstByteOf(b *testing.B, transport *http.Transport, url, body string) time.Duration {
+// timeToFirstByte sends a request and returns the time until the first byte of the
+// body. It reads the body to its end.
+func timeToFirstByte(b *testing.B, transport *http.Transport, url, body string) time.Duration {
 	req, err := http.NewRequest(http.MethodPost, url+testPath, strings.NewReader(body))
 	require.NoError(b, err)
 	req.Header.Set("Authorization", "Bearer "+testSecret)
-	begun := time.Now()
+	sentAt := time.Now()
 	resp, err := transport.RoundTrip(req)
 	require.NoError(b, err)
 	in := bufio.NewReader(resp.Body)
 	_, err = in.ReadByte()
-	took := time.Since(begun)
+	elapsed := time.Since(sentAt)
 	require.NoError(b, err)
 	_, err = io.Copy(io.Discard, in)
 	require.NoError(b, err)
 	require.NoError(b, resp.Body.Close())
-	return took
+	return elapsed
 }
 
-// BenchmarkAddedLatency reports the time to the first byte through an instance
-// beside that of the same call made to a target directly, call by call in turn.
+// BenchmarkAddedLatency reports the difference between the time to the first byte
+// through an instance and that of the same call sent directly to a target. Direct
+// calls and calls through the instance alternate.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, kind := range []struct {
 		name   string
@@ -46,8 +47,8 @@
 			through := hdrhistogram.New(1, int64(time.Minute), 3)
 			body := chatBody("riser 4, second floor", kind.stream)
 			for b.Loop() {
-				_ = direct.RecordValue(int64(firstByteOf(b, transport, s.servers[0].URL, body)))
-				_ = through.RecordValue(int64(firstByteOf(b, transport, s.url, body)))
+				_ = direct.RecordValue(int64(timeToFirstByte(b, transport, s.servers[0].URL, body)))
+				_ = through.RecordValue(int64(timeToFirstByte(b, transport, s.url, body)))
 			}
 			for _, q := range []float64{50, 99} {
 				added := through.ValueAtQuantile(q) - direct.ValueAtQuantile(q)
--- a/internal/transport/edge/matrix_answer_test.go
+++ b/internal/transport/edge/matrix_answer_test.go
@@ -8,86 +8,87 @@
 	"merlintiller/internal/standin/target"
 )
 
-const noLogAtAnswer = "an answer on its way from a target to its caller needs no record; stored outcomes of reserved calls are cells of the once path"
+const noLogAtAnswer = "forwarding a response from a target to its caller uses no log record; stored outcomes of reserved calls are tested with the at-most-once path"
 
-// answerCells: the answer comes from a target to the instance.
-func answerCells() []cell {
+// answerCases returns the faults while a target responds to the instance.
+func answerCases() []faultCase {
 	const step = "answer"
-	return []cell{
-		{step, "kill-before", "The target dies before its first token. Another one answers.", systemOptions{}, answerKillBefore},
-		{step, "kill-after", "The target dies before its last token. The stream goes on at another target where it broke off.", systemOptions{}, answerKillAfter},
-		{step, "pause-past-lease", "The target is paused in the middle of a stream. Its connection stays open, so only the silence shows it.", systemOptions{policy: shortPolicy}, answerPaused},
+	return []faultCase{
+		{step, "kill-before", "The target dies before its first token. Another target serves the call.", systemOptions{}, answerKillBefore},
+		{step, "kill-after", "The target dies before its last token. The stream is resumed at another target from the point of the interruption.", systemOptions{}, answerKillAfter},
+		{step, "pause-past-lease", "The target is paused in the middle of a stream. Its connection stays open, so only the stall timeout detects the pause.", systemOptions{policy: shortPolicy}, answerPaused},
 		{step, "log-down", noLogAtAnswer, systemOptions{}, nil},
-		{step, "answer-lost", "The whole answer is lost on its way. Another target answers.", systemOptions{}, answerLost},
-		{step, "duplicate", "The second target ignores where the stream broke off and starts again. The caller must not read the beginning twice.", systemOptions{}, answerDuplicate},
-		{step, "late", "A frozen target answers long after its call moved on. The late answer reaches nobody.", systemOptions{policy: shortPolicy}, answerLate},
-		{step, "crossed", "Two streams run at the same time and the target swaps them. Each caller must get its own or none.", systemOptions{}, answerCrossed},
+		{step, "answer-lost", "The complete response is lost. Another target serves the call.", systemOptions{}, answerLost},
+		{step, "duplicate", "The second target ignores the resume position and starts from the beginning. The caller must not receive the beginning twice.", systemOptions{}, answerDuplicate},
+		{step, "late", "A frozen target responds long after its call was retried at another target. No caller may receive the late response.", systemOptions{policy: shortPolicy}, answerLate},
+		{step, "crossed", "The target swaps two concurrent streams. Each caller must receive its own response or none.", systemOptions{}, answerCrossed},
 		{step, "cut-from-log", noLogAtAnswer, systemOptions{}, nil},
-		{step, "cut-from-domain", "The stream comes from another domain that is cut off in the middle. It goes on at a target of the own domain.", systemOptions{}, answerCutFromDomain},
-		{step, "target-dead", "Every target ends its streams early, some tidily but without the end mark. The caller sees a broken answer, never a short whole one.", systemOptions{}, answerAllDead},
-		{step, "operators-racing", "Operators change version and service in the middle of a stream. It ends whole.", systemOptions{}, answerOperators},
+		{step, "cut-from-domain", "A stream comes from another domain, and a network partition interrupts it. It is resumed at a target of the instance's own domain.", systemOptions{}, answerCutFromDomain},
+		{step, "target-dead", "Every target ends its streams early, some with a regular end of the body but without the end marker. The caller must see an error, never a truncated response that looks complete.", systemOptions{}, answerAllDead},
+		{step, "operators-racing", "Operators change the version and the service in the middle of a stream. The stream completes.", systemOptions{}, answerOperators},
 	}
 }
 
 func answerKillBefore(s *system) error {
 	s.targets[0].SetFaults(target.Faults{LoseAnswer: true, Times: 1})
 	s.targets[1].SetFaults(target.Faults{LoseAnswer: true, Times: 1})
-	return first(s.chatStreamed("riser"), s.chatStreamed("pump"))
+	return firstError(s.checkChatStream("riser"), s.checkChatStream("pump"))
 }
 
-// faultTwo gives the first two targets a fault each, so that a call meets at
-// most two faults in its three attempts.
-func (s *system) faultTwo(one, two target.Faults) {
+// setTwoFaults injects one fault into each of the first two targets, so that a call
+// encounters at most two faults in its three attempts.
+func (s *system) setTwoFaults(one, two target.Faults) {
 	s.targets[0].SetFaults(one)
 	s.targets[1].SetFaults(two)
 }
 
 func answerKillAfter(s *system) error {
-	s.faultTwo(target.Faults{CutAfter: answerTokens - 1, Times: 1}, target.Faults{CutAfter: 2, Times: 1})
-	return first(s.chatStreamed("riser"), s.chatStreamed("pump"), s.chatStreamed("valve"), s.resumedOnce(3))
+	s.setTwoFaults(target.Faults{CutAfter: answerTokens - 1, Times: 1}, target.Faults{CutAfter: 2, Times: 1})
+	return firstError(s.checkChatStream("riser"), s.checkChatStream("pump"), s.checkChatStream("valve"), s.checkRetried(3))
 }
 
-// resumedOnce checks that so many calls took more attempts than one each.
-func (s *system) resumedOnce(calls int) error {
+// checkRetried checks that the given number of calls took more attempts than one
+// each.
+func (s *system) checkRetried(calls int) error {
 	attempts := 0
 	for _, standin := range s.targets {
 		attempts += len(standin.Counted().ByCall)
 	}
 	if attempts <= calls {
-		return errNoEvidence
+		return errCaseNotReached
 	}
 	return nil
 }
 
 func answerPaused(s *system) error {
-	s.faultTwo(target.Faults{HoldAfter: 3, Times: 1}, target.Faults{HoldAfter: 5, Times: 1})
-	return first(s.chatStreamed("riser"), s.chatStreamed("pump"), s.chatStreamed("valve"), s.resumedOnce(3))
+	s.setTwoFaults(target.Faults{HoldAfter: 3, Times: 1}, target.Faults{HoldAfter: 5, Times: 1})
+	return firstError(s.checkChatStream("riser"), s.checkChatStream("pump"), s.checkChatStream("valve"), s.checkRetried(3))
 }
 
 func answerLost(s *system) error {
 	s.targets[0].SetFaults(target.Faults{CutAfter: 1, Times: 1})
 	s.targets[1].SetFaults(target.Faults{CutAfter: 1, Times: 1})
-	return first(s.chatWhole("riser"), s.chatWhole("pump"))
+	return firstError(s.checkChat("riser"), s.checkChat("pump"))
 }
 
 func answerDuplicate(s *system) error {
 	s.setFaults(target.Faults{CutAfter: 5, IgnoreResume: true})
-	return s.brokenStream("riser")
+	return s.checkStreamFails("riser")
 }
 
 func answerLate(s *system) error {
 	s.targets[0].SetFaults(target.Faults{Freeze: true})
 	for i := range 6 {
-		if err := s.chatStreamed(fmt.Sprint("riser ", i)); err != nil {
+		if err := s.checkChatStream(fmt.Sprint("riser ", i)); err != nil {
 			return err
 		}
 	}
 	s.targets[0].SetFaults(target.Faults{})
-	return first(s.chatStreamed("pump"), s.chatWhole("valve"))
+	return firstError(s.checkChatStream("pump"), s.checkChat("valve"))
 }
 
 func answerCrossed(s *system) error {
-	return s.crossAtFirst(func(question string) error { return s.chatStreamed(question) })
+	return s.checkCrossedAnswers(func(question string) error { return s.checkChatStream(question) })
 }
 
 func answerCutFromDomain(s *system) error {
@@ -99,8 +100,8 @@
 	}
 	s.router.Listing(far)
 	s.targets[0].SetFaults(target.Faults{HoldAfter: 4})
-	running := begin(func() error { return s.chatStreamed("riser") })
-	if err := s.held(1); err != nil {
+	running := startCall(func() error { return s.checkChatStream("riser") })
+	if err := s.waitStreamsHeld(1); err != nil {
 		return err
 	}
 	for i := range modelTargets {
@@ -108,25 +109,25 @@
 	}
 	s.router.Listing(far)
 	s.servers[0].CloseClientConnections()
-	return first(<-running, s.resumedOnce(1))
+	return firstError(<-running, s.checkRetried(1))
 }
 
 func answerAllDead(s *system) error {
 	s.setFaults(target.Faults{EndAfter: 3})
-	if err := s.brokenStream("riser"); err != nil {
+	if err := s.checkStreamFails("riser"); err != nil {
 		return err
 	}
 	s.setFaults(target.Faults{CutAfter: 3})
-	return s.brokenStream("pump")
+	return s.checkStreamFails("pump")
 }
 
 func answerOperators(s *system) error {
 	s.setFaults(target.Faults{HoldAfter: 3})
-	running := begin(func() error { return s.chatStreamed("riser") })
-	if err := s.held(1); err != nil {
+	running := startCall(func() error { return s.checkChatStream("riser") })
+	if err := s.waitStreamsHeld(1); err != nil {
 		return err
 	}
-	s.change(func(fleet *protocol.Fleet) {
+	s.updateFleet(func(fleet *protocol.Fleet) {
 		fleet.Models[testModel] = protocol.Model{Name: testModel, Service: testService, Version: "v2"}
 		service := fleet.Services[testService]
 		service.Repeatable = false
--- a/internal/transport/edge/matrix_dispatch_test.go
+++ b/internal/transport/edge/matrix_dispatch_test.go
@@ -13,22 +13,22 @@
 	"merlintiller/internal/transport/targethttp"
 )
 
-// dispatchCells: the call goes from the instance to a target.
-func dispatchCells() []cell {
+// dispatchCases returns the faults while the instance sends a call to a target.
+func dispatchCases() []faultCase {
 	const step = "dispatch"
-	return []cell{
-		{step, "kill-before", "Targets die before the call reaches them. Repeatable calls move on; the one to the only plain target is refused as not run, and it is true.", systemOptions{}, dispatchKillBefore},
-		{step, "kill-after", "A target dies after it took the call. A repeatable call moves on; one that may not be repeated may have run and is not sent again.", systemOptions{}, dispatchKillAfter},
-		{step, "pause-past-lease", "The instance is paused between its decision and the send, past the call's deadline. The call must not leave any more.", systemOptions{target: &pausedTarget{Client: targethttp.New(targethttp.Options{})}}, dispatchPaused},
-		{step, "log-down", "The log is down. Calls that need no reservation are served; the others are refused as not run and told when to come back.", systemOptions{once: logDownOnce{}}, dispatchLogDown},
-		{step, "answer-lost", "The target's answer is lost after the effect. A second send would run the call twice.", systemOptions{}, dispatchAnswerLost},
-		{step, "duplicate", "The client's library sends again what it takes for failed. It must be told not to, or the call runs twice.", systemOptions{}, dispatchDuplicate},
-		{step, "late", "The target takes the call so slowly that the deadline passes. The caller hears at the deadline, and the late answer reaches nobody.", systemOptions{}, dispatchLate},
-		{step, "crossed", "Two calls run at the same time and the target swaps their answers. Each caller must get its own or none.", systemOptions{}, dispatchCrossed},
-		{step, "cut-from-log", "The domain is cut off from the log. Repeatable calls go on as before.", systemOptions{once: logDownOnce{}}, dispatchLogDown},
-		{step, "cut-from-domain", "The domain is cut off from the others, whose targets stay on the list. Calls stay with the own targets.", systemOptions{}, dispatchCutFromDomain},
-		{step, "target-dead", "All targets are dead. The caller gets a final answer at once, that it did not run and when to come back.", systemOptions{}, dispatchAllDead},
-		{step, "operators-racing", "One operator takes the model away while another's call is under way. It ends whole; the next one is refused by name.", systemOptions{}, dispatchOperators},
+	return []faultCase{
+		{step, "kill-before", "Targets die before the call reaches them. Repeatable calls are retried at other targets. The call to the only plain target is rejected as not_run and did not run.", systemOptions{}, dispatchKillBefore},
+		{step, "kill-after", "A target dies after it received the call. A repeatable call is retried at another target. A call that is not idempotent is reported as possibly run and is not retried.", systemOptions{}, dispatchKillAfter},
+		{step, "pause-past-lease", "The instance is paused between choosing a target and sending the call, past the call's deadline. The call must not be sent afterwards.", systemOptions{target: &pausedTarget{Client: targethttp.New(targethttp.Options{})}}, dispatchPaused},
+		{step, "log-down", "The log is down. Calls that need no reservation are served; the others are rejected as not_run with a retry delay.", systemOptions{once: logDownOnce{}}, dispatchLogDown},
+		{step, "answer-lost", "The target's response is lost after the call took effect. Sending the call again would run it twice.", systemOptions{}, dispatchAnswerLost},
+		{step, "duplicate", "The client library retries failed requests automatically. The response must tell it not to retry, or the call runs twice.", systemOptions{}, dispatchDuplicate},
+		{step, "late", "The target accepts the call so slowly that the deadline passes. The caller receives an error at the deadline, and no caller receives the late response.", systemOptions{}, dispatchLate},
+		{step, "crossed", "The target swaps the responses of two concurrent calls. Each caller must receive its own response or none.", systemOptions{}, dispatchCrossed},
+		{step, "cut-from-log", "A network partition separates the domain from the log. Repeatable calls are served as before.", systemOptions{once: logDownOnce{}}, dispatchLogDown},
+		{step, "cut-from-domain", "A network partition separates the domain from the others, whose targets stay on the list. Calls are served by the targets of the own domain.", systemOptions{}, dispatchCutFromDomain},
+		{step, "target-dead", "All targets are down. The caller immediately receives an error with run state not_run and a retry delay.", systemOptions{}, dispatchAllDead},
+		{step, "operators-racing", "An operator removes the model while a call is in flight. The call completes; the next call is rejected because the model is unknown.", systemOptions{}, dispatchOperators},
 	}
 }
 
@@ -36,28 +36,28 @@
 	s.servers[0].Close()
 	s.plainServer().Close()
 	for i := range 12 {
-		if err := s.chatWhole(fmt.Sprint("riser ", i)); err != nil {
+		if err := s.checkChat(fmt.Sprint("riser ", i)); err != nil {
 			return err
 		}
 	}
 	got := s.plainCall("valve", nil)
-	return first(got.refused(protocol.CodeTargetFailed, protocol.NotRun), s.ran("valve", 0))
+	return firstError(got.checkRefusal(protocol.CodeTargetFailed, protocol.NotRun), s.checkExecutions("valve", 0))
 }
 
 func dispatchKillAfter(s *system) error {
 	s.targets[0].SetFaults(target.Faults{LoseAnswer: true})
 	s.plain.SetFaults(target.Faults{LoseAnswer: true})
 	for i := range 12 {
-		if err := s.chatWhole(fmt.Sprint("riser ", i)); err != nil {
+		if err := s.checkChat(fmt.Sprint("riser ", i)); err != nil {
 			return err
 		}
 	}
 	got := s.plainCall("valve", nil)
-	return first(got.refused(protocol.CodeOutcomeUnknown, protocol.MayHaveRun), s.ran("valve", 1))
+	return firstError(got.checkRefusal(protocol.CodeOutcomeUnknown, protocol.MayHaveRun), s.checkExecutions("valve", 1))
 }
 
-// pausedTarget sends each call only after its deadline, as a process does that
-// was paused in between.
+// pausedTarget sends each call only after the call's deadline. It simulates a
+// process that was paused before sending.
 type pausedTarget struct {
 	*targethttp.Client
 }
@@ -73,11 +73,11 @@
 	if got.refusal.RunState != protocol.NotRun {
 		return fmt.Errorf("run state %q", got.refusal.RunState)
 	}
-	asked := s.call(context.Background(), testPath, chatBody("riser", false), soon)
-	return first(s.ran("valve", 0), asked.refused(protocol.CodeDeadline, protocol.NotRun))
+	model := s.call(context.Background(), testPath, chatBody("riser", false), soon)
+	return firstError(s.checkExecutions("valve", 0), model.checkRefusal(protocol.CodeDeadline, protocol.NotRun))
 }
 
-// logDownOnce is the reservation of calls while the log is down.
+// logDownOnce rejects all at-most-once calls as if the log were down.
 type logDownOnce struct{}
 
 func (logDownOnce) CallAtMostOnce(context.Context, online.AtMostOnceCall, online.Dispatch) (online.Response, *protocol.Refusal) {
@@ -89,13 +89,13 @@
 	if got.header.Get("Retry-After") != "1" {
 		return fmt.Errorf("Retry-After %q", got.header.Get("Retry-After"))
 	}
-	return first(got.refused(protocol.CodePlatformDown, protocol.NotRun), s.ran("valve", 0), s.chatWhole("riser"), s.chatStreamed("pump"))
+	return firstError(got.checkRefusal(protocol.CodePlatformDown, protocol.NotRun), s.checkExecutions("valve", 0), s.checkChat("riser"), s.checkChatStream("pump"))
 }
 
 func dispatchAnswerLost(s *system) error {
 	s.plain.SetFaults(target.Faults{LoseAnswer: true, Times: 1})
 	got := s.plainCall("valve", nil)
-	return first(s.ran("valve", 1), got.refused(protocol.CodeOutcomeUnknown, protocol.MayHaveRun))
+	return firstError(s.checkExecutions("valve", 1), got.checkRefusal(protocol.CodeOutcomeUnknown, protocol.MayHaveRun))
 }
 
 func dispatchDuplicate(s *system) error {
@@ -103,7 +103,7 @@
 	client := s.openai(testSecret)
 	err := client.Post(context.Background(), "services/code-lookup/nfpa/25", map[string]string{"valve": "7"}, nil)
 	if err == nil {
-		return errShownWhole
+		return errTruncationHidden
 	}
 	if calls := len(s.plain.Counted().ByCall); calls != 1 {
 		return fmt.Errorf("the call ran %d times", calls)
@@ -115,10 +115,10 @@
 	s.setFaults(target.Faults{DelayMS: 200})
 	got := s.call(context.Background(), testPath, chatBody("slow", false), http.Header{"X-Deadline-Ms": {"50"}})
 	s.setFaults(target.Faults{})
-	return first(got.refused(protocol.CodeDeadline, protocol.MayHaveRun), s.chatWhole("next"), s.chatStreamed("after"))
+	return firstError(got.checkRefusal(protocol.CodeDeadline, protocol.MayHaveRun), s.checkChat("next"), s.checkChatStream("after"))
 }
 
-func dispatchCrossed(s *system) error { return s.crossAtFirst(s.chatWhole) }
+func dispatchCrossed(s *system) error { return s.checkCrossedAnswers(s.checkChat) }
 
 func dispatchCutFromDomain(s *system) error {
 	listing := s.listing
@@ -127,7 +127,7 @@
 	}
 	s.router.Listing(listing)
 	for i := range 24 {
-		if err := s.chatWhole(fmt.Sprint("riser ", i)); err != nil {
+		if err := s.checkChat(fmt.Sprint("riser ", i)); err != nil {
 			return err
 		}
 	}
@@ -142,17 +142,17 @@
 	if got.header.Get("Retry-After") == "" {
 		return fmt.Errorf("no Retry-After")
 	}
-	return got.refused(protocol.CodeTargetFailed, protocol.NotRun)
+	return got.checkRefusal(protocol.CodeTargetFailed, protocol.NotRun)
 }
 
 func dispatchOperators(s *system) error {
 	s.setFaults(target.Faults{HoldAfter: 3})
-	running := begin(func() error { return s.chatStreamed("riser") })
-	if err := s.held(1); err != nil {
+	running := startCall(func() error { return s.checkChatStream("riser") })
+	if err := s.waitStreamsHeld(1); err != nil {
 		return err
 	}
-	s.change(func(fleet *protocol.Fleet) { delete(fleet.Models, testModel) })
+	s.updateFleet(func(fleet *protocol.Fleet) { delete(fleet.Models, testModel) })
 	s.setFaults(target.Faults{})
 	got := s.call(context.Background(), testPath, chatBody("next", false), nil)
-	return first(<-running, got.refused(protocol.CodeUnknownModel, protocol.NotRun))
+	return firstError(<-running, got.checkRefusal(protocol.CodeUnknownModel, protocol.NotRun))
 }
--- a/internal/transport/edge/matrix_drain_test.go
+++ b/internal/transport/edge/matrix_drain_test.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	killAtDrain   = "a kill cuts what is in flight whether the instance drains or not: deliver/kill-before shows what callers see"
-	drainNoLog    = "the edge drains without the log and without a lease; giving back chunks, shares and the session are cells of their own steps"
-	drainNoDomain = "the edge drains without exchange with other domains"
+	killAtDrain   = "a kill interrupts calls in flight whether the instance drains or not; deliver/kill-before tests what callers see"
+	drainNoLog    = "the edge drains without the log and without a lease; returning chunks, shares and the session is tested at other steps"
+	drainNoDomain = "the edge drains without communicating with other domains"
 )
 
-// drainCells: an instance leaves while calls are in flight.
-func drainCells() []cell {
+// drainCases returns the faults while an instance drains with calls in flight.
+func drainCases() []faultCase {
 	const step = "drain"
 	short := systemOptions{limits: Limits{DrainDelay: time.Millisecond}}
 	long := systemOptions{limits: Limits{DrainDelay: time.Hour}}
-	return []cell{
+	return []faultCase{
 		{step, "kill-before", killAtDrain, short, nil},
 		{step, "kill-after", killAtDrain, short, nil},
 		{step, "pause-past-lease", drainNoLog, short, nil},
 		{step, "log-down", drainNoLog, short, nil},
-		{step, "answer-lost", "A target's answer is lost while the instance leaves. The call moves on to another target and ends whole.", short, drainAnswerLost},
-		{step, "duplicate", "Two operators drain the same instance. No call is cut.", short, drainTwice},
-		{step, "late", "The balancer sends requests until it has noticed. Those are served; later ones are refused as not run, at once.", long, drainLate},
-		{step, "crossed", "Answers are crossed while the instance leaves. Each caller gets its own whole answer.", short, drainCrossed},
+		{step, "answer-lost", "A target's response is lost while the instance drains. The call is retried at another target and completes.", short, drainAnswerLost},
+		{step, "duplicate", "Two operators drain the same instance. No call is interrupted.", short, drainTwice},
+		{step, "late", "The load balancer sends requests until it detects the drain. These requests are served; later ones are rejected immediately as not_run.", long, drainLate},
+		{step, "crossed", "The target swaps responses while the instance drains. Each caller receives its own complete response.", short, drainCrossed},
 		{step, "cut-from-log", drainNoLog, short, nil},
 		{step, "cut-from-domain", drainNoDomain, short, nil},
-		{step, "target-dead", "The target of a call in flight dies while the instance leaves. The stream goes on at another one.", short, drainTargetDead},
-		{step, "operators-racing", "An operator changes the configuration while another drains the instance. The call in flight ends whole.", short, drainOperators},
+		{step, "target-dead", "The target of a call in flight dies while the instance drains. The stream is resumed at another target.", short, drainTargetDead},
+		{step, "operators-racing", "An operator changes the configuration while another drains the instance. The call in flight completes.", short, drainOperators},
 	}
 }
 
-// drainDuring begins a call, drains the instance, lets meanwhile happen, and
-// checks that the call ended well and the drain after it.
-func (s *system) drainDuring(drains int, hold target.Faults, call, meanwhile func() error) error {
+// drainDuringCall starts a call with the fault hold, starts the given number of
+// drains, runs meanwhile, and checks that the call and the drains succeed.
+func (s *system) drainDuringCall(drains int, hold target.Faults, call, meanwhile func() error) error {
 	s.setFaults(hold)
-	running := begin(call)
-	if err := s.dispatched(1); err != nil {
+	running := startCall(call)
+	if err := s.waitDispatched(1); err != nil {
 		return err
 	}
 	var drained []<-chan error
 	for range drains {
-		drained = append(drained, begin(func() error { return s.edge.Drain(context.Background()) }))
+		drained = append(drained, startCall(func() error { return s.edge.Drain(context.Background()) }))
 	}
-	if err := eventually("not ready", func() bool { return s.edge.phase.Load() == refusing }); err != nil {
+	if err := eventually("not ready", func() bool { return s.edge.phase.Load() == phaseRejecting }); err != nil {
 		return err
 	}
 	if err := meanwhile(); err != nil {
@@ -62,74 +62,74 @@
 	return ended
 }
 
-// drainStream is drainDuring with a stream that is held in its middle.
-func (s *system) drainStream(drains int, meanwhile func() error) error {
-	return s.drainDuring(drains, target.Faults{HoldAfter: 3}, func() error { return s.chatStreamed("riser") }, func() error {
-		return first(s.held(1), meanwhile())
+// drainDuringStream is drainDuringCall with a stream that is paused in its middle.
+func (s *system) drainDuringStream(drains int, meanwhile func() error) error {
+	return s.drainDuringCall(drains, target.Faults{HoldAfter: 3}, func() error { return s.checkChatStream("riser") }, func() error {
+		return firstError(s.waitStreamsHeld(1), meanwhile())
 	})
 }
 
-func (s *system) goOn() error {
+func (s *system) clearFaults() error {
 	s.setFaults(target.Faults{})
 	return nil
 }
 
-func drainPlain(s *system) error { return s.drainStream(1, s.goOn) }
+func drainPlain(s *system) error { return s.drainDuringStream(1, s.clearFaults) }
 
-func drainTwice(s *system) error { return s.drainStream(2, s.goOn) }
+func drainTwice(s *system) error { return s.drainDuringStream(2, s.clearFaults) }
 
 func drainAnswerLost(s *system) error {
-	ask := func() error { return s.chatWhole("riser") }
-	return s.drainDuring(1, target.Faults{Freeze: true}, ask, func() error {
-		s.faultTwo(target.Faults{LoseAnswer: true, Times: 1}, target.Faults{LoseAnswer: true, Times: 1})
+	call := func() error { return s.checkChat("riser") }
+	return s.drainDuringCall(1, target.Faults{Freeze: true}, call, func() error {
+		s.setTwoFaults(target.Faults{LoseAnswer: true, Times: 1}, target.Faults{LoseAnswer: true, Times: 1})
 		s.targets[2].SetFaults(target.Faults{})
 		return nil
 	})
 }
 
 func drainTargetDead(s *system) error {
-	return s.drainStream(1, func() error {
+	return s.drainDuringStream(1, func() error {
 		for i, standin := range s.targets {
 			if standin.InFlight() > 0 {
 				s.servers[i].CloseClientConnections()
 			}
 		}
-		return s.goOn()
+		return s.clearFaults()
 	})
 }
 
 func drainOperators(s *system) error {
-	return s.drainStream(1, func() error {
-		s.change(func(fleet *protocol.Fleet) { delete(fleet.Models, testModel) })
-		return s.goOn()
+	return s.drainDuringStream(1, func() error {
+		s.updateFleet(func(fleet *protocol.Fleet) { delete(fleet.Models, testModel) })
+		return s.clearFaults()
 	})
 }
 
 func drainCrossed(s *system) error {
-	asked := begin(func() error { return s.crossAtFirst(s.chatWhole) })
-	if err := eventually("both calls at the target", func() bool { return len(s.targets[0].Counted().ByCall) == 2 || len(asked) > 0 }); err != nil {
+	ended := startCall(func() error { return s.checkCrossedAnswers(s.checkChat) })
+	if err := eventually("both calls have reached the target", func() bool { return len(s.targets[0].Counted().ByCall) == 2 || len(ended) > 0 }); err != nil {
 		return err
 	}
-	return first(s.edge.Drain(context.Background()), <-asked)
+	return firstError(s.edge.Drain(context.Background()), <-ended)
 }
 
 func drainLate(s *system) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { _ = s.edge.Drain(ctx) }()
-	if err := eventually("not ready", func() bool { return !s.readyNow() }); err != nil {
+	if err := eventually("not ready", func() bool { return !s.isReady() }); err != nil {
 		return err
 	}
 	got := s.call(context.Background(), testPath, chatBody("riser", false), nil)
 	if !got.closed {
-		return errors.New("the connection is kept although the instance leaves")
+		return errors.New("the connection is kept open although the instance drains")
 	}
-	s.edge.phase.Store(refusing)
+	s.edge.phase.Store(phaseRejecting)
 	late := s.call(context.Background(), testPath, chatBody("pump", false), nil)
-	return first(got.answers("riser"), late.refused(protocol.CodeDraining, protocol.NotRun))
+	return firstError(got.checkAnswer("riser"), late.checkRefusal(protocol.CodeDraining, protocol.NotRun))
 }
 
-func (s *system) readyNow() bool {
+func (s *system) isReady() bool {
 	resp, err := http.Get(s.url + "/readyz")
 	if err != nil {
 		return false
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -21,33 +21,34 @@
 	"merlintiller/internal/transport/targethttp"
 )
 
-// variant breaks a decision on purpose. The zero value is the real code.
-type variant struct {
-	// trustEcho takes every answer for the call's own.
-	trustEcho bool
-	// resend sends a call again whose answer was lost.
-	resend bool
+// defect removes a decision of the code on purpose. The zero value is the unchanged
+// code.
+type defect struct {
+	// skipEchoCheck accepts every response without comparing the echoed call ID.
+	skipEchoCheck bool
+	// retryLostAnswer sends a call again when its response is lost.
+	retryLostAnswer bool
 }
 
-// brokenTarget is a way to the targets with a decision taken out.
-type brokenTarget struct {
+// defectiveTarget is a target client with a defect.
+type defectiveTarget struct {
 	*targethttp.Client
-	v variant
+	v defect
 }
 
-func (b *brokenTarget) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
-	if b.v.trustEcho {
-		return doTrusting(ctx, address, call)
+func (b *defectiveTarget) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
+	if b.v.skipEchoCheck {
+		return doWithoutEchoCheck(ctx, address, call)
 	}
 	answer, err := b.Client.Do(ctx, address, call)
-	if err != nil && b.v.resend {
+	if err != nil && b.v.retryLostAnswer {
 		return b.Client.Do(ctx, address, call)
 	}
 	return answer, err
 }
 
-// doTrusting makes a call as any HTTP client does.
-func doTrusting(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
+// doWithoutEchoCheck makes a call without checking the echoed call ID.
+func doWithoutEchoCheck(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, &external.CallError{Run: protocol.NotRun, Err: err}
@@ -61,14 +62,14 @@
 	return &external.Answer{EchoedID: call.ID, Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
-func newVariantSystem(t testing.TB, v variant, opts systemOptions) *system {
-	if v != (variant{}) {
-		opts.target = &brokenTarget{Client: targethttp.New(targethttp.Options{}), v: v}
+func newDefectiveSystem(t testing.TB, v defect, opts systemOptions) *system {
+	if v != (defect{}) {
+		opts.target = &defectiveTarget{Client: targethttp.New(targethttp.Options{}), v: v}
 	}
 	return newSystem(t, opts)
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status  int
 	header  http.Header
@@ -78,14 +79,15 @@
 	refusal errorDetail
 }
 
-func (r reply) refused(code protocol.Code, run protocol.RunState) error {
+// checkRefusal checks the code and the run state of an error response.
+func (r reply) checkRefusal(code protocol.Code, run protocol.RunState) error {
 	if r.refusal.Code != code || r.refusal.RunState != run {
 		return fmt.Errorf("got %d %q (%s), wanted %s (%s): %v", r.status, r.refusal.Code, r.refusal.RunState, code, run, r.err)
 	}
 	return nil
 }
 
-// call makes one request and reads its whole answer.
+// call sends one request and reads the response to its end.
 func (s *system) call(ctx context.Context, path, body string, header http.Header) reply {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -111,26 +113,27 @@
 	return out
 }
 
-// chatWhole asks for a whole answer and checks that it is the caller's own.
-func (s *system) chatWhole(question string) error {
+// checkChat requests a non-streamed response and checks its text.
+func (s *system) checkChat(question string) error {
 	got := s.call(context.Background(), testPath, chatBody(question, false), nil)
-	return got.answers(question)
+	return got.checkAnswer(question)
 }
 
-func (r reply) answers(question string) error {
+// checkAnswer checks that r is the complete response to question.
+func (r reply) checkAnswer(question string) error {
 	if r.err != nil || r.status != http.StatusOK {
 		return fmt.Errorf("status %d, %s %s: %v", r.status, r.refusal.Code, r.refusal.Message, r.err)
 	}
 	if !strings.Contains(r.body, target.Text(target.ChatText(question), answerTokens)) {
-		return fmt.Errorf("not the whole answer to %q: %s", question, r.body)
+		return fmt.Errorf("not the complete response to %q: %s", question, r.body)
 	}
 	return nil
 }
 
-// chatStreamed asks for a stream and checks that it is whole and the caller's
-// own.
-func (s *system) chatStreamed(question string, opts ...option.RequestOption) error {
-	text, err := s.streamed(question, opts...)
+// checkChatStream requests a stream and checks that its text is complete and belongs
+// to question.
+func (s *system) checkChatStream(question string, opts ...option.RequestOption) error {
+	text, err := s.streamText(question, opts...)
 	if err != nil {
 		return fmt.Errorf("stream: %w", err)
 	}
@@ -140,44 +143,45 @@
 	return nil
 }
 
-// errShownWhole: a broken answer passed for a whole one.
-var errShownWhole = errors.New("a broken answer was shown as whole")
+// errTruncationHidden reports that an incomplete response looked complete.
+var errTruncationHidden = errors.New("an incomplete response looked complete")
 
-// brokenStream checks that a stream ends with an error, with a true beginning.
-func (s *system) brokenStream(question string) error {
-	text, err := s.streamed(question)
+// checkStreamFails checks that a stream ends with an error and that the text before
+// the error is a prefix of the expected text.
+func (s *system) checkStreamFails(question string) error {
+	text, err := s.streamText(question)
 	if err == nil {
-		return errShownWhole
+		return errTruncationHidden
 	}
 	if !strings.HasPrefix(target.Text(target.ChatText(question), answerTokens), text) {
-		return fmt.Errorf("the beginning is not the answer's: %q", text)
+		return fmt.Errorf("the text is not a prefix of the expected text: %q", text)
 	}
 	return nil
 }
 
 const plainPath = "/v1/services/code-lookup/nfpa/25"
 
-// plainCall makes a call that may not be repeated.
+// plainCall makes a call that is not idempotent.
 func (s *system) plainCall(body string, header http.Header) reply {
 	return s.call(context.Background(), plainPath, body, header)
 }
 
-// runs counts the executions of a plain call by its body.
-func (s *system) runs(body string) int {
+// executions returns how often the plain call with the given body ran.
+func (s *system) executions(body string) int {
 	return s.plain.Counted().ByBody[target.BodyKey([]byte(body))]
 }
 
-// ran checks the number of executions of a plain call.
-func (s *system) ran(body string, want int) error {
-	if got := s.runs(body); got != want {
+// checkExecutions checks how often the plain call with the given body ran.
+func (s *system) checkExecutions(body string, want int) error {
+	if got := s.executions(body); got != want {
 		return fmt.Errorf("the call ran %d times, wanted %d", got, want)
 	}
 	return nil
 }
 
-// eventually waits for something that comes about by itself.
+// eventually waits until ok returns true. It fails after testTimeout.
 func eventually(what string, ok func() bool) error {
-	limit := time.NewTimer(waitLong)
+	limit := time.NewTimer(testTimeout)
 	defer limit.Stop()
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
@@ -185,14 +189,14 @@
 		select {
 		case <-tick.C:
 		case <-limit.C:
-			return fmt.Errorf("never: %s", what)
+			return fmt.Errorf("condition not reached within %s: %s", testTimeout, what)
 		}
 	}
 	return nil
 }
 
-// together runs calls at the same time and joins their errors.
-func together(calls ...func() error) error {
+// runConcurrently runs calls concurrently and joins their errors.
+func runConcurrently(calls ...func() error) error {
 	results := make(chan error)
 	for _, call := range calls {
 		go func() { results <- call() }()
@@ -204,39 +208,39 @@
 	return all
 }
 
-// begin starts a call that runs beside the test; its end is read from the
-// channel.
-func begin(call func() error) <-chan error {
+// startCall runs call in a goroutine. The returned channel receives its result.
+func startCall(call func() error) <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- call() }()
 	return ended
 }
 
-// held waits until n streams are held in the middle at the targets.
-func (s *system) held(n int) error {
+// waitStreamsHeld waits until n streams are in flight at the targets.
+func (s *system) waitStreamsHeld(n int) error {
 	return eventually("streams held at the targets", func() bool { return s.inFlightAtTargets() == n })
 }
 
-// change swaps the configuration in force.
-func (s *system) change(edit func(*protocol.Fleet)) {
+// updateFleet replaces the configuration in force by an edited copy of the test
+// configuration.
+func (s *system) updateFleet(edit func(*protocol.Fleet)) {
 	fleet := testFleet()
 	edit(fleet)
 	s.fleet.Store(fleet)
 }
 
-func withdraw(fleet *protocol.Fleet) {
+func withdrawKey(fleet *protocol.Fleet) {
 	key := fleet.Keys[testKey]
 	key.Withdrawn = true
 	fleet.Keys[testKey] = key
 }
 
-// shortPolicy makes frozen targets show soon. It is long enough that a healthy
-// target on a busy machine is not taken for a frozen one.
+// shortPolicy has short timeouts, so that tests detect frozen targets quickly. The
+// timeouts are long enough for a healthy target on a busy machine.
 var shortPolicy = online.Policy{FirstByteTimeout: 400 * time.Millisecond, StallTimeout: 400 * time.Millisecond}
 
-// crossAtFirst lets two calls run at the same time at the first target, which
-// swaps their answers. The others are of another domain and well.
-func (s *system) crossAtFirst(call func(question string) error) error {
+// checkCrossedAnswers runs two concurrent calls at the first target, which swaps
+// their responses. The other targets belong to another domain and have no fault.
+func (s *system) checkCrossedAnswers(call func(question string) error) error {
 	far := s.listing
 	far.Targets = append([]external.ListedTarget(nil), s.listing.Targets...)
 	for i := 1; i < modelTargets; i++ {
@@ -244,18 +248,18 @@
 	}
 	s.router.Listing(far)
 	s.targets[0].SetFaults(target.Faults{Cross: true, CrossWaitMS: 10_000, Times: 2})
-	err := together(
+	err := runConcurrently(
 		func() error { return call("riser 1") },
 		func() error { return call("riser 2") },
 	)
 	if len(s.targets[0].Counted().ByCall) != 2 {
-		return errors.Join(err, errNoEvidence)
+		return errors.Join(err, errCaseNotReached)
 	}
 	return err
 }
 
-// dispatched waits until so many calls are on their way to targets.
-func (s *system) dispatched(n int) error {
+// waitDispatched waits until n online calls occupy slots at targets.
+func (s *system) waitDispatched(n int) error {
 	return eventually("calls dispatched", func() bool {
 		online := 0
 		for _, one := range s.router.Targets() {
--- a/internal/transport/edge/matrix_pairs_test.go
+++ b/internal/transport/edge/matrix_pairs_test.go
@@ -11,7 +11,7 @@
 	"merlintiller/internal/standin/target"
 )
 
-// namedFault is a fault that a target can show beside another target's.
+// namedFault is a fault that is combined with a fault of another target.
 type namedFault struct {
 	name   string
 	faults target.Faults
@@ -32,9 +32,9 @@
 
 const pairSeed = 20261202
 
-// Two targets are faulty at the same time, each in its own way; the third is
-// well. Repeatable calls must all come out whole, and a call that may not be
-// repeated must run at most once and be called "not run" only if it is true.
+// Two of three targets fail at the same time, each with a fault of its own.
+// Repeatable calls must all return complete responses. A call that is not idempotent
+// must run at most once, and may be reported as not_run only if it did not run.
 func TestMatrixOnlinePairs(t *testing.T) {
 	all := pairFaults()
 	random := rand.New(rand.NewPCG(pairSeed, 0))
@@ -48,31 +48,32 @@
 				if swap {
 					first, second = second, first
 				}
-				s.faultTwo(first, second)
-				require.NoError(t, s.chatWhole("riser"))
-				require.NoError(t, s.chatStreamed("pump"))
-				require.NoError(t, s.plainUnder(first))
+				s.setTwoFaults(first, second)
+				require.NoError(t, s.checkChat("riser"))
+				require.NoError(t, s.checkChatStream("pump"))
+				require.NoError(t, s.checkPlainCall(first))
 				t.Logf("matrix step=answer fault=%s result=held", fault)
 			})
 		}
 	}
 }
 
-// plainUnder makes a call that may not be repeated while its target is faulty.
-func (s *system) plainUnder(faults target.Faults) error {
+// checkPlainCall makes a call that is not idempotent to a faulty target and checks
+// its run state.
+func (s *system) checkPlainCall(faults target.Faults) error {
 	if faults.Freeze {
 		faults = target.Faults{LoseAnswer: true}
 	}
 	s.plain.SetFaults(faults)
 	got := s.plainCall("valve", nil)
-	runs := s.runs("valve")
+	runs := s.executions("valve")
 	switch {
 	case runs > 1:
-		return fmt.Errorf("it ran %d times", runs)
+		return fmt.Errorf("the call ran %d times", runs)
 	case got.refusal.RunState == protocol.NotRun && runs != 0:
-		return fmt.Errorf("it ran and was called not run")
+		return fmt.Errorf("the call ran but was reported as not_run")
 	case got.refusal.Code == "" && got.status == 200 && runs != 1:
-		return fmt.Errorf("it was answered and did not run")
+		return fmt.Errorf("the call succeeded but did not run")
 	}
 	return nil
 }
--- a/internal/transport/edge/matrix_test.go
+++ b/internal/transport/edge/matrix_test.go
@@ -9,48 +9,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cell is one fault at one step of the online path. run gives what the checks
-// found; nil is "held". A cell without run is not applicable, for the reason
-// in its story.
-type cell struct {
+// faultCase is one fault at one step of the online path. run returns the failure
+// that the checks found, or nil. A case without run is not applicable; its
+// description gives the reason.
+type faultCase struct {
 	step, fault string
-	// story tells how the failure comes about and what a user notices.
-	story string
-	opts  systemOptions
-	run   func(s *system) error
+	// description says how the failure occurs and what a caller observes.
+	description string
+	opts        systemOptions
+	run         func(s *system) error
 }
 
-func allCells() []cell {
-	var all []cell
-	all = append(all, dispatchCells()...)
-	all = append(all, answerCells()...)
-	all = append(all, deliverCells()...)
-	all = append(all, drainCells()...)
-	return append(all, withdrawCells()...)
+func allFaultCases() []faultCase {
+	var all []faultCase
+	all = append(all, dispatchCases()...)
+	all = append(all, answerCases()...)
+	all = append(all, deliverCases()...)
+	all = append(all, drainCases()...)
+	return append(all, withdrawCases()...)
 }
 
 func TestMatrixOnline(t *testing.T) {
-	for _, c := range allCells() {
+	for _, c := range allFaultCases() {
 		t.Run(c.step+"/"+c.fault, func(t *testing.T) {
 			if c.run == nil {
-				t.Logf("matrix step=%s fault=%s result=not-applicable reason=%q", c.step, c.fault, c.story)
+				t.Logf("matrix step=%s fault=%s result=not-applicable reason=%q", c.step, c.fault, c.description)
 				return
 			}
-			require.NoError(t, c.run(newSystem(t, c.opts)), c.story)
+			require.NoError(t, c.run(newSystem(t, c.opts)), c.description)
 			t.Logf("matrix step=%s fault=%s result=held", c.step, c.fault)
 		})
 	}
 }
 
-// faults are the brief's, each of which every step must name.
+// faults lists the faults that each step must have a case for.
 var faults = []string{
 	"kill-before", "kill-after", "pause-past-lease", "log-down", "answer-lost", "duplicate", "late",
 	"crossed", "cut-from-log", "cut-from-domain", "target-dead", "operators-racing",
 }
 
-func TestMatrixNamesEveryFaultAtEveryStep(t *testing.T) {
+func TestMatrixCoversEveryFaultAtEveryStep(t *testing.T) {
 	seen := map[string]int{}
-	for _, c := range allCells() {
+	for _, c := range allFaultCases() {
 		seen[c.step+"/"+c.fault]++
 	}
 	for _, step := range []string{"dispatch", "answer", "deliver", "drain", "withdraw"} {
@@ -61,36 +61,36 @@
 	require.Len(t, seen, 5*len(faults))
 }
 
-// The matrix can turn red: with a decision taken out, a cell fails that
-// otherwise holds.
-func TestBrokenVariantsTurnCellsRed(t *testing.T) {
+// Checks that the matrix detects defects: with a decision of the code removed, a
+// case fails that passes otherwise.
+func TestMatrixOnlineDetectsDefects(t *testing.T) {
 	cases := []struct {
 		name string
-		v    variant
-		cell string
+		v    defect
+		id   string
 	}{
-		{"no echo check, whole", variant{trustEcho: true}, "dispatch/crossed"},
-		{"no echo check, streamed", variant{trustEcho: true}, "answer/crossed"},
-		{"retry of a call that may not be repeated", variant{resend: true}, "dispatch/answer-lost"},
+		{"no echo check, whole", defect{skipEchoCheck: true}, "dispatch/crossed"},
+		{"no echo check, streamed", defect{skipEchoCheck: true}, "answer/crossed"},
+		{"retry of a call that is not idempotent", defect{retryLostAnswer: true}, "dispatch/answer-lost"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			step, fault, _ := strings.Cut(c.cell, "/")
-			for _, one := range allCells() {
+			step, fault, _ := strings.Cut(c.id, "/")
+			for _, one := range allFaultCases() {
 				if one.step == step && one.fault == fault {
-					err := one.run(newVariantSystem(t, c.v, one.opts))
+					err := one.run(newDefectiveSystem(t, c.v, one.opts))
 					require.Error(t, err)
 					t.Log("found:", err)
 					return
 				}
 			}
-			require.Fail(t, "no such cell", c.cell)
+			require.Fail(t, "no such case", c.id)
 		})
 	}
 }
 
-// first gives the first error of checks that were made in order.
-func first(checks ...error) error {
+// firstError returns the first non-nil error.
+func firstError(checks ...error) error {
 	for _, err := range checks {
 		if err != nil {
 			return err
@@ -99,12 +99,12 @@
 	return nil
 }
 
-// A withdrawn key, and a shutdown with a call in flight, without any fault. The
-// edge meets the log at neither, so the cells of a log or a domain that is away
-// would strike nothing here and are not counted as held.
+// Checks the withdrawal of a key and a shutdown with a call in flight, without any
+// fault. The edge does not use the log for either, so the cases with an unavailable
+// log or domain would inject no fault here and are marked as not applicable.
 func TestWithdrawalAndDrainWithoutAFault(t *testing.T) {
-	require.NoError(t, withdrawnIsRefused(newSystem(t, systemOptions{})))
+	require.NoError(t, checkWithdrawnKeyRejected(newSystem(t, systemOptions{})))
 	require.NoError(t, drainPlain(newSystem(t, systemOptions{limits: Limits{DrainDelay: time.Millisecond}})))
 }
 
-var errNoEvidence = errors.New("the case did not come about")
+var errCaseNotReached = errors.New("the tested case did not occur")
--- a/internal/transport/edge/models.go
+++ b/internal/transport/edge/models.go
@@ -6,7 +6,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// modelObject is one model in OpenAI's form.
+// modelObject is OpenAI's model object.
 type modelObject struct {
 	ID      protocol.ModelName `json:"id"`
 	Object  string             `json:"object"`
@@ -43,9 +43,9 @@
 	name := protocol.ModelName(x.r.PathValue("model"))
 	model, ok := e.opts.Fleet().Models[name]
 	if !ok {
-		refusal := protocol.Refuse(protocol.CodeUnknownModel, 0, "no model %q", name)
+		refusal := protocol.Refuse(protocol.CodeUnknownModel, 0, "model %q does not exist", name)
 		refusal.Param = "model"
-		x.refuse(refusal)
+		x.reject(refusal)
 		return
 	}
 	writeJSON(x.w, newModelObject(model))
--- a/internal/transport/edge/openai_test.go
+++ b/internal/transport/edge/openai_test.go
@@ -36,13 +36,13 @@
 
 func TestOpenAIClientGetsStreamedChat(t *testing.T) {
 	s := newSystem(t, systemOptions{})
-	text, err := s.streamed("pump 2")
+	text, err := s.streamText("pump 2")
 	require.NoError(t, err)
 	require.Equal(t, target.Text(target.ChatText("pump 2"), answerTokens), text)
 }
 
-// streamed gives the text that a client got of a streamed chat.
-func (s *system) streamed(question string, opts ...option.RequestOption) (string, error) {
+// streamText returns the text that a client received from a streamed chat.
+func (s *system) streamText(question string, opts ...option.RequestOption) (string, error) {
 	client := s.openai(testSecret, append(opts, option.WithMaxRetries(0))...)
 	stream := client.Chat.Completions.NewStreaming(context.Background(), chat(question))
 	defer func() { _ = stream.Close() }()
@@ -103,8 +103,8 @@
 	}
 }
 
-// All targets refuse the first calls. The client gets a refusal that says when
-// to come back, comes back on its own, and its user notices nothing.
+// All targets reject their first call. The client receives a refusal with a retry
+// delay and retries automatically, so that its user sees no error.
 func TestOpenAIClientRetriesByItself(t *testing.T) {
 	s := newSystem(t, systemOptions{})
 	s.setFaults(target.Faults{Refuse: true, Times: 1})
--- a/internal/transport/edge/options.go
+++ b/internal/transport/edge/options.go
@@ -1,7 +1,7 @@
-// Package edge serves the callers over HTTP: an OpenAI-compatible API for
-// models, plain services, and the mounted batch API. It turns requests into
-// values for coordination/online and shields the instance from callers that
-// send too much, too slowly, or don't read.
+// Package edge is the callers' HTTP server. It serves an OpenAI-compatible API
+// for models, plain services, and the mounted batch API. It converts HTTP
+// requests into requests of coordination/online and protects the instance from
+// callers that send too much, send too slowly, or stop reading.
 package edge
 
 import (
@@ -18,60 +18,67 @@
 	"merlintiller/internal/protocol"
 )
 
-// Path serves online calls. *online.Handler implements it.
-type Path interface {
+// OnlineHandler serves online calls. *online.Handler implements it.
+type OnlineHandler interface {
 	Serve(ctx context.Context, req *online.Request, w online.Writer) online.Result
 }
 
-// Options set up an Edge.
+// Options configure an Edge.
 type Options struct {
-	// Listen opens the listener. It is called again if the duty restarts.
+	// Listen opens the listener. It is called again if the supervisor restarts
+	// the edge.
 	Listen func() (net.Listener, error)
 	Fleet  func() *protocol.Fleet
 	Keys   *access.Keys
-	Online Path
-	// Batch serves /v1/files and /v1/batches for authenticated callers, who
-	// are found by access.FromContext. May be nil.
+	Online OnlineHandler
+	// Batch serves /v1/files and /v1/batches for authenticated callers.
+	// access.FromContext returns the caller of a request. Batch may be nil.
 	Batch http.Handler
-	// Ready reports whether the instance knows the configuration that it has
-	// to serve by: after its start, and again after a long pause. Nil is
-	// always ready.
+	// Ready reports whether the instance has loaded the current configuration.
+	// It is false after a start and after a long pause of the process until the
+	// configuration is loaded. Nil means always ready.
 	Ready  func() bool
 	Logger log.Logger
 	Limits Limits
 }
 
-// Limits shield the instance. A zero field takes its default.
+// Limits protect the instance from excessive or slow requests. A zero field takes
+// its default.
 type Limits struct {
-	// MaxConnections bounds the open connections; more are closed at once.
-	// Default 10,000: about 25 KB each stays within a small instance.
+	// MaxConnections is the maximum number of open connections. Connections
+	// beyond the limit are closed immediately. Default 10,000: at about 25 KB
+	// each, they fit into the memory of a small instance.
 	MaxConnections int
-	// MaxBody bounds a request body in bytes. Default 4 MiB.
+	// MaxBody is the maximum size of a request body in bytes. Default 4 MiB.
 	MaxBody int64
-	// MaxBuffered bounds the bodies in memory of all calls in flight, in
-	// bytes. Default 256 MiB: hundreds of keys with large prompts must not
-	// take the memory that everyone's calls need.
+	// MaxBuffered is the maximum total size of the request bodies of all calls
+	// in flight, in bytes. Default 256 MiB: large prompts sent with hundreds of
+	// keys must not exhaust the memory that all callers share.
 	MaxBuffered int64
-	// MaxFile bounds an uploaded file in bytes. Default 512 MiB.
+	// MaxFile is the maximum size of an uploaded file in bytes. Default 512 MiB.
 	MaxFile int64
-	// MaxHeaderBytes bounds the header. Default 32 KiB.
+	// MaxHeaderBytes is the maximum size of a request header in bytes. Default
+	// 32 KiB.
 	MaxHeaderBytes int
-	// MaxHeaders bounds the number of header lines. Default 100.
+	// MaxHeaders is the maximum number of header lines. Default 100.
 	MaxHeaders int
-	// HeaderTimeout bounds the reading of a header. Default 5 s.
+	// HeaderTimeout limits the time for reading a request header. Default 5 s.
 	HeaderTimeout time.Duration
-	// BodyTimeout bounds the reading of a body. Default 10 s.
+	// BodyTimeout limits the time for reading a request body. Default 10 s.
 	BodyTimeout time.Duration
-	// FileTimeout bounds the reading of an uploaded file. Default 10 min.
+	// FileTimeout limits the time for reading an uploaded file. Default 10 min.
 	FileTimeout time.Duration
-	// WriteTimeout is how long a caller may let a write wait. Default 5 s:
-	// then the call is cancelled at its target and the connection closed.
+	// WriteTimeout limits the time of each write to a caller. When a write times
+	// out, the call is cancelled at its target and the connection is closed.
+	// Default 5 s.
 	WriteTimeout time.Duration
-	// IdleTimeout closes unused connections. Default 75 s, longer than the
-	// usual 60 s of balancers, so that the balancer closes first.
+	// IdleTimeout is the time after which an idle connection is closed. Default
+	// 75 s: longer than the usual 60 s of load balancers, so that the load
+	// balancer closes the connection first.
 	IdleTimeout time.Duration
-	// DrainDelay is how long a leaving instance still takes requests: the time
-	// the balancer and the platform's list need to notice. Default 5 s.
+	// DrainDelay is the time for which a draining instance still accepts requests.
+	// It covers the time that the load balancer and the platform's list of
+	// instances need to remove the instance. Default 5 s.
 	DrainDelay time.Duration
 }
 
--- a/internal/transport/edge/routes.go
+++ b/internal/transport/edge/routes.go
@@ -16,19 +16,19 @@
 
 func (e *Edge) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", e.healthy)
-	mux.HandleFunc("GET /readyz", e.ready)
-	mux.Handle("POST /v1/chat/completions", e.caller(e.completion))
-	mux.Handle("POST /v1/completions", e.caller(e.completion))
-	mux.Handle("GET /v1/models", e.caller(e.models))
-	mux.Handle("GET /v1/models/{model...}", e.caller(e.model))
-	mux.Handle("/v1/services/{service}/{rest...}", e.caller(e.service))
+	mux.HandleFunc("GET /healthz", e.healthz)
+	mux.HandleFunc("GET /readyz", e.readyz)
+	mux.Handle("POST /v1/chat/completions", e.authenticated(e.completion))
+	mux.Handle("POST /v1/completions", e.authenticated(e.completion))
+	mux.Handle("GET /v1/models", e.authenticated(e.models))
+	mux.Handle("GET /v1/models/{model...}", e.authenticated(e.model))
+	mux.Handle("/v1/services/{service}/{rest...}", e.authenticated(e.service))
 	if e.opts.Batch != nil {
 		for _, path := range []string{"/v1/files", "/v1/files/", "/v1/batches", "/v1/batches/"} {
-			mux.Handle(path, e.caller(e.batch))
+			mux.Handle(path, e.authenticated(e.batch))
 		}
 	}
-	mux.Handle("/", e.caller(notFound))
+	mux.Handle("/", e.authenticated(notFound))
 	return e.guard(mux)
 }
 
@@ -39,30 +39,33 @@
 	id     string
 	caller access.Caller
 	secret string
-	// reserved is what the body takes of Limits.MaxBuffered.
+	// reserved is the number of bytes counted against Limits.MaxBuffered for the
+	// body.
 	reserved int64
 }
 
-// refuse answers with the status that goes with the refusal's code.
-func (x *exchange) refuse(refusal *protocol.Refusal) {
+// reject writes a refusal with the HTTP status of its code.
+func (x *exchange) reject(refusal *protocol.Refusal) {
 	writeRefusal(x.w, refusal, refusal.Code.HTTPStatus())
 }
 
 type requestIDKey struct{}
 
-// guard counts requests, names each one and sheds what no handler may see.
+// guard counts the requests in flight, assigns each request an ID, rejects
+// requests with too many header lines, and closes connections after their response
+// while the instance drains.
 func (e *Edge) guard(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.inFlight.Add(1)
 		defer e.inFlight.Add(-1)
 		id := requestID(r)
 		w.Header().Set(online.HeaderRequestID, id)
-		if e.phase.Load() != serving {
+		if e.phase.Load() != phaseServing {
 			w.Header().Set("Connection", "close")
 		}
 		if count := headerLines(r.Header); count > e.limits.MaxHeaders {
 			w.Header().Set("Connection", "close")
-			refusal := protocol.Refuse(protocol.CodeTooLarge, 0, "%d header lines; at most %d are taken", count, e.limits.MaxHeaders)
+			refusal := protocol.Refuse(protocol.CodeTooLarge, 0, "request has %d header lines; the limit is %d", count, e.limits.MaxHeaders)
 			writeRefusal(w, refusal, http.StatusRequestHeaderFieldsTooLarge)
 			return
 		}
@@ -78,7 +81,7 @@
 	return count
 }
 
-// maxRequestID bounds the ids that are taken over from callers.
+// maxRequestID is the maximum length in bytes of a request ID set by a caller.
 const maxRequestID = 128
 
 var (
@@ -92,16 +95,18 @@
 	return "req-" + hex.EncodeToString(random) + "-"
 }
 
-// requestID is the caller's own, if it can stand in a log line, or a new one.
+// requestID returns the caller's request ID if it is short enough and can be
+// logged without quoting, otherwise a new one.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(online.HeaderRequestID)
-	if id == "" || len(id) > maxRequestID || !plainText(id) {
+	if id == "" || len(id) > maxRequestID || !isLoggable(id) {
 		return idPrefix + strconv.FormatUint(idCount.Add(1), 10)
 	}
 	return id
 }
 
-func plainText(text string) bool {
+// isLoggable reports whether text can be logged as a logfmt value without quoting.
+func isLoggable(text string) bool {
 	for _, b := range []byte(text) {
 		if b <= ' ' || b > '~' || b == '"' || b == '=' {
 			return false
@@ -110,19 +115,20 @@
 	return true
 }
 
-// caller authenticates a request before its handler.
-func (e *Edge) caller(next func(*exchange)) http.Handler {
+// authenticated wraps a handler with the readiness check and the authentication of
+// the caller.
+func (e *Edge) authenticated(next func(*exchange)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id, _ := r.Context().Value(requestIDKey{}).(string)
 		x := &exchange{w: w, r: r, id: id}
-		if refusal := e.mayServe(); refusal != nil {
-			x.refuse(refusal)
+		if refusal := e.checkServing(); refusal != nil {
+			x.reject(refusal)
 			return
 		}
 		x.secret = access.Secret(r.Header.Get("Authorization"))
 		caller, refusal := e.opts.Keys.Authenticate(x.secret)
 		if refusal != nil {
-			x.refuse(refusal)
+			x.reject(refusal)
 			return
 		}
 		x.caller = caller
@@ -131,24 +137,25 @@
 	})
 }
 
-func (e *Edge) mayServe() *protocol.Refusal {
-	if e.phase.Load() == refusing {
-		return protocol.Refuse(protocol.CodeDraining, drainRetryAfter, "the instance is leaving; send the request again")
+// checkServing returns a refusal if the instance does not accept requests now.
+func (e *Edge) checkServing() *protocol.Refusal {
+	if e.phase.Load() == phaseRejecting {
+		return protocol.Refuse(protocol.CodeDraining, drainRetryAfter, "the instance is shutting down; send the request again")
 	}
 	if e.opts.Ready != nil && !e.opts.Ready() {
-		return protocol.Refuse(protocol.CodeInstanceStarting, startRetryAfter, "the instance does not know the configuration in force yet")
+		return protocol.Refuse(protocol.CodeInstanceStarting, startRetryAfter, "the instance has not loaded the current configuration yet")
 	}
 	return nil
 }
 
-func (e *Edge) healthy(w http.ResponseWriter, _ *http.Request) {
+func (e *Edge) healthz(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// ready is what the balancer asks.
-func (e *Edge) ready(w http.ResponseWriter, _ *http.Request) {
+// readyz serves the load balancer's readiness check.
+func (e *Edge) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
-	case e.phase.Load() != serving:
+	case e.phase.Load() != phaseServing:
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case e.opts.Ready != nil && !e.opts.Ready():
 		http.Error(w, "starting", http.StatusServiceUnavailable)
@@ -158,20 +165,20 @@
 }
 
 func notFound(x *exchange) {
-	x.refuse(protocol.Refuse(protocol.CodeNotFound, 0, "no such path: %s %s", x.r.Method, x.r.URL.Path))
+	x.reject(protocol.Refuse(protocol.CodeNotFound, 0, "no such path: %s %s", x.r.Method, x.r.URL.Path))
 }
 
-// batch passes a request on to the batch API. Its answers are limited like
-// those of online calls: a caller that stops reading is shed.
+// batch forwards a request to the batch API. Writes have the same timeout as those
+// of online calls: the connection of a caller that stops reading is closed.
 func (e *Edge) batch(x *exchange) {
 	controller := http.NewResponseController(x.w)
 	if x.r.ContentLength != 0 {
-		e.limitRead(controller, e.limits.FileTimeout)
+		e.setReadDeadline(controller, e.limits.FileTimeout)
 	}
 	x.r.Body = http.MaxBytesReader(x.w, x.r.Body, e.limits.MaxFile)
-	limited := &limitedWriter{ResponseWriter: x.w, writer: newWriter(x.w, e.limits.WriteTimeout)}
+	limited := &timedResponseWriter{ResponseWriter: x.w, writer: newTimedWriter(x.w, e.limits.WriteTimeout)}
 	e.opts.Batch.ServeHTTP(limited, x.r.WithContext(access.WithCaller(x.r.Context(), x.caller)))
-	limited.writer.end()
+	limited.writer.clearDeadline()
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
--- a/internal/transport/edge/server.go
+++ b/internal/transport/edge/server.go
@@ -17,34 +17,35 @@
 	"merlintiller/internal/closing"
 )
 
-// published counts refusals by code and shed connections.
-var published = expvar.NewMap("edge")
+// counters holds the number of refusals by code and of connections closed at the
+// connection limit.
+var counters = expvar.NewMap("edge")
 
-// Edge is the callers' HTTP server, a suture service.
+// Edge is the callers' HTTP server. It implements suture.Service.
 type Edge struct {
 	opts     Options
 	limits   Limits
 	handler  http.Handler
 	phase    atomic.Int32
 	inFlight atomic.Int64
-	// buffered is the size of the bodies in memory, in bytes.
+	// buffered is the total size of the request bodies in memory, in bytes.
 	buffered atomic.Int64
 
 	mu     sync.Mutex
 	server *http.Server
 }
 
-// The phases of an instance, in their order.
+// The shutdown phases of an instance, in order.
 const (
-	serving int32 = iota
-	// leaving: not ready any more, but all requests are still served, since
-	// the balancer sends them until it has noticed.
-	leaving
-	// refusing: new requests are refused, those in flight go on.
-	refusing
+	phaseServing int32 = iota
+	// phaseDraining: the readiness check fails, but all requests are still
+	// served, because the load balancer sends requests until it has noticed.
+	phaseDraining
+	// phaseRejecting: new requests are rejected; requests in flight continue.
+	phaseRejecting
 )
 
-// New returns an edge that does not listen yet.
+// New returns an Edge. Serve opens its listener.
 func New(opts Options) *Edge {
 	if opts.Logger == nil {
 		opts.Logger = log.NewNopLogger()
@@ -54,17 +55,17 @@
 	return e
 }
 
-// Services returns the edge as a duty.
+// Services returns the edge as a background service.
 func (e *Edge) Services() []suture.Service { return []suture.Service{e} }
 
-// String names the duty.
+// String returns the name of the service.
 func (e *Edge) String() string { return "edge" }
 
-// Handler serves requests without a listener, for tests.
+// Handler returns the HTTP handler, for tests that use no listener.
 func (e *Edge) Handler() http.Handler { return e.handler }
 
-// Serve implements suture.Service. Callers of a graceful shutdown call Drain
-// before they end ctx.
+// Serve implements suture.Service. For a graceful shutdown, call Drain before
+// cancelling ctx.
 func (e *Edge) Serve(ctx context.Context) error {
 	listener, err := e.opts.Listen()
 	if err != nil {
@@ -84,7 +85,8 @@
 	if !errors.Is(err, http.ErrServerClosed) {
 		return trace.Wrap(err)
 	}
-	// After Shutdown the requests in flight go on; the duty ends with ctx.
+	// After Shutdown the requests in flight continue; Serve returns when ctx is
+	// cancelled.
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -95,11 +97,12 @@
 	e.server = server
 }
 
-// Drain takes the instance out of service without cutting a request: not
-// ready first, then the lag of the balancer, then no new requests, then the
-// end of those in flight. It returns early with an error if ctx ends.
+// Drain takes the instance out of service without interrupting a request. It
+// makes the readiness check fail, waits for Limits.DrainDelay, rejects new
+// requests, and waits until the requests in flight have ended. If ctx is cancelled
+// earlier, Drain returns an error.
 func (e *Edge) Drain(ctx context.Context) error {
-	e.phase.Store(leaving)
+	e.phase.Store(phaseDraining)
 	_ = e.opts.Logger.Log("event", "drain_started", "in_flight", e.inFlight.Load())
 	timer := time.NewTimer(e.limits.DrainDelay)
 	defer timer.Stop()
@@ -108,7 +111,7 @@
 	case <-ctx.Done():
 		return trace.Wrap(ctx.Err())
 	}
-	e.phase.Store(refusing)
+	e.phase.Store(phaseRejecting)
 	e.mu.Lock()
 	server := e.server
 	e.mu.Unlock()
@@ -120,16 +123,17 @@
 	return trace.Wrap(err)
 }
 
-// InFlight counts the requests that run now.
+// InFlight returns the number of requests in flight.
 func (e *Edge) InFlight() int64 { return e.inFlight.Load() }
 
-// limitConnections closes connections beyond a number at once.
+// limitConnections returns a listener that immediately closes connections beyond
+// maxOpen.
 //
-// What goes wrong without it: a flood of idle connections takes memory and
-// file descriptors until the instance can't reach its targets, and requests of
+// Without the limit, a flood of idle connections exhausts memory and file
+// descriptors until the instance can't connect to its targets, and the requests of
 // well-behaved callers fail.
-func limitConnections(listener net.Listener, most int) net.Listener {
-	return &limitedListener{Listener: listener, slots: make(chan struct{}, most)}
+func limitConnections(listener net.Listener, maxOpen int) net.Listener {
+	return &limitedListener{Listener: listener, slots: make(chan struct{}, maxOpen)}
 }
 
 type limitedListener struct {
@@ -148,7 +152,7 @@
 		case l.slots <- struct{}{}:
 			return &limitedConn{Conn: conn, release: func() { <-l.slots }}, nil
 		default:
-			published.Add("connections_shed", 1)
+			counters.Add("connections_shed", 1)
 			_ = conn.Close()
 		}
 	}
--- a/internal/transport/edge/system_test.go
+++ b/internal/transport/edge/system_test.go
@@ -53,29 +53,29 @@
 	}
 }
 
-// system is one entry instance before stand-in targets, on loopback.
+// system is one instance with stand-in targets on the loopback interface.
 type system struct {
 	fleet atomic.Pointer[protocol.Fleet]
-	// outdated is what the journal says after a pause.
-	outdated atomic.Bool
-	targets  []*target.Target
-	servers  []*httptest.Server
-	plain    *target.Target
-	router   *routing.Router
-	client   *targethttp.Client
-	path     *online.Handler
-	edge     *Edge
-	listing  external.Listing
-	url      string
-	address  string
-	stop     context.CancelFunc
+	// configOutdated simulates a journal that has not caught up after a pause.
+	configOutdated atomic.Bool
+	targets        []*target.Target
+	servers        []*httptest.Server
+	plain          *target.Target
+	router         *routing.Router
+	client         *targethttp.Client
+	online         *online.Handler
+	edge           *Edge
+	listing        external.Listing
+	url            string
+	address        string
+	stop           context.CancelFunc
 }
 
 type systemOptions struct {
 	policy online.Policy
 	limits Limits
 	once   online.AtMostOnceCaller
-	// target replaces the way to the targets.
+	// target replaces the client for the targets.
 	target external.Target
 	tokens int
 	batch  http.Handler
@@ -94,19 +94,19 @@
 	if opts.target != nil {
 		calls, onceCalls = opts.target, opts.target
 	}
-	s.path = online.New(online.Options{
+	s.online = online.New(online.Options{
 		Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load), Router: s.router,
-		Target: calls, AtMostOnceTarget: onceCalls, AtMostOnce: opts.once, Policy: opts.policy, ConfigCurrent: s.current,
+		Target: calls, AtMostOnceTarget: onceCalls, AtMostOnce: opts.once, Policy: opts.policy, ConfigCurrent: s.configCurrent,
 	})
 	s.edge = New(Options{
 		Listen: s.listen, Fleet: s.fleet.Load, Keys: access.New(s.fleet.Load),
-		Online: s.path, Limits: opts.limits, Batch: opts.batch, Ready: s.current,
+		Online: s.online, Limits: opts.limits, Batch: opts.batch, Ready: s.configCurrent,
 	})
 	s.start(t)
 	return s
 }
 
-func (s *system) current() bool { return !s.outdated.Load() }
+func (s *system) configCurrent() bool { return !s.configOutdated.Load() }
 
 func (s *system) startTargets(t testing.TB, tokens int) {
 	add := func(id protocol.TargetID, cfg target.Config) *target.Target {
@@ -114,7 +114,8 @@
 		standin := target.New(cfg)
 		server := httptest.NewServer(standin)
 		t.Cleanup(server.Close)
-		// A server waits at its end for calls that are frozen or held.
+		// Clearing the faults ends frozen and paused calls, for which
+		// server.Close waits.
 		t.Cleanup(func() { standin.SetFaults(target.Faults{}) })
 		s.servers = append(s.servers, server)
 		s.listing.Targets = append(s.listing.Targets, external.ListedTarget{
@@ -143,7 +144,7 @@
 	listener := probe
 	s.edge.opts.Listen = func() (net.Listener, error) { return listener, nil }
 	supervisor := suture.NewSimple("test")
-	for _, service := range append(s.path.Services(), s.edge.Services()...) {
+	for _, service := range append(s.online.Services(), s.edge.Services()...) {
 		supervisor.Add(service)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -155,17 +156,17 @@
 	})
 }
 
-// setFaults gives all model targets the same faults.
+// setFaults injects the same faults into all model targets.
 func (s *system) setFaults(faults target.Faults) {
 	for _, standin := range s.targets {
 		standin.SetFaults(faults)
 	}
 }
 
-// kill ends the instance without ceremony.
+// kill stops the instance without draining it.
 func (s *system) kill() {
 	s.stop()
 }
 
-// plainServer is the server of the plain target.
+// plainServer returns the HTTP server of the plain target.
 func (s *system) plainServer() *httptest.Server { return s.servers[modelTargets] }
--- a/internal/transport/edge/writer.go
+++ b/internal/transport/edge/writer.go
@@ -5,62 +5,65 @@
 	"time"
 )
 
-// writer is an online.Writer on an HTTP response.
+// timedWriter is an online.Writer for an HTTP response that sets a deadline for
+// each write.
 //
-// What goes wrong without the deadline on each write: a caller that stops
-// reading fills the socket buffers, the relay blocks in a write for ever and
-// holds a place at its target; others notice a fleet that is full of streams
-// that nobody reads.
-type writer struct {
+// Without the deadline, a caller that stops reading fills the socket buffers, the
+// relay blocks in a write forever, and the call keeps its slot at the target.
+// Such streams would eventually occupy all slots of the fleet.
+type timedWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	timeout    time.Duration
 }
 
-func newWriter(w http.ResponseWriter, timeout time.Duration) *writer {
-	return &writer{w: w, controller: http.NewResponseController(w), timeout: timeout}
+func newTimedWriter(w http.ResponseWriter, timeout time.Duration) *timedWriter {
+	return &timedWriter{w: w, controller: http.NewResponseController(w), timeout: timeout}
 }
 
-// limit gives the next write its time. A recorder in a test has no deadline.
-func (w *writer) limit() {
+// extendDeadline sets the deadline of the next write. The error is ignored because
+// httptest.ResponseRecorder does not support deadlines.
+func (w *timedWriter) extendDeadline() {
 	_ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
 // Begin implements online.Writer.
-func (w *writer) Begin(status int, header http.Header) error {
+func (w *timedWriter) Begin(status int, header http.Header) error {
 	for name, values := range header {
 		w.w.Header()[name] = values
 	}
-	w.limit()
+	w.extendDeadline()
 	w.w.WriteHeader(status)
 	return nil
 }
 
 // Write implements online.Writer.
-func (w *writer) Write(p []byte) (int, error) {
-	w.limit()
+func (w *timedWriter) Write(p []byte) (int, error) {
+	w.extendDeadline()
 	return w.w.Write(p)
 }
 
 // Flush implements online.Writer.
-func (w *writer) Flush() error { return w.controller.Flush() }
+func (w *timedWriter) Flush() error { return w.controller.Flush() }
 
-// end takes the deadline off the connection. It must be done: net/http does
-// not reset a handler's deadline, so the next answer on it would be cut.
-func (w *writer) end() {
+// clearDeadline removes the write deadline from the connection. net/http does not
+// reset a deadline that a handler set, so the next response on the connection
+// would be cut off.
+func (w *timedWriter) clearDeadline() {
 	_ = w.controller.SetWriteDeadline(time.Time{})
 }
 
-// limitedWriter is an http.ResponseWriter whose writes are limited in time.
-type limitedWriter struct {
+// timedResponseWriter is an http.ResponseWriter that sets a deadline for each
+// write.
+type timedResponseWriter struct {
 	http.ResponseWriter
-	writer *writer
+	writer *timedWriter
 }
 
 // Write implements http.ResponseWriter.
-func (l *limitedWriter) Write(p []byte) (int, error) {
+func (l *timedResponseWriter) Write(p []byte) (int, error) {
 	return l.writer.Write(p)
 }
 
-// Unwrap lets http.ResponseController find the connection.
-func (l *limitedWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
+// Unwrap gives http.ResponseController access to the wrapped writer.
+func (l *timedResponseWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
