--- a/internal/transport/edge/body.go
+++ b/internal/transport/edge/body.go
@@ -33,7 +33,6 @@
 	return true
 }
 
-// release subtracts the bytes that reserve counted for x.
 // release subtracts the bytes that reserve counted for x.
 func (e *Edge) release(x *exchange) {
 	e.buffered.Add(-x.reserved)
@@ -46,7 +45,7 @@
 }
 
 // readBody reads the whole body before the request is admitted, so that a
-// partially sent request occupies no slot and consumes no tokens.
+// request of which half is sent occupies no slot and consumes no tokens.
 func (e *Edge) readBody(x *exchange) ([]byte, bool) {
 	if !e.reserve(x) {
 		x.w.Header().Set("Connection", "close")
--- a/internal/transport/edge/errors.go
+++ b/internal/transport/edge/errors.go
@@ -14,8 +14,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// errorBody is the body of every error response: OpenAI's error object with the
-// additional fields run_state and retry_after_ms.
+// errorBody is the body of every error response: OpenAI's error object with two
+// additional fields, run_state and retry_after_ms.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -189,7 +189,7 @@
 		select {
 		case <-tick.C:
 		case <-limit.C:
-			return fmt.Errorf("condition not reached within %s: %s", testTimeout, what)
+			return fmt.Errorf("condition not reached: %s", what)
 		}
 	}
 	return nil
--- a/internal/transport/edge/options.go
+++ b/internal/transport/edge/options.go
@@ -77,8 +77,8 @@
 	// balancer closes the connection first.
 	IdleTimeout time.Duration
 	// DrainDelay is the time for which a draining instance still accepts requests.
-	// It covers the time that the load balancer and the platform's list of
-	// instances need to remove the instance. Default 5 s.
+	// It covers the time that the load balancer and the platform's list
+	// need to remove the instance. Default 5 s.
 	DrainDelay time.Duration
 }
 
