--- a/internal/transport/front/batch.go
+++ b/internal/transport/front/batch.go
@@ -11,104 +11,105 @@
 )
 
 const (
-	// submitTime bounds the writing of a job. Callers send it again elsewhere
-	// after that.
-	submitTime = 3500 * time.Millisecond
-	// callTime bounds the other calls of batch jobs, beyond the wait that they
-	// ask for.
-	callTime = 2500 * time.Millisecond
-	// longestWait bounds the wait that a call may ask for.
-	longestWait = 10 * time.Second
+	// submitTimeout limits the time for storing a job. Callers retry on another
+	// instance afterwards.
+	submitTimeout = 3500 * time.Millisecond
+	// jobCallTimeout limits the time of all other calls on batch jobs, in
+	// addition to the wait that the call requests.
+	jobCallTimeout = 2500 * time.Millisecond
+	// maxWait is the maximum wait that a call may request.
+	maxWait     = 10 * time.Second
 	jsonContent = "application/json"
 )
 
-// submit takes a batch job.
-func (v *visit) submit() {
-	if v.r.Method != http.MethodPost {
-		v.refuse(http.StatusMethodNotAllowed, 0, "method")
+// submitJob stores a new batch job.
+func (c *callerRequest) submitJob() {
+	if c.r.Method != http.MethodPost {
+		c.reject(http.StatusMethodNotAllowed, 0, "method")
 		return
 	}
-	items, err := v.opts.Codec.DecodeItems(v.request.Body)
-	if err != nil || v.request.ID == "" || len(v.request.ID) > jobs.MaxID {
-		v.refuse(http.StatusBadRequest, 0, "job_unreadable")
+	items, err := c.opts.Codec.DecodeItems(c.request.Body)
+	if err != nil || c.request.ID == "" || len(c.request.ID) > jobs.MaxID {
+		c.reject(http.StatusBadRequest, 0, "job_unreadable")
 		return
 	}
-	if retry, none := v.opts.JobsUnavailable(); none {
-		v.refuse(http.StatusServiceUnavailable, retry, "isolated")
+	if retryAfter, unavailable := c.opts.JobsUnavailable(); unavailable {
+		c.reject(http.StatusServiceUnavailable, retryAfter, "isolated")
 		return
 	}
 	now := time.Now()
 	job := &jobs.Job{
-		ID: v.request.ID, Organisation: v.organisationName(),
-		Host: v.route.Host, Prefix: v.route.Prefix, ConfigVersion: v.table.Version(),
-		Submitted: now, Due: now.Add(v.route.ResultsDue), GiveUp: now.Add(v.route.Retention),
+		ID: c.request.ID, Organisation: c.organisationName(),
+		Host: c.route.Host, Prefix: c.route.Prefix, ConfigVersion: c.table.Version(),
+		Submitted: now, Due: now.Add(c.route.ResultsDue), GiveUp: now.Add(c.route.Retention),
 		Items: items,
 	}
-	limit := submitTime
-	if v.request.Patience > 0 {
-		limit = min(limit, v.request.Patience)
+	limit := submitTimeout
+	if c.request.Patience > 0 {
+		limit = min(limit, c.request.Patience)
 	}
-	ctx, cancel := context.WithTimeout(v.r.Context(), limit)
+	ctx, cancel := context.WithTimeout(c.r.Context(), limit)
 	defer cancel()
-	v.settle(v.opts.Jobs.Submit(ctx, job), http.StatusAccepted, "submit")
+	c.replyVerdict(c.opts.Jobs.Submit(ctx, job), http.StatusAccepted, "submit")
 }
 
-// settle answers a call that has a verdict and no content.
-func (v *visit) settle(verdict batchjobs.Verdict, done int, what string) {
+// replyVerdict responds to a call whose result is a verdict without content.
+func (c *callerRequest) replyVerdict(verdict batchjobs.Verdict, successStatus int, operation string) {
 	switch verdict {
 	case batchjobs.Done:
-		v.answer(done, nil, "")
-		v.log("answered", done, what)
+		c.respond(successStatus, nil, "")
+		c.log("answered", successStatus, operation)
 	case batchjobs.Missing:
-		v.answer(http.StatusNotFound, nil, "")
-		v.log("refused", http.StatusNotFound, what)
+		c.respond(http.StatusNotFound, nil, "")
+		c.log("refused", http.StatusNotFound, operation)
 	case batchjobs.NotDone:
-		v.refuse(http.StatusServiceUnavailable, lightRetry, what)
+		c.reject(http.StatusServiceUnavailable, shortRetryAfter, operation)
 	default:
-		// It may have taken effect: no promise can be made.
-		v.answer(http.StatusGatewayTimeout, nil, "")
-		v.log("failed", http.StatusGatewayTimeout, what)
+		// The call may have taken effect, so the response claims neither
+		// outcome.
+		c.respond(http.StatusGatewayTimeout, nil, "")
+		c.log("failed", http.StatusGatewayTimeout, operation)
 	}
 }
 
-// jobCall serves a call on a job that was submitted before.
-func (v *visit) jobCall(call exchange.JobCall) {
-	if !v.authenticate(false) {
+// serveJobCall serves a call on a job that was submitted before.
+func (c *callerRequest) serveJobCall(call exchange.JobCall) {
+	if !c.authenticate(false) {
 		return
 	}
-	v.request.ID = call.Job
-	wait := min(call.Wait, longestWait)
-	ctx, cancel := context.WithTimeout(v.r.Context(), wait+callTime)
+	c.request.ID = call.Job
+	wait := min(call.Wait, maxWait)
+	ctx, cancel := context.WithTimeout(c.r.Context(), wait+jobCallTimeout)
 	defer cancel()
-	organisation := v.organisationName()
+	organisation := c.organisationName()
 	switch call.Kind {
 	case exchange.JobResults:
-		v.results(ctx, batchjobs.ResultsCall{Job: call.Job, Organisation: organisation, After: call.After, Wait: wait})
+		c.serveResults(ctx, batchjobs.ResultsCall{Job: call.Job, Organisation: organisation, After: call.After, Wait: wait})
 	case exchange.JobItem:
-		reply := v.opts.Jobs.Body(ctx, batchjobs.BodyCall{Job: call.Job, Item: call.Item, Organisation: organisation})
+		reply := c.opts.Jobs.Body(ctx, batchjobs.BodyCall{Job: call.Job, Item: call.Item, Organisation: organisation})
 		if reply.Verdict != batchjobs.Done {
-			v.settle(reply.Verdict, http.StatusOK, "item")
+			c.replyVerdict(reply.Verdict, http.StatusOK, "item")
 			return
 		}
-		v.answer(http.StatusOK, reply.Body, "application/octet-stream")
-		v.log("answered", http.StatusOK, "item")
+		c.respond(http.StatusOK, reply.Body, "application/octet-stream")
+		c.log("answered", http.StatusOK, "item")
 	case exchange.JobEnd:
-		v.settle(v.opts.Jobs.Cancel(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
+		c.replyVerdict(c.opts.Jobs.Cancel(ctx, batchjobs.JobCall{Job: call.Job, Organisation: organisation}), http.StatusOK, "end")
 	}
 }
 
-func (v *visit) results(ctx context.Context, call batchjobs.ResultsCall) {
-	reply := v.opts.Jobs.Results(ctx, call)
+func (c *callerRequest) serveResults(ctx context.Context, call batchjobs.ResultsCall) {
+	reply := c.opts.Jobs.Results(ctx, call)
 	if reply.Verdict != batchjobs.Done {
-		v.settle(reply.Verdict, http.StatusOK, "results")
+		c.replyVerdict(reply.Verdict, http.StatusOK, "results")
 		return
 	}
-	body, err := v.opts.Codec.EncodeResults(reply.Total, call.After, reply.Results)
+	body, err := c.opts.Codec.EncodeResults(reply.Total, call.After, reply.Results)
 	if err != nil {
-		v.answer(http.StatusInternalServerError, nil, "")
-		v.log("failed", http.StatusInternalServerError, "results_unencodable", "err", err)
+		c.respond(http.StatusInternalServerError, nil, "")
+		c.log("failed", http.StatusInternalServerError, "results_unencodable", "err", err)
 		return
 	}
-	v.answer(http.StatusOK, body, jsonContent)
-	v.log("answered", http.StatusOK, "results", "after", call.After, "results", len(reply.Results), "total", reply.Total)
+	c.respond(http.StatusOK, body, jsonContent)
+	c.log("answered", http.StatusOK, "results", "after", call.After, "results", len(reply.Results), "total", reply.Total)
 }
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -13,54 +13,55 @@
 )
 
 var (
-	firstByte = metrics.NewPrometheusHistogram("request_first_byte_seconds")
-	waited    = metrics.NewPrometheusHistogram("request_wait_seconds")
+	timeToFirstByte = metrics.NewPrometheusHistogram("request_first_byte_seconds")
+	placementWait   = metrics.NewPrometheusHistogram("request_wait_seconds")
 )
 
-// online serves a request by a target.
-func (v *visit) online() {
-	service, ok := v.route.Choose(v.request.ID)
+// serveOnline serves a request at a target.
+func (c *callerRequest) serveOnline() {
+	service, ok := c.route.Choose(c.request.ID)
 	if !ok {
-		v.refuse(http.StatusServiceUnavailable, lightRetry, "no_service")
+		c.reject(http.StatusServiceUnavailable, shortRetryAfter, "no_service")
 		return
 	}
-	organisation := v.organisationName()
-	if decision := v.opts.Quota.Admit(organisation); !decision.Admitted {
-		v.refuse(http.StatusTooManyRequests, decision.Wait, "over_rate",
+	organisation := c.organisationName()
+	if decision := c.opts.Quota.Admit(organisation); !decision.Admitted {
+		c.reject(http.StatusTooManyRequests, decision.Wait, "over_rate",
 			"level", fmt.Sprintf("%.2f", decision.Level), "share", fmt.Sprintf("%.2f", decision.Share))
 		return
 	}
-	sink := &sink{w: v.w, control: http.NewResponseController(v.w)}
-	outcome := v.opts.Relay.Serve(v.r.Context(), &relay.RoutedRequest{
-		Request: &v.request, Route: v.route, Service: service, Organisation: organisation,
-		ReceivedAt: v.began, Deadline: v.began.Add(v.patience()),
+	sink := &responseSink{w: c.w, controller: http.NewResponseController(c.w)}
+	outcome := c.opts.Relay.Serve(c.r.Context(), &relay.RoutedRequest{
+		Request: &c.request, Route: c.route, Service: service, Organisation: organisation,
+		ReceivedAt: c.receivedAt, Deadline: c.receivedAt.Add(c.timeout()),
 	}, sink)
 	if outcome.PossibleRuns == 0 {
-		v.opts.Quota.GiveBack(organisation)
+		c.opts.Quota.GiveBack(organisation)
 	}
-	v.end(&outcome)
+	c.reportOutcome(&outcome)
 }
 
-// patience is how long the request may take: as long as the caller waits, and
-// not longer than the route allows.
-func (v *visit) patience() time.Duration {
-	patience := v.request.Patience
-	if patience <= 0 {
-		patience = defaultPatience
+// timeout returns the maximum duration of the request: the time that the caller
+// waits, but at most the time that the route allows.
+func (c *callerRequest) timeout() time.Duration {
+	timeout := c.request.Patience
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	if v.route.Timeout > 0 && v.route.Kind != route.Batch {
-		patience = min(patience, v.route.Timeout)
+	if c.route.Timeout > 0 && c.route.Kind != route.Batch {
+		timeout = min(timeout, c.route.Timeout)
 	}
-	return patience
+	return timeout
 }
 
-// end tells the caller how its request ended, unless its answer told it.
-func (v *visit) end(o *relay.Outcome) {
+// reportOutcome records the outcome of a request and, unless the target's response
+// was already sent, responds to the caller.
+func (c *callerRequest) reportOutcome(o *relay.Outcome) {
 	if o.Attempts > 0 {
-		waited.Update(o.PlacementTime.Seconds())
+		placementWait.Update(o.PlacementTime.Seconds())
 	}
 	if o.AnswerStarted() {
-		firstByte.Update(o.TimeToFirstByte.Seconds())
+		timeToFirstByte.Update(o.TimeToFirstByte.Seconds())
 	}
 	outcome := "refused"
 	switch {
@@ -73,48 +74,49 @@
 	case o.PossibleRuns > 0:
 		outcome = "failed"
 	}
-	v.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
+	c.log(outcome, o.Status, string(o.Reason), "target", o.Target, "attempts", o.Attempts, "runs", o.PossibleRuns,
 		"waited_ms", o.PlacementTime.Milliseconds(), "busy", o.Busy, "slots", o.Slots, "broker", o.Broker,
 		"first_byte_ms", o.TimeToFirstByte.Milliseconds(), "events", o.Events, "retry_ms", o.RetryAfter.Milliseconds())
 	switch {
 	case o.Completed():
 	case o.AnswerStarted(), o.Reason == relay.CallerDisconnected:
-		// An answer that ends early must not look whole.
+		// Closes the connection, so that a truncated response does not look
+		// complete.
 		panic(http.ErrAbortHandler)
 	default:
 		if o.RetryAfter > 0 {
-			v.w.Header().Set("Retry-After", v.opts.Codec.EncodeRetryAfter(o.RetryAfter))
+			c.w.Header().Set("Retry-After", c.opts.Codec.EncodeRetryAfter(o.RetryAfter))
 		}
-		v.answer(o.Status, nil, "")
+		c.respond(o.Status, nil, "")
 	}
 }
 
-// sink passes an answer on to the caller's connection.
-type sink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
+// responseSink writes a response to the caller's connection.
+type responseSink struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
 }
 
 // SendHead implements relay.Sink.
-func (s *sink) SendHead(reply *exchange.Reply) {
+func (s *responseSink) SendHead(reply *exchange.Reply) {
 	header := s.w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
 	}
 	if len(header["Content-Type"]) == 0 {
-		// Keeps net/http from guessing one.
+		// Prevents net/http from detecting a content type.
 		header["Content-Type"] = nil
 	}
 	s.w.WriteHeader(reply.Status)
 }
 
 // SendBody implements relay.Sink.
-func (s *sink) SendBody(part []byte) error {
-	if err := s.control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func (s *responseSink) SendBody(part []byte) error {
+	if err := s.controller.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("write deadline: %w", err)
 	}
 	if _, err := s.w.Write(part); err != nil {
 		return err
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/internal/transport/front/request.go
+++ b/internal/transport/front/request.go
@@ -16,13 +16,13 @@
 	"merlintiller/internal/state/route"
 )
 
-// visit is one request of a caller.
-type visit struct {
+// callerRequest is the state of one request of a caller.
+type callerRequest struct {
 	*Front
-	w     http.ResponseWriter
-	r     *http.Request
-	began time.Time
-	table *route.Table
+	w          http.ResponseWriter
+	r          *http.Request
+	receivedAt time.Time
+	table      *route.Table
 
 	request      exchange.Request
 	route        *route.Route
@@ -30,72 +30,77 @@
 }
 
 const (
-	// noConfigRetry is told while no configuration is known.
-	noConfigRetry = time.Second
-	// lightRetry is told when the cause is expected to pass at once.
-	lightRetry = 300 * time.Millisecond
+	// noConfigRetryAfter is the retry delay while no configuration is loaded.
+	noConfigRetryAfter = time.Second
+	// shortRetryAfter is the retry delay for causes that are expected to end soon.
+	shortRetryAfter = 300 * time.Millisecond
 )
 
-// serve finds out what the request is and answers it.
-func (f *Front) serve(v *visit) {
-	v.request = f.opts.Codec.DecodeRequest(v.r)
-	if v.table == nil {
-		v.refuse(http.StatusServiceUnavailable, noConfigRetry, "no_config")
+// serve decodes, authenticates and routes a request and responds to it.
+func (f *Front) serve(c *callerRequest) {
+	c.request = f.opts.Codec.DecodeRequest(c.r)
+	if c.table == nil {
+		c.reject(http.StatusServiceUnavailable, noConfigRetryAfter, "no_config")
 		return
 	}
-	if call, ok := f.opts.Codec.DecodeJobCall(v.r); ok && v.table.HasBatchRoute(v.r.Host) {
-		v.jobCall(call)
+	if call, ok := f.opts.Codec.DecodeJobCall(c.r); ok && c.table.HasBatchRoute(c.r.Host) {
+		c.serveJobCall(call)
 		return
 	}
-	if most := v.table.Limits().HeaderBytes; most > 0 && headSize(v.r) > most+headSlack {
-		v.refuse(http.StatusRequestHeaderFieldsTooLarge, 0, "head_too_large")
+	if limit := c.table.Limits().HeaderBytes; limit > 0 && headerSize(c.r) > limit+headerSlack {
+		c.reject(http.StatusRequestHeaderFieldsTooLarge, 0, "head_too_large")
 		return
 	}
-	found, ok := v.table.Match(v.request.Host, v.request.Path)
+	found, ok := c.table.Match(c.request.Host, c.request.Path)
 	if !ok {
-		v.refuse(http.StatusNotFound, 0, "no_route")
+		c.reject(http.StatusNotFound, 0, "no_route")
 		return
 	}
-	v.route = found
-	if !v.authenticate(found.Public) || !v.readBody() {
+	c.route = found
+	if !c.authenticate(found.Public) || !c.readBody() {
 		return
 	}
 	if found.Kind == route.Batch {
-		v.submit()
+		c.submitJob()
 		return
 	}
-	v.online()
+	c.serveOnline()
 }
 
-// authenticate finds the caller's organisation.
-func (v *visit) authenticate(public bool) bool {
-	if caller, ok := v.table.OrganisationBySecret(v.request.Secret); ok {
-		v.organisation = caller
+// authenticate finds the caller's organisation. It rejects the request and returns
+// false if a key is required and the request has no known key.
+func (c *callerRequest) authenticate(public bool) bool {
+	if caller, ok := c.table.OrganisationBySecret(c.request.Secret); ok {
+		c.organisation = caller
 		return true
 	}
-	if public || !v.table.RequiresKey() {
+	if public || !c.table.RequiresKey() {
 		return true
 	}
-	v.refuse(http.StatusUnauthorized, 0, "unknown_key")
+	c.reject(http.StatusUnauthorized, 0, "unknown_key")
 	return false
 }
 
-func (v *visit) organisationName() string {
-	if v.organisation == nil {
+// organisationName returns the name of the caller's organisation, or "" if the
+// caller has none.
+func (c *callerRequest) organisationName() string {
+	if c.organisation == nil {
 		return ""
 	}
-	return v.organisation.Name
+	return c.organisation.Name
 }
 
-// headSlack is how much larger than the operators' bound a head may be. Callers may
-// count neither the request line nor the ends of lines; one that keeps to the bound
-// by its own count must not be refused.
-const headSlack = 1 << 10
+// headerSlack is the number of bytes by which a request header may exceed the
+// operators' limit. Callers may count neither the request line nor the line ends; a
+// header that is within the limit by the caller's own count must not be rejected.
+const headerSlack = 1 << 10
 
-// headSize is the size of a request's head on the wire.
-func headSize(r *http.Request) int64 {
+// headerSize returns the size of a request header on the wire, including the request
+// line.
+func headerSize(r *http.Request) int64 {
 	const (
-		// space, space, version and the end of the line; colon, space and end.
+		// lineExtra: two spaces, the version and the line end. fieldExtra: the
+		// colon, a space and the line end.
 		lineExtra  = 12
 		fieldExtra = 4
 	)
@@ -108,87 +113,90 @@
 	return int64(size)
 }
 
-// readBody reads the whole body, so that the request can be sent again.
+// readBody reads the whole body, so that the request can be sent to another target
+// after a failure.
 //
-// What goes wrong without the bound on its time: a caller that sends a byte now
-// and then holds memory and a connection for good. It would show as requests in
-// flight that never end.
-func (v *visit) readBody() bool {
-	most := v.table.Limits().BodyBytes
-	if most <= 0 {
-		most = bodyBytes
-	}
-	control := http.NewResponseController(v.w)
-	if err := control.SetReadDeadline(v.began.Add(v.patience())); err != nil {
-		v.gone("connection_closed")
+// Without the read deadline, a caller that sends single bytes at long intervals would
+// keep memory and a connection forever. The metric requests_in_flight would show
+// requests that never end.
+func (c *callerRequest) readBody() bool {
+	limit := c.table.Limits().BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
+	}
+	controller := http.NewResponseController(c.w)
+	if err := controller.SetReadDeadline(c.receivedAt.Add(c.timeout())); err != nil {
+		c.logCallerLeft("connection_closed")
 		return false
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(v.w, v.r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
-		// A failure shows as the end of the connection, as any other.
-		_ = control.SetReadDeadline(time.Time{})
-		v.request.Body = body
+		// If resetting the deadline fails, the connection is broken, and the next
+		// read or write returns the error.
+		_ = controller.SetReadDeadline(time.Time{})
+		c.request.Body = body
 		return true
 	case errors.As(err, &tooLarge):
-		v.refuse(http.StatusRequestEntityTooLarge, 0, "body_too_large")
+		c.reject(http.StatusRequestEntityTooLarge, 0, "body_too_large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		v.refuse(http.StatusRequestTimeout, 0, "body_too_slow")
-	case v.r.Context().Err() != nil:
-		v.gone("caller_left")
+		c.reject(http.StatusRequestTimeout, 0, "body_too_slow")
+	case c.r.Context().Err() != nil:
+		c.logCallerLeft("caller_left")
 	default:
-		v.refuse(http.StatusBadRequest, 0, "body_unreadable")
+		c.reject(http.StatusBadRequest, 0, "body_unreadable")
 	}
 	return false
 }
 
-// refuse answers a request that did not run.
-func (v *visit) refuse(status int, retry time.Duration, reason string, more ...any) {
-	if retry > 0 {
-		v.w.Header().Set("Retry-After", v.opts.Codec.EncodeRetryAfter(retry))
+// reject responds to a request that did not run.
+func (c *callerRequest) reject(status int, retryAfter time.Duration, reason string, more ...any) {
+	if retryAfter > 0 {
+		c.w.Header().Set("Retry-After", c.opts.Codec.EncodeRetryAfter(retryAfter))
 	}
-	v.answer(status, nil, "")
-	v.log("refused", status, reason, append(more, "retry_ms", retry.Milliseconds())...)
+	c.respond(status, nil, "")
+	c.log("refused", status, reason, append(more, "retry_ms", retryAfter.Milliseconds())...)
 }
 
-// answer sends a whole answer.
-func (v *visit) answer(status int, body []byte, kind string) {
-	if kind != "" {
-		v.w.Header().Set("Content-Type", kind)
+// respond writes a complete response.
+func (c *callerRequest) respond(status int, body []byte, contentType string) {
+	if contentType != "" {
+		c.w.Header().Set("Content-Type", contentType)
 	}
-	v.w.WriteHeader(status)
+	c.w.WriteHeader(status)
 	if len(body) > 0 {
-		// A failed write shows as the caller's end of the connection.
-		_, _ = v.w.Write(body)
+		// A failed write means that the caller has closed the connection.
+		_, _ = c.w.Write(body)
 	}
 }
 
-// gone notes a caller that left before it was answered.
-func (v *visit) gone(reason string) {
-	v.log("caller_left", 0, reason)
+// logCallerLeft logs a caller that disconnected before it received a response.
+func (c *callerRequest) logCallerLeft(reason string) {
+	c.log("caller_left", 0, reason)
 }
 
-// log writes the line of a request's outcome.
-func (v *visit) log(outcome string, status int, reason string, more ...any) {
+// log writes the log line of a request's outcome and counts the outcome.
+func (c *callerRequest) log(outcome string, status int, reason string, more ...any) {
 	var version int64
-	if v.table != nil {
-		version = v.table.Version()
+	if c.table != nil {
+		version = c.table.Version()
 	}
 	name := ""
-	if v.route != nil {
-		name = v.route.Name
+	if c.route != nil {
+		name = c.route.Name
 	}
-	took := time.Since(v.began)
+	elapsed := time.Since(c.receivedAt)
 	metrics.GetOrCreateCounter(`requests_total{outcome="` + outcome + `",reason="` + reason + `"}`).Inc()
 	fields := append([]any{
-		"event", "request", "request", v.request.ID, "route", name, "organisation", v.organisationName(),
-		"config", version, "outcome", outcome, "reason", reason, "status", status, "took_ms", took.Milliseconds(),
+		"event", "request", "request", c.request.ID, "route", name, "organisation", c.organisationName(),
+		"config", version, "outcome", outcome, "reason", reason, "status", status, "took_ms", elapsed.Milliseconds(),
 	}, more...)
-	_ = level.Info(v.opts.Logger).Log(fields...)
+	_ = level.Info(c.opts.Logger).Log(fields...)
 }
 
-// discardedErrors logs what the HTTP server reports, such as malformed requests.
-func discardedErrors(logger log.Logger) *stdlog.Logger {
+// newErrorLog returns a logger for the errors of the HTTP server, such as malformed
+// requests.
+func newErrorLog(logger log.Logger) *stdlog.Logger {
 	return stdlog.New(log.NewStdlibAdapter(level.Info(logger), log.MessageKey("detail")), "", 0)
 }
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -22,24 +22,27 @@
 )
 
 const (
-	// headerTimeout ends a connection that does not send a whole head. It lies
-	// above the bounds that operators set for callers.
+	// headerTimeout limits the time for reading a request header. It is longer
+	// than the limits that operators set for callers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout ends a connection without a request. Callers use connections
-	// again that were idle for most of the time that operators allow, which is
-	// some seconds; closing first would cross their requests.
+	// idleTimeout limits the time for which a connection is kept without a
+	// request. Callers reuse connections that were idle for most of the time
+	// that operators allow, which is some seconds. If the instance closed such a
+	// connection first, the close would race with the caller's next request.
 	idleTimeout = 90 * time.Second
-	// headBytes bounds a request's head. Operators set tighter bounds.
-	headBytes = 256 << 10
-	// bodyBytes bounds a body where operators set no bound.
-	bodyBytes = 16 << 20
-	// defaultPatience is the time of a request whose caller says none.
-	defaultPatience = 30 * time.Second
-	// writeTimeout ends an answer whose caller takes nothing for so long.
+	// maxHeaderBytes is the maximum size of a request header. Operators set lower
+	// limits.
+	maxHeaderBytes = 256 << 10
+	// defaultMaxBodyBytes is the maximum size of a request body if operators set
+	// no limit.
+	defaultMaxBodyBytes = 16 << 20
+	// defaultTimeout is the timeout of a request whose caller sets none.
+	defaultTimeout = 30 * time.Second
+	// writeTimeout limits the time of each write to a caller.
 	writeTimeout = 5 * time.Second
 )
 
-// Codec is how callers' requests and answers look on the wire.
+// Codec decodes callers' requests and encodes responses.
 type Codec struct {
 	DecodeRequest    func(*http.Request) exchange.Request
 	DecodeJobCall    func(*http.Request) (exchange.JobCall, bool)
@@ -48,7 +51,7 @@
 	EncodeRetryAfter func(time.Duration) string
 }
 
-// Quota holds organisations to their rates.
+// Quota enforces the rates of organisations.
 type Quota interface {
 	Admit(organisation string) quota.Decision
 	GiveBack(organisation string)
@@ -56,50 +59,50 @@
 
 // Relay serves online requests.
 type Relay interface {
-	Serve(ctx context.Context, job *relay.RoutedRequest, sink relay.Sink) relay.Outcome
+	Serve(ctx context.Context, request *relay.RoutedRequest, sink relay.Sink) relay.Outcome
 }
 
-// Desk serves the calls of batch jobs.
-type Desk interface {
+// JobService serves the calls on batch jobs.
+type JobService interface {
 	Submit(ctx context.Context, job *jobs.Job) batchjobs.Verdict
 	Results(ctx context.Context, call batchjobs.ResultsCall) batchjobs.ResultsReply
 	Body(ctx context.Context, call batchjobs.BodyCall) batchjobs.BodyReply
 	Cancel(ctx context.Context, call batchjobs.JobCall) batchjobs.Verdict
 }
 
-// Options make a Front.
+// Options configure a Front.
 type Options struct {
 	Listen func() (net.Listener, error)
 	Codec  Codec
 	Table  func() *route.Table
 	Quota  Quota
 	Relay  Relay
-	Jobs   Desk
-	// JobsUnavailable says whether no batch job can be kept now, and when its caller may come
-	// back.
-	JobsUnavailable func() (retry time.Duration, none bool)
-	Logger log.Logger
+	Jobs   JobService
+	// JobsUnavailable reports whether batch jobs can't be stored now, and the delay
+	// before a retry.
+	JobsUnavailable func() (retryAfter time.Duration, unavailable bool)
+	Logger          log.Logger
 }
 
-// Front is the server. It is a duty.
+// Front is the callers' HTTP server. It implements suture.Service.
 type Front struct {
 	opts     Options
 	inFlight atomic.Int64
-	leaving  atomic.Bool
+	draining atomic.Bool
 	server   atomic.Pointer[http.Server]
 }
 
-// New returns a server that does not listen yet.
+// New returns a Front. Serve opens its listener.
 func New(opts Options) *Front {
 	f := &Front{opts: opts}
 	metrics.GetOrCreateGauge("requests_in_flight", func() float64 { return float64(f.inFlight.Load()) })
 	return f
 }
 
-// String names the duty.
+// String returns the name of the service.
 func (f *Front) String() string { return "front" }
 
-// Serve serves callers until ctx ends.
+// Serve serves callers until ctx is cancelled.
 func (f *Front) Serve(ctx context.Context) error {
 	listener, err := f.opts.Listen()
 	if err != nil {
@@ -109,8 +112,8 @@
 		Handler:           f,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headBytes,
-		ErrorLog:          discardedErrors(f.opts.Logger),
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          newErrorLog(f.opts.Logger),
 	}
 	f.server.Store(server)
 	wait := closing.When(ctx, func() { _ = server.Close() })
@@ -127,19 +130,19 @@
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
 	w.Header()["Date"] = nil
-	if f.leaving.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	f.serve(&visit{Front: f, w: w, r: r, began: time.Now(), table: f.opts.Table()})
+	f.serve(&callerRequest{Front: f, w: w, r: r, receivedAt: time.Now(), table: f.opts.Table()})
 }
 
-// StartDraining asks callers to use other connections, with each answer.
-func (f *Front) StartDraining() { f.leaving.Store(true) }
+// StartDraining makes each response ask its caller to close the connection.
+func (f *Front) StartDraining() { f.draining.Store(true) }
 
-// InFlight counts the requests that run.
+// InFlight returns the number of requests in flight.
 func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
-// Shutdown takes no more connections and waits for the requests that run.
+// Shutdown closes the listener and waits for the requests in flight.
 func (f *Front) Shutdown(ctx context.Context) error {
 	server := f.server.Load()
 	if server == nil {
