--- a/internal/transport/batchapi/batches.go
+++ b/internal/transport/batchapi/batches.go
@@ -46,10 +46,10 @@
 		InputFileID:      job.InputFile,
 		CompletionWindow: formatWindow(job.Deadline.Sub(job.Created)),
 		Status:           string(job.Status),
-		CreatedAt:        unix(job.Created),
-		InProgressAt:     unix(job.Created),
-		ExpiresAt:        unix(job.Deadline),
-		ResultsUntil:     unix(job.ResultsExpireAt),
+		CreatedAt:        unixOrZero(job.Created),
+		InProgressAt:     unixOrZero(job.Created),
+		ExpiresAt:        unixOrZero(job.Deadline),
+		ResultsUntil:     unixOrZero(job.ResultsExpireAt),
 		RequestCounts:    requestCounts{Total: job.Total, Completed: job.Completed, Failed: job.Failed},
 		Metadata:         job.Metadata,
 	}
@@ -57,7 +57,7 @@
 	return object
 }
 
-// formatWindow writes whole hours the way OpenAI does, as in "24h".
+// formatWindow formats whole hours as OpenAI does, for example "24h".
 func formatWindow(window time.Duration) string {
 	if window%time.Hour == 0 {
 		return strconv.Itoa(int(window/time.Hour)) + "h"
@@ -65,6 +65,7 @@
 	return window.String()
 }
 
+// setEnd sets the end time and the result files of a job that has ended.
 func (o *batchObject) setEnd(job batch.Job) {
 	switch job.Status {
 	case ledger.InProgress:
@@ -92,16 +93,17 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
-// maxCreateBytes bounds the body of POST /v1/batches.
+// maxCreateBytes is the maximum size of the body of POST /v1/batches.
 const maxCreateBytes = 64 << 10
 
-// idempotencyHeader makes a resent job the first one.
+// idempotencyHeader is the header with the idempotency key of a new job. A request
+// with the key of an existing job returns that job.
 const idempotencyHeader = "Idempotency-Key"
 
 func (a *API) createBatch(w http.ResponseWriter, r *http.Request) {
 	var body createRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCreateBytes)).Decode(&body); err != nil {
-		a.refuse(w, badRequest("", "the body is not a batch: %s", err))
+		a.reject(w, badRequest("", "request body is not a batch: %s", err))
 		return
 	}
 	request := batch.JobRequest{
@@ -111,25 +113,26 @@
 		Metadata:         body.Metadata,
 	}
 	job, refusal := a.service.CreateBatch(r.Context(), a.organisation(r), request, r.Header.Get(idempotencyHeader))
-	a.answer(w, job, refusal)
+	a.writeJob(w, job, refusal)
 }
 
-func (a *API) answer(w http.ResponseWriter, job batch.Job, refusal *protocol.Refusal) {
+// writeJob responds with the batch object of job, or with refusal if it is not nil.
+func (a *API) writeJob(w http.ResponseWriter, job batch.Job, refusal *protocol.Refusal) {
 	if refusal != nil {
-		a.refuse(w, refusal)
+		a.reject(w, refusal)
 		return
 	}
-	a.reply(w, http.StatusOK, newBatchObject(job))
+	a.writeJSON(w, http.StatusOK, newBatchObject(job))
 }
 
 func (a *API) getBatch(w http.ResponseWriter, r *http.Request) {
 	job, refusal := a.service.GetBatch(r.Context(), a.organisation(r), protocol.JobID(r.PathValue("id")))
-	a.answer(w, job, refusal)
+	a.writeJob(w, job, refusal)
 }
 
 func (a *API) cancelBatch(w http.ResponseWriter, r *http.Request) {
 	job, refusal := a.service.CancelBatch(r.Context(), a.organisation(r), protocol.JobID(r.PathValue("id")))
-	a.answer(w, job, refusal)
+	a.writeJob(w, job, refusal)
 }
 
 // batchList is OpenAI's list object.
@@ -146,7 +149,7 @@
 	if text := r.URL.Query().Get("limit"); text != "" {
 		parsed, err := strconv.Atoi(text)
 		if err != nil {
-			a.refuse(w, badRequest("limit", "must be a number"))
+			a.reject(w, badRequest("limit", "must be a number"))
 			return
 		}
 		limit = parsed
@@ -154,10 +157,10 @@
 	after := protocol.JobID(r.URL.Query().Get("after"))
 	page, refusal := a.service.ListBatches(r.Context(), a.organisation(r), after, limit)
 	if refusal != nil {
-		a.refuse(w, refusal)
+		a.reject(w, refusal)
 		return
 	}
-	a.reply(w, http.StatusOK, newBatchList(page))
+	a.writeJSON(w, http.StatusOK, newBatchList(page))
 }
 
 func newBatchList(page batch.JobPage) batchList {
--- a/internal/transport/batchapi/client_test.go
+++ b/internal/transport/batchapi/client_test.go
@@ -28,21 +28,22 @@
 	"merlintiller/internal/standin/memlog"
 )
 
-// place is a place at a target that is always there.
-type place struct{}
+// alwaysFreeSlot is a batch slot at a target that is always available.
+type alwaysFreeSlot struct{}
 
-func (place) Acquire(context.Context, protocol.ServiceName) (coordination.BatchSlot, error) {
-	return place{}, nil
+func (alwaysFreeSlot) Acquire(context.Context, protocol.ServiceName) (coordination.BatchSlot, error) {
+	return alwaysFreeSlot{}, nil
 }
-func (place) Places(protocol.ServiceName) int { return 1 }
-func (place) Pick() coordination.Pick         { return coordination.Pick{} }
-func (place) Revoked() <-chan struct{}        { return nil }
-func (place) Release(coordination.CallResult) {}
+func (alwaysFreeSlot) Places(protocol.ServiceName) int { return 1 }
+func (alwaysFreeSlot) Pick() coordination.Pick         { return coordination.Pick{} }
+func (alwaysFreeSlot) Revoked() <-chan struct{}        { return nil }
+func (alwaysFreeSlot) Release(coordination.CallResult) {}
 
-// echo answers an item after a second. Items called "bad" fail.
-type echo struct{}
+// echoRunner responds to each item after a second. Items whose custom ID begins with
+// "bad" fail.
+type echoRunner struct{}
 
-func (echo) Run(ctx context.Context, _ coordination.BatchSlot, item batch.Item) batch.ItemOutcome {
+func (echoRunner) Run(ctx context.Context, _ coordination.BatchSlot, item batch.Item) batch.ItemOutcome {
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
@@ -52,18 +53,18 @@
 	if strings.HasPrefix(item.CustomID, "bad") {
 		result.Status = 400
 		result.Code = protocol.CodeTargetFailed
-		result.Message = "the target refused"
+		result.Message = "the target rejected the item"
 	}
 	return batch.ItemOutcome{Kind: batch.Done, Result: result}
 }
 
-// direct hands requests to a handler without a network.
-type direct struct{ handler http.Handler }
+// handlerTransport passes requests to a handler without a network.
+type handlerTransport struct{ handler http.Handler }
 
-func (d direct) RoundTrip(r *http.Request) (answer *http.Response, err error) {
+func (d handlerTransport) RoundTrip(r *http.Request) (answer *http.Response, err error) {
 	defer func() {
 		if recover() != nil {
-			err = errors.New("connection broke")
+			err = errors.New("connection closed by the handler")
 		}
 	}()
 	recorder := httptest.NewRecorder()
@@ -79,14 +80,14 @@
 	done   sync.WaitGroup
 }
 
-// start runs one instance and gives the client library of OpenAI on it.
+// start runs one instance and returns a fixture with an OpenAI client for it.
 func start(t *testing.T) *fixture {
 	f := &fixture{t: t, log: memlog.New(memlog.Options{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	t.Cleanup(f.stop)
 	j := journal.New(journal.Options{Log: f.log, Instance: "pnw-1", Domain: "pnw-sea"})
-	executor := batch.NewExecutor("", j, place{}, echo{}, batch.Options{}, log.NewNopLogger())
+	executor := batch.NewExecutor("", j, alwaysFreeSlot{}, echoRunner{}, batch.Options{}, log.NewNopLogger())
 	f.run(ctx, append(j.Services(), executor.Services()...))
 	<-time.After(time.Second)
 	outcome := j.Submit(ctx, protocol.Record{FleetChange: &protocol.FleetChange{
@@ -105,14 +106,14 @@
 		option.WithAPIKey("k"),
 		option.WithBaseURL("http://instance/v1"),
 		option.WithMaxRetries(0),
-		option.WithHTTPClient(&http.Client{Transport: direct{api.Handler()}}),
+		option.WithHTTPClient(&http.Client{Transport: handlerTransport{api.Handler()}}),
 	)
 	return f
 }
 
-func (f *fixture) run(ctx context.Context, duties []suture.Service) {
-	for _, duty := range duties {
-		f.done.Go(func() { _ = duty.Serve(ctx) })
+func (f *fixture) run(ctx context.Context, services []suture.Service) {
+	for _, service := range services {
+		f.done.Go(func() { _ = service.Serve(ctx) })
 	}
 }
 
@@ -232,8 +233,8 @@
 	return refusal
 }
 
-// A caller sends what can't be taken. The refusal must name what is wrong in
-// the form that the client library shows.
+// A caller sends invalid requests. The refusal must name the error in the form that
+// the client library reports.
 func TestRefusalsReachTheClientLibrary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
@@ -260,9 +261,8 @@
 	})
 }
 
-// The log is down. The client must learn that nothing happened and when to come
-// back.
-func TestOutageIsToldToTheClient(t *testing.T) {
+// The log is down. The response must have the run state not_run and a retry delay.
+func TestOutageIsReportedToTheClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
 		f.log.SetFault(func(string, string, []byte) memlog.Fault { return memlog.Down })
@@ -274,8 +274,9 @@
 	})
 }
 
-// The log fails in the middle of a download. A short answer with a good status
-// would be taken for the whole file; the connection must break instead.
+// The log fails in the middle of a download. A client would take a truncated
+// response with a success status for the complete file, so the connection must be
+// closed instead.
 func TestCutDownloadBreaksTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
@@ -297,6 +298,6 @@
 			return memlog.None
 		})
 		_, err = f.client.Files.Content(t.Context(), file.ID)
-		require.ErrorContains(t, err, "connection broke")
+		require.ErrorContains(t, err, "connection closed by the handler")
 	})
 }
--- a/internal/transport/batchapi/doc.go
+++ b/internal/transport/batchapi/doc.go
@@ -1,3 +1,3 @@
-// Package batchapi serves files and batch jobs to callers over HTTP, in the
-// form of OpenAI's API, so that its client libraries work unchanged.
+// Package batchapi is the HTTP API for files and batch jobs. It is compatible with
+// OpenAI's API, so that OpenAI's client libraries work unchanged.
 package batchapi
--- a/internal/transport/batchapi/files.go
+++ b/internal/transport/batchapi/files.go
@@ -27,34 +27,35 @@
 		ID:        file.ID,
 		Object:    "file",
 		Bytes:     file.Bytes,
-		CreatedAt: unix(file.Created),
-		ExpiresAt: unix(file.Expires),
+		CreatedAt: unixOrZero(file.Created),
+		ExpiresAt: unixOrZero(file.Expires),
 		Filename:  file.Name,
 		Purpose:   file.Purpose,
 		Status:    "processed",
 	}
 }
 
-// maxFieldBytes bounds a form field other than the file.
+// maxFieldBytes is the maximum size of a form field other than the file.
 const maxFieldBytes = 1 << 10
 
-// uploadFile streams the file to the service as it comes: nothing is kept on a
-// disk, which instances do not have. A purpose that comes after the file is
-// checked after it, which leaves an unused copy in the log if it is wrong.
+// uploadFile streams the file to the service while it is received, because instances
+// have no disk. A purpose field after the file is checked after the file was stored;
+// if the purpose is invalid, an unused copy of the file stays in the log.
 func (a *API) uploadFile(w http.ResponseWriter, r *http.Request) {
 	parts, err := r.MultipartReader()
 	if err != nil {
-		a.refuse(w, badRequest("file", "the request must be multipart/form-data"))
+		a.reject(w, badRequest("file", "the request must be multipart/form-data"))
 		return
 	}
 	upload := upload{api: a, request: r}
-	if refusal := upload.read(parts); refusal != nil {
-		a.refuse(w, refusal)
+	if refusal := upload.readParts(parts); refusal != nil {
+		a.reject(w, refusal)
 		return
 	}
-	a.reply(w, http.StatusOK, newFileObject(upload.file))
+	a.writeJSON(w, http.StatusOK, newFileObject(upload.file))
 }
 
+// upload is the state of one file upload.
 type upload struct {
 	api     *API
 	request *http.Request
@@ -63,22 +64,23 @@
 	purpose string
 }
 
-func (u *upload) read(parts *multipart.Reader) *protocol.Refusal {
+func (u *upload) readParts(parts *multipart.Reader) *protocol.Refusal {
 	for {
 		part, err := parts.NextPart()
 		if errors.Is(err, io.EOF) {
-			return u.check()
+			return u.validate()
 		}
 		if err != nil {
-			return badRequest("file", "the upload broke off")
+			return badRequest("file", "the upload ended early")
 		}
-		if refusal := u.take(part); refusal != nil {
+		if refusal := u.readPart(part); refusal != nil {
 			return refusal
 		}
 	}
 }
 
-func (u *upload) take(part *multipart.Part) *protocol.Refusal {
+// readPart reads one form field.
+func (u *upload) readPart(part *multipart.Part) *protocol.Refusal {
 	switch part.FormName() {
 	case "purpose":
 		value, err := io.ReadAll(io.LimitReader(part, maxFieldBytes))
@@ -88,7 +90,7 @@
 		u.purpose = string(value)
 	case "file":
 		if u.stored {
-			return badRequest("file", "stands twice")
+			return badRequest("file", "is given twice")
 		}
 		org := u.api.organisation(u.request)
 		file, refusal := u.api.service.UploadFile(u.request.Context(), org, part.FileName(), part)
@@ -101,7 +103,7 @@
 	return nil
 }
 
-func (u *upload) check() *protocol.Refusal {
+func (u *upload) validate() *protocol.Refusal {
 	if !u.stored {
 		return badRequest("file", "is missing")
 	}
@@ -120,19 +122,20 @@
 func (a *API) getFile(w http.ResponseWriter, r *http.Request) {
 	file, refusal := a.service.File(r.Context(), a.organisation(r), r.PathValue("id"))
 	if refusal != nil {
-		a.refuse(w, refusal)
+		a.reject(w, refusal)
 		return
 	}
-	a.reply(w, http.StatusOK, newFileObject(file))
+	a.writeJSON(w, http.StatusOK, newFileObject(file))
 }
 
-// fileContent streams a file. If the log fails in the middle the connection is
-// broken: a short file with a good status would be taken for the whole.
+// fileContent streams a file. If reading from the log fails after the response has
+// started, fileContent closes the connection: a client would take a truncated file
+// with a success status for the complete file.
 func (a *API) fileContent(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/jsonl")
 	refusal, err := a.service.FileContent(r.Context(), a.organisation(r), r.PathValue("id"), w)
 	if refusal != nil {
-		a.refuse(w, refusal)
+		a.reject(w, refusal)
 		return
 	}
 	if err != nil {
--- a/internal/transport/batchapi/fuzz_test.go
+++ b/internal/transport/batchapi/fuzz_test.go
@@ -14,8 +14,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// A caller sends a batch that does not read. It must get a clear error that
-// says not run; there is no journal here, so accepting it would panic.
+// A caller sends a batch request that can't be decoded or is invalid. The response
+// must be a client error with run state not_run. The service has no journal, so
+// accepting a request would panic.
 func FuzzCreate(f *testing.F) {
 	f.Add(`{"input_file_id":"x","endpoint":"/v1/chat/completions","completion_window":"24h"}`)
 	f.Add(`{"metadata":{"a":1}}`)
--- a/internal/transport/batchapi/handler.go
+++ b/internal/transport/batchapi/handler.go
@@ -13,30 +13,30 @@
 	"merlintiller/internal/protocol"
 )
 
-// Organisation tells for which organisation an authenticated request runs. The
-// edge has checked the key before a handler is called.
+// Organisation returns the organisation of an authenticated request. The edge
+// authenticates requests before it calls a handler.
 type Organisation func(*http.Request) protocol.OrganisationID
 
-// API holds the handlers.
+// API implements the HTTP handlers.
 type API struct {
 	service      *batch.Service
 	organisation Organisation
 	logger       log.Logger
 }
 
-// New returns the handlers over a service.
+// New returns an API that uses service.
 func New(service *batch.Service, organisation Organisation, logger log.Logger) *API {
 	return &API{service: service, organisation: organisation, logger: logger}
 }
 
-// Handler routes all paths of the package.
+// Handler returns a handler for all paths of the API.
 func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
 	a.Register(mux)
 	return mux
 }
 
-// Register adds the paths to a mux of the edge.
+// Register registers the paths of the API with mux.
 func (a *API) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /v1/files", a.uploadFile)
 	mux.HandleFunc("GET /v1/files/{id}", a.getFile)
@@ -47,7 +47,8 @@
 	mux.HandleFunc("POST /v1/batches/{id}/cancel", a.cancelBatch)
 }
 
-// runStateHeader tells callers what is known of the effect of their request.
+// runStateHeader is the response header with the run state of the request: whether
+// the request had, or may have had, an effect.
 const runStateHeader = "X-Run-State"
 
 type errorBody struct {
@@ -63,14 +64,15 @@
 	RunState string `json:"run_state"`
 }
 
-func (a *API) refuse(w http.ResponseWriter, refusal *protocol.Refusal) {
+// reject responds with a refusal.
+func (a *API) reject(w http.ResponseWriter, refusal *protocol.Refusal) {
 	status := refusal.Code.HTTPStatus()
 	if refusal.RetryAfter > 0 {
 		seconds := int(math.Ceil(refusal.RetryAfter.Seconds()))
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.Header().Set(runStateHeader, string(refusal.Run))
-	a.reply(w, status, errorBody{Error: errorObject{
+	a.writeJSON(w, status, errorBody{Error: errorObject{
 		Message:  refusal.Message,
 		Type:     errorType(status),
 		Param:    refusal.Param,
@@ -86,7 +88,7 @@
 	return "invalid_request_error"
 }
 
-func (a *API) reply(w http.ResponseWriter, status int, body any) {
+func (a *API) writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
@@ -94,7 +96,8 @@
 	}
 }
 
-func unix(t time.Time) int64 {
+// unixOrZero returns t in seconds since the Unix epoch, or 0 for the zero time.
+func unixOrZero(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
