--- a/internal/transport/operatorapi/change.go
+++ b/internal/transport/operatorapi/change.go
@@ -16,13 +16,13 @@
 
 func (h *Handler) change(w http.ResponseWriter, r *http.Request) {
 	var request ChangeRequest
-	if refusal := read(w, r, &request); refusal != nil {
-		refuse(w, refusal, "mend the request; nothing was changed")
+	if refusal := decodeBody(w, r, &request); refusal != nil {
+		writeRefusal(w, refusal, "correct the request; nothing was changed")
 		return
 	}
 	if request.ChangeID == "" || len(request.Set)+len(request.Remove) == 0 {
-		refuse(w, protocol.Refuse(protocol.CodeBadRequest, 0, "a change needs a change_id and something to set or remove"),
-			"mend the request; nothing was changed")
+		writeRefusal(w, protocol.Refuse(protocol.CodeBadRequest, 0, "a change needs a change_id and at least one object to set or remove"),
+			"correct the request; nothing was changed")
 		return
 	}
 	change := protocol.FleetChange{
@@ -30,36 +30,37 @@
 		BasedOn:  request.BasedOn,
 		Set:      request.Set,
 		Remove:   request.Remove,
-		Operator: operatorOf(r),
+		Operator: operatorFrom(r),
 		At:       request.At,
 	}
 	if refusal := h.validate(&change); refusal != nil {
-		refuse(w, refusal, "mend the folder; nothing was changed")
+		writeRefusal(w, refusal, "correct the folder; nothing was changed")
 		return
 	}
-	// The record is submitted even if the operator's connection breaks: the
-	// operator learns its fate from the version in force.
+	// The record is submitted even if the operator's connection breaks. The
+	// operator can then see the outcome from the version in force.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), submitTimeout)
 	defer cancel()
 	outcome := h.config.Journal.Submit(ctx, protocol.Record{FleetChange: &change})
-	_ = level.Info(h.config.Logger).Log("event", "fleet_change", "operator", operatorOf(r), "change", request.ChangeID,
+	_ = level.Info(h.config.Logger).Log("event", "fleet_change", "operator", operatorFrom(r), "change", request.ChangeID,
 		"based_on", int64(request.BasedOn), "verdict", string(outcome.Verdict), "run", string(outcome.Run),
 		"offset", int64(outcome.Offset), "err", outcome.Err)
-	h.answerChange(w, request, outcome)
+	h.writeChangeResult(w, request, outcome)
 }
 
-// validate refuses a change that fits in no log entry, or that replay would reject, with the reason, which a
-// verdict does not carry. It only speaks for the version that the change was
-// made from: of another one a conflict is the truer answer.
+// validate rejects a change that does not fit into one log entry or that replay
+// would reject. Unlike a verdict, its refusal contains the reason. If the version in
+// force is not the one that the change is based on, validate does not check the
+// change against replay's rules, so that the caller gets a conflict instead.
 func (h *Handler) validate(change *protocol.FleetChange) *protocol.Refusal {
 	for _, object := range change.Set {
 		if object.Key != nil && object.Key.ID.LooksLikeSecret() {
-			return protocol.Refuse(protocol.CodeBadRequest, 0, "the id of a key begins like a secret; give the id and the hash, never the secret")
+			return protocol.Refuse(protocol.CodeBadRequest, 0, "the ID of a key begins like a secret; provide the ID and the hash, never the secret")
 		}
 	}
 	frame := protocol.Frame{Records: []protocol.Record{{FleetChange: change}}}
 	if _, err := protocol.EncodeFrame(frame); err != nil {
-		return protocol.Refuse(protocol.CodeTooLarge, 0, "the change can't be one log entry: %v; apply the folder in parts", err)
+		return protocol.Refuse(protocol.CodeTooLarge, 0, "the change does not fit into one log entry: %v; apply the folder in parts", err)
 	}
 	current := h.config.Journal.Fleet()
 	if current.Version != change.BasedOn {
@@ -71,9 +72,9 @@
 	return nil
 }
 
-func (h *Handler) answerChange(w http.ResponseWriter, request ChangeRequest, outcome coordination.Outcome) {
+func (h *Handler) writeChangeResult(w http.ResponseWriter, request ChangeRequest, outcome coordination.Outcome) {
 	if refusal, next := h.changeRefusal(request, outcome); refusal != nil {
-		refuse(w, refusal, next)
+		writeRefusal(w, refusal, next)
 		return
 	}
 	result := ChangeAnswer{Verdict: outcome.Verdict, Version: outcome.Offset}
@@ -82,77 +83,79 @@
 		h.config.Journal.View(func(state *replica.State) {
 			result.Version, _ = state.Fleet.VersionOf(request.ChangeID)
 		})
-		result.Message = "this change took effect before; nothing was done again"
+		result.Message = "this change had already taken effect; nothing was changed again"
 	}
-	result.Next = "run status to see it in force at every instance"
-	answer(w, http.StatusOK, result)
+	result.Next = "run status to check that the version is in force at every instance"
+	writeJSON(w, http.StatusOK, result)
 }
 
-// changeRefusal turns an outcome that is no success into the final answer.
+// changeRefusal returns the refusal and the next step for an outcome that is not a
+// success.
 func (h *Handler) changeRefusal(request ChangeRequest, outcome coordination.Outcome) (*protocol.Refusal, string) {
 	switch outcome.Run {
 	case protocol.NotRun:
 		return protocol.Refuse(protocol.CodePlatformDown, retryLogDown, "the platform's log can't be reached; nothing was changed"),
-			"run the same command again when the platform is back; withdrawing a key works meanwhile"
+			"run the same command again when the platform is available; keys can be withdrawn in the meantime"
 	case protocol.MayHaveRun:
 		return protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the log did not confirm the change; it may have taken effect"),
-			"run the same command again: it does nothing if the change is in force already"
+			"run the same command again: it has no effect if the change is already in force"
 	}
 	switch outcome.Verdict {
 	case protocol.Accepted, protocol.Duplicate:
 		return nil, ""
 	case protocol.Conflict:
 		return protocol.Refuse(protocol.CodeConflict, 0,
-			"another change came first: yours was made from version %d and version %d is in force; yours was not applied",
-			request.BasedOn, h.config.Journal.Fleet().Version), "look at config diff, then apply again"
+			"another change came first: this change is based on version %d, but version %d is in force; this change was not applied",
+			request.BasedOn, h.config.Journal.Fleet().Version), "run config diff, then apply again"
 	case protocol.NoSession:
 		return protocol.Refuse(protocol.CodeInstanceStarting, retryLogDown, "the instance has no session; nothing was changed"),
 			"run the same command again, or use another instance"
 	default:
-		return protocol.Refuse(protocol.CodeBadRequest, 0, "the change was rejected as %s; nothing was changed", outcome.Verdict),
+		return protocol.Refuse(protocol.CodeBadRequest, 0, "the change was rejected with the verdict %s; nothing was changed", outcome.Verdict),
 			"run config check on the folder"
 	}
 }
 
-// maxKeyID bounds the id of a key, in bytes.
+// maxKeyID is the maximum length of a key ID in bytes.
 const maxKeyID = 63
 
 func (h *Handler) withdraw(w http.ResponseWriter, r *http.Request) {
 	key := protocol.KeyID(r.PathValue("id"))
 	if key.LooksLikeSecret() || len(key) > maxKeyID {
-		// Published, it would stand in the log for everybody to read.
-		refuse(w, protocol.Refuse(protocol.CodeBadRequest, 0, "this is no id of a key; nothing was changed"),
-			"give the id, which key list shows, and never the secret")
+		// The value may be a secret. A record in the log would publish it.
+		writeRefusal(w, protocol.Refuse(protocol.CodeBadRequest, 0, "invalid key ID; nothing was changed"),
+			"provide the ID that key list shows, never the secret")
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), submitTimeout)
 	defer cancel()
-	result := h.config.Withdraw.Withdraw(ctx, key, operatorOf(r))
-	_ = level.Info(h.config.Logger).Log("event", "key_withdrawn", "operator", operatorOf(r), "key", string(key),
-		"in_log", inLog(result), "told", len(result.Told), "unreached", len(result.Unreached), "err", result.Log.Err)
+	result := h.config.Withdraw.Withdraw(ctx, key, operatorFrom(r))
+	_ = level.Info(h.config.Logger).Log("event", "key_withdrawn", "operator", operatorFrom(r), "key", string(key),
+		"in_log", confirmedByLog(result), "told", len(result.Told), "unreached", len(result.Unreached), "err", result.Log.Err)
 	status := http.StatusOK
-	if !inLog(result) {
-		// Accepted, not done: it has not reached every instance for sure.
+	if !confirmedByLog(result) {
+		// Status 202: the withdrawal may not have reached every instance.
 		status = http.StatusAccepted
 	}
-	answer(w, status, h.withdrawAnswer(key, result))
+	writeJSON(w, status, h.withdrawAnswer(key, result))
 }
 
-func inLog(result withdrawal.Result) bool {
+// confirmedByLog reports whether the log contains the withdrawal.
+func confirmedByLog(result withdrawal.Result) bool {
 	return result.Log.Run == protocol.Completed &&
 		(result.Log.Verdict == protocol.Accepted || result.Log.Verdict == protocol.Duplicate)
 }
 
 func (h *Handler) withdrawAnswer(key protocol.KeyID, result withdrawal.Result) WithdrawAnswer {
-	out := WithdrawAnswer{Key: key, InLog: inLog(result), Confirmed: result.Told, Unreached: result.Unreached}
+	out := WithdrawAnswer{Key: key, InLog: confirmedByLog(result), Confirmed: result.Told, Unreached: result.Unreached}
 	if out.InLog {
-		out.Message = fmt.Sprintf("key %s is withdrawn: %s and %d other instances refuse it, and the log brings it to all that read it",
+		out.Message = fmt.Sprintf("key %s is withdrawn: %s and %d other instances reject the key, and so will every instance that reads the log",
 			key, h.config.Instance, len(result.Told))
-		out.Next = "nothing; an instance cut off from the log and from its peers learns of it when it is reachable again"
+		out.Next = "nothing; an instance that reaches neither the log nor its peers learns of the withdrawal when it is reachable again"
 		return out
 	}
-	out.Message = fmt.Sprintf("key %s is refused at %s and %d other instances; the log has not confirmed it",
+	out.Message = fmt.Sprintf("key %s is rejected by %s and %d other instances; the log has not confirmed the withdrawal",
 		key, h.config.Instance, len(result.Told))
-	out.Next = "run the same command again when the log is back; meanwhile run it at one instance of each domain that is cut off"
+	out.Next = "run the same command again when the log is available; until then, run it at one instance of each isolated domain"
 	return out
 }
--- a/internal/transport/operatorapi/fuzz_test.go
+++ b/internal/transport/operatorapi/fuzz_test.go
@@ -11,8 +11,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// An operator's tool of another release, or a faulty one, sends a change that
-// does not read. It must get a clear error, and nothing may be submitted of it.
+// An operator's tool of another release, or a defective tool, sends a change that
+// can't be decoded. The response must be an error, and no record may be submitted.
 func FuzzChange(f *testing.F) {
 	f.Add(`{"change_id":"c","based_on":9,"set":[{"organisation":{"id":"o","rate":1,"burst":1}}]}`)
 	f.Add(`{"change_id":1}`)
--- a/internal/transport/operatorapi/handler.go
+++ b/internal/transport/operatorapi/handler.go
@@ -1,11 +1,11 @@
-// Package operatorapi answers the operators' calls of one instance: the
-// configuration in force and its changes, the withdrawal of keys, and what the
-// instance knows of the fleet.
+// Package operatorapi is the HTTP API of an instance for operators. It serves the
+// configuration in force and its changes, the withdrawal of keys, and the state of
+// the fleet as the instance knows it.
 //
-// Operators have keys of their own, which stand in the settings of the
-// instances and not in the fleet configuration: a caller's key opens nothing
-// here, and an operator's key nothing there. A change of the configuration
-// thus can't lock the operators out.
+// Operators have keys of their own, which are part of the settings of the instances
+// and not of the fleet configuration. Callers' keys are not valid here, and
+// operators' keys are not valid for callers' requests. A change of the fleet
+// configuration therefore can't lock out the operators.
 package operatorapi
 
 import (
@@ -29,18 +29,19 @@
 	"merlintiller/internal/settings"
 )
 
-// submitTimeout bounds the wait for a record to be read back. It is longer
-// than several appends to a slow log and shorter than an operator's patience.
+// submitTimeout limits the wait until a submitted record is read back from the log.
+// It is longer than several appends to a slow log and shorter than the time that an
+// operator is willing to wait.
 const submitTimeout = 10 * time.Second
 
-// retryLogDown is when to come back after the log was found down.
+// retryLogDown is the retry delay if the log is down.
 const retryLogDown = 5 * time.Second
 
-// maxBodyBytes bounds a request. JSON takes about twice the bytes of the log
-// entry that it becomes.
+// maxBodyBytes is the maximum size of a request body. The JSON encoding of a change
+// has about twice the size of its log entry.
 const maxBodyBytes = 4 * protocol.MaxEntryBytes
 
-// Config holds what the operators' calls need. Targets and Drain may be nil.
+// Config holds the dependencies of a Handler. Targets and Drain may be nil.
 type Config struct {
 	Instance protocol.InstanceID
 	Keys     []settings.OperatorKey
@@ -49,21 +50,21 @@
 	Withdraw *withdrawal.Service
 	Status   *fleetstatus.Collector
 	Burn     *burn.Collector
-	// Targets gives what the router knows.
+	// Targets returns the router's view of the targets.
 	Targets func() []routing.Status
-	// Drain makes the instance leave. It returns at once and may be called
-	// again.
+	// Drain starts draining the instance. It returns immediately and may be called
+	// repeatedly.
 	Drain  func()
 	Logger log.Logger
 }
 
-// Handler serves the operators' calls.
+// Handler serves operators' requests.
 type Handler struct {
 	config Config
 	mux    *http.ServeMux
 }
 
-// New builds the handler.
+// New returns a Handler.
 func New(config Config) *Handler {
 	h := &Handler{config: config, mux: http.NewServeMux()}
 	h.mux.HandleFunc("GET "+PathFleet, h.fleet)
@@ -75,20 +76,20 @@
 	h.mux.HandleFunc("GET "+PathStatus, h.status)
 	h.mux.HandleFunc("POST "+PathDrain, h.drain)
 	h.mux.HandleFunc("GET "+PathBurn, h.burn)
-	h.mux.HandleFunc("/", h.unknown)
+	h.mux.HandleFunc("/", h.notFound)
 	return h
 }
 
-// ServeHTTP checks the operator's key and answers the call.
+// ServeHTTP authenticates the operator and serves the request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The pattern is logged and not the path, in which a secret may stand by
-	// mistake.
+	// The log contains the pattern instead of the path, because a path may
+	// contain a secret by mistake.
 	_, call := h.mux.Handler(r)
-	operator, ok := identify(r, h.config.Keys)
+	operator, ok := authenticate(r, h.config.Keys)
 	if !ok {
 		_ = level.Warn(h.config.Logger).Log("event", "operator_refused", "remote", r.RemoteAddr, "call", call)
-		refuse(w, protocol.Refuse(protocol.CodeUnauthorized, 0, "no valid operator key came with the call"),
-			"give an operator's secret; its hash stands under operator_keys in the settings")
+		writeRefusal(w, protocol.Refuse(protocol.CodeUnauthorized, 0, "the request has no valid operator key"),
+			"provide an operator's secret; the settings list its hash under operator_keys")
 		return
 	}
 	_ = level.Info(h.config.Logger).Log("event", "operator_call", "operator", operator, "call", call)
@@ -97,55 +98,56 @@
 	h.mux.ServeHTTP(w, withOperator(r.WithContext(ctx), operator))
 }
 
-func (h *Handler) unknown(w http.ResponseWriter, _ *http.Request) {
-	refuse(w, protocol.Refuse(protocol.CodeNotFound, 0, "there is no such operators' call"),
-		"check that tool and instance are of the same release")
+func (h *Handler) notFound(w http.ResponseWriter, _ *http.Request) {
+	writeRefusal(w, protocol.Refuse(protocol.CodeNotFound, 0, "the operator API has no such path"),
+		"check that the tool and the instance run the same release")
 }
 
 func (h *Handler) fleet(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, FleetAnswer{
+	writeJSON(w, http.StatusOK, FleetAnswer{
 		Instance: h.config.Instance,
 		LogUp:    h.config.Journal.LogUp(),
 		Fleet:    h.config.Journal.Fleet(),
 	})
 }
 
-// answer writes a JSON body.
-func answer(w http.ResponseWriter, status int, body any) {
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	// An error here means that the operator has gone; there is nobody to tell.
+	// An error means that the operator has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// refuse writes a refusal and what to do next.
-func refuse(w http.ResponseWriter, refusal *protocol.Refusal, next string) {
+// writeRefusal writes a refusal and the next step for the operator.
+func writeRefusal(w http.ResponseWriter, refusal *protocol.Refusal, next string) {
 	if refusal.RetryAfter > 0 {
 		seconds := int64((refusal.RetryAfter + time.Second - 1) / time.Second)
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	answer(w, refusal.Code.HTTPStatus(), ErrorAnswer{Error: ErrorBody{
+	writeJSON(w, refusal.Code.HTTPStatus(), ErrorAnswer{Error: ErrorBody{
 		Code: refusal.Code, Message: refusal.Message, RunState: refusal.Run, Next: next,
 	}})
 }
 
-// read decodes a body strictly. A field that the instance does not know might
-// carry the operator's intention, so it is refused and not dropped.
-func read(w http.ResponseWriter, r *http.Request, into any) *protocol.Refusal {
+// decodeBody decodes a JSON request body. It rejects unknown fields instead of
+// ignoring them, because ignoring one could ignore a part of the change that the
+// operator wants.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) *protocol.Refusal {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(into)
 	if err == nil && decoder.Decode(&struct{}{}) != io.EOF {
-		err = errors.New("more follows after the JSON value")
+		err = errors.New("unexpected data after the JSON value")
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &tooLarge):
-		return protocol.Refuse(protocol.CodeTooLarge, 0, "the body is larger than %d bytes", tooLarge.Limit)
+		return protocol.Refuse(protocol.CodeTooLarge, 0, "request body exceeds %d bytes", tooLarge.Limit)
 	default:
-		return protocol.Refuse(protocol.CodeBadRequest, 0, "the body can't be read: %v", err)
+		return protocol.Refuse(protocol.CodeBadRequest, 0, "request body is invalid: %v", err)
 	}
 }
--- a/internal/transport/operatorapi/handler_test.go
+++ b/internal/transport/operatorapi/handler_test.go
@@ -29,8 +29,8 @@
 
 const operatorSecret = "op-secret-for-tests"
 
-// journal answers every record with one outcome and keeps what it was given.
-type journal struct {
+// fakeJournal returns the same outcome for every record and stores the records.
+type fakeJournal struct {
 	coordination.Journal
 	outcome coordination.Outcome
 	fleet   *protocol.Fleet
@@ -38,25 +38,25 @@
 	records []protocol.Record
 }
 
-func (j *journal) Submit(_ context.Context, rec protocol.Record) coordination.Outcome {
+func (j *fakeJournal) Submit(_ context.Context, rec protocol.Record) coordination.Outcome {
 	j.records = append(j.records, rec)
 	return j.outcome
 }
 
-func (j *journal) Fleet() *protocol.Fleet { return j.fleet }
-func (j *journal) LogUp() bool            { return j.outcome.Run == protocol.Completed }
-func (j *journal) MayHold() bool          { return j.LogUp() }
+func (j *fakeJournal) Fleet() *protocol.Fleet { return j.fleet }
+func (j *fakeJournal) LogUp() bool            { return j.outcome.Run == protocol.Completed }
+func (j *fakeJournal) MayHold() bool          { return j.LogUp() }
 
-func (j *journal) Session() protocol.SessionID    { return 7 }
-func (j *journal) View(read func(*replica.State)) { read(j.state) }
+func (j *fakeJournal) Session() protocol.SessionID    { return 7 }
+func (j *fakeJournal) View(read func(*replica.State)) { read(j.state) }
 
-// peers reaches all instances but the ones named in cut.
-type peers struct {
-	known []protocol.InstanceID
-	cut   map[protocol.InstanceID]bool
+// fakePeers reaches all instances except those in unreachable.
+type fakePeers struct {
+	known       []protocol.InstanceID
+	unreachable map[protocol.InstanceID]bool
 }
 
-func (p *peers) List() []coordination.Peer {
+func (p *fakePeers) List() []coordination.Peer {
 	var list []coordination.Peer
 	for _, id := range p.known {
 		list = append(list, coordination.Peer{Instance: id})
@@ -64,8 +64,8 @@
 	return list
 }
 
-func (p *peers) Call(_ context.Context, to protocol.InstanceID, _ string, _, reply any) error {
-	if p.cut[to] {
+func (p *fakePeers) Call(_ context.Context, to protocol.InstanceID, _ string, _, reply any) error {
+	if p.unreachable[to] {
 		return errors.New("unreachable")
 	}
 	if own, ok := reply.(*fleetstatus.Instance); ok {
@@ -74,15 +74,15 @@
 	return nil
 }
 
-// local remembers the keys withdrawn here.
-type local map[protocol.KeyID]bool
+// localWithdrawals stores the keys that were withdrawn at this instance.
+type localWithdrawals map[protocol.KeyID]bool
 
-func (l local) WithdrawLocally(key protocol.KeyID, _ string) { l[key] = true }
+func (l localWithdrawals) WithdrawLocally(key protocol.KeyID, _ string) { l[key] = true }
 
 type fixture struct {
-	journal *journal
-	peers   *peers
-	local   local
+	journal *fakeJournal
+	peers   *fakePeers
+	local   localWithdrawals
 	drained *int
 	logs    *bytes.Buffer
 	handler *Handler
@@ -90,9 +90,9 @@
 
 func newFixture(outcome coordination.Outcome) *fixture {
 	f := &fixture{
-		journal: &journal{outcome: outcome, fleet: versionNine(), state: replica.New()},
-		peers:   &peers{known: []protocol.InstanceID{"b", "c"}, cut: map[protocol.InstanceID]bool{}},
-		local:   local{},
+		journal: &fakeJournal{outcome: outcome, fleet: fleetAtVersion9(), state: replica.New()},
+		peers:   &fakePeers{known: []protocol.InstanceID{"b", "c"}, unreachable: map[protocol.InstanceID]bool{}},
+		local:   localWithdrawals{},
 		drained: new(int),
 		logs:    &bytes.Buffer{},
 	}
@@ -104,7 +104,7 @@
 		Withdraw: &withdrawal.Service{Journal: f.journal, Peers: f.peers, Local: f.local, PeerTimeout: time.Second},
 		Peers:    f.peers,
 		Status:   f.status(),
-		Burn:     &burn.Collector{Instance: "a", Recorder: f.recorder(), Peers: f.peers, Fleet: f.journal.Fleet, Now: clock, PeerTimeout: time.Second},
+		Burn:     &burn.Collector{Instance: "a", Recorder: f.recorder(), Peers: f.peers, Fleet: f.journal.Fleet, Now: fixedTime, PeerTimeout: time.Second},
 		Targets:  func() []routing.Status { return []routing.Status{{Target: "t1"}} },
 		Drain:    func() { *f.drained++ },
 		Logger:   log.NewLogfmtLogger(f.logs),
@@ -112,22 +112,22 @@
 	return f
 }
 
-func versionNine() *protocol.Fleet {
+func fleetAtVersion9() *protocol.Fleet {
 	inForce := *fleet.New().Fleet()
 	inForce.Version = 9
 	return &inForce
 }
 
-func clock() time.Time { return time.Unix(1_800_000_000, 0) }
+func fixedTime() time.Time { return time.Unix(1_800_000_000, 0) }
 
 func (f *fixture) recorder() *burn.Recorder {
-	recorder := burn.NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return protocol.Objectives{} }, clock)
+	recorder := burn.NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return protocol.Objectives{} }, fixedTime)
 	recorder.Record("ana", "lm", time.Second, 0, true)
 	return recorder
 }
 
 func (f *fixture) status() *fleetstatus.Collector {
-	source := &fleetstatus.Source{Instance: "a", Domain: "d1", Journal: f.journal, Now: clock, Started: clock().Add(-time.Minute)}
+	source := &fleetstatus.Source{Instance: "a", Domain: "d1", Journal: f.journal, Now: fixedTime, Started: fixedTime().Add(-time.Minute)}
 	return &fleetstatus.Collector{Source: source, Peers: f.peers, PeerTimeout: time.Second, LateWithin: time.Hour}
 }
 
@@ -169,10 +169,10 @@
 	require.Equal(t, protocol.Offset(9), f.journal.records[0].FleetChange.BasedOn)
 }
 
-// Two operators publish at the same time, or the log is down, or its answer is
-// lost after the append. An operator who is told the wrong thing applies twice,
-// or believes in a change that never came. Each fate has its own answer.
-func TestEachFateOfAChangeHasItsAnswer(t *testing.T) {
+// Two operators publish concurrently, or the log is down, or its response is lost
+// after the append. With a wrong response, an operator would apply a change twice or
+// rely on a change that never took effect. Each outcome must have its own response.
+func TestEachChangeOutcomeHasItsOwnAnswer(t *testing.T) {
 	completed := func(v protocol.Verdict) coordination.Outcome {
 		return coordination.Outcome{Verdict: v, Run: protocol.Completed}
 	}
@@ -222,13 +222,12 @@
 	require.Equal(t, http.StatusRequestEntityTooLarge, f.call("POST", PathChanges, operatorSecret, huge).Code)
 }
 
-// A key is stolen while the platform's log is down and one instance is cut
-// off. The operator withdraws it at one instance. It must stop working there
-// and at every instance that can be reached, and the operator must be told
-// which could not.
+// An operator withdraws a stolen key at one instance while the platform's log is
+// down and one instance is isolated. This instance and every reachable instance must
+// reject the key, and the response must list the instances that were not reached.
 func TestWithdrawalTakesEffectWhileLogIsDown(t *testing.T) {
 	f := newFixture(coordination.Outcome{Run: protocol.NotRun})
-	f.peers.cut["c"] = true
+	f.peers.unreachable["c"] = true
 	w := f.call("POST", PathKeys+"key-1/withdraw", operatorSecret, "")
 	require.Equal(t, http.StatusAccepted, w.Code)
 	var answer WithdrawAnswer
--- a/internal/transport/operatorapi/identify.go
+++ b/internal/transport/operatorapi/identify.go
@@ -13,8 +13,8 @@
 
 type operatorContextKey struct{}
 
-// identify gives the id of the operator whose secret came with a call.
-func identify(r *http.Request, keys []settings.OperatorKey) (string, bool) {
+// authenticate returns the ID of the operator whose secret the request contains.
+func authenticate(r *http.Request, keys []settings.OperatorKey) (string, bool) {
 	secret, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || secret == "" {
 		return "", false
@@ -23,8 +23,8 @@
 	given := []byte(hex.EncodeToString(sum[:]))
 	found := ""
 	for _, key := range keys {
-		// Every key is compared in full, so that the time taken tells
-		// nothing of which hash is close.
+		// All keys are compared in constant time, so that the duration does
+		// not reveal which hash is similar.
 		if subtle.ConstantTimeCompare(given, []byte(key.SHA256)) == 1 {
 			found = key.ID
 		}
@@ -36,7 +36,7 @@
 	return r.WithContext(context.WithValue(r.Context(), operatorContextKey{}, operator))
 }
 
-func operatorOf(r *http.Request) string {
+func operatorFrom(r *http.Request) string {
 	operator, _ := r.Context().Value(operatorContextKey{}).(string)
 	return operator
 }
--- a/internal/transport/operatorapi/views.go
+++ b/internal/transport/operatorapi/views.go
@@ -15,39 +15,41 @@
 	"merlintiller/internal/state/replica"
 )
 
-// HistoryAnswer lists changes of the configuration, the newest first.
+// HistoryAnswer lists changes of the configuration, newest first.
 type HistoryAnswer struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Changes  []fleet.Change      `json:"changes"`
 }
 
-// InstanceEntry is an instance that is known here.
+// InstanceEntry describes an instance that the responding instance knows.
 type InstanceEntry struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Domain   protocol.Domain     `json:"domain"`
-	// Session is its open session; empty if the log holds none.
+	// Session is the open session of the instance, or empty if the log contains
+	// none.
 	Session     string `json:"session,omitempty"`
 	PeerAddress string `json:"peer_address"`
-	// Reachable says that a heartbeat came lately, or that it is this instance.
+	// Reachable reports whether a heartbeat was received recently. It is true for
+	// the responding instance.
 	Reachable bool `json:"heard"`
-	// SinceHeartbeatMS is the time since its last heartbeat.
+	// SinceHeartbeatMS is the time since the last heartbeat in milliseconds.
 	SinceHeartbeatMS int64 `json:"silent_ms"`
 }
 
-// InstancesAnswer lists the instances known to the answering one.
+// InstancesAnswer lists the instances that the responding instance knows.
 type InstancesAnswer struct {
 	Instance  protocol.InstanceID `json:"instance"`
 	LogUp     bool                `json:"log_up"`
-	Instances []InstanceEntry      `json:"instances"`
+	Instances []InstanceEntry     `json:"instances"`
 }
 
-// TargetsAnswer lists the targets known to the answering instance.
+// TargetsAnswer lists the targets that the responding instance knows.
 type TargetsAnswer struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Targets  []routing.Status    `json:"targets"`
 }
 
-// DrainAnswer confirms that the instance leaves.
+// DrainAnswer confirms that the instance is draining.
 type DrainAnswer struct {
 	Instance protocol.InstanceID `json:"instance"`
 	Message  string              `json:"message"`
@@ -58,12 +60,12 @@
 	out := HistoryAnswer{Instance: h.config.Instance, Changes: []fleet.Change{}}
 	h.config.Journal.View(func(state *replica.State) { out.Changes = append(out.Changes, state.Fleet.History()...) })
 	slices.Reverse(out.Changes)
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
-// instances joins the sessions in the log with what heartbeats say. Either may
-// know an instance that the other does not: a starting one has no session yet,
-// and one in a cut-off domain sends no heartbeat here.
+// instances merges the sessions in the log with the peers known from heartbeats.
+// Each source may lack an instance that the other has: a starting instance has no
+// session yet, and no heartbeats arrive from an isolated domain.
 func (h *Handler) instances(w http.ResponseWriter, _ *http.Request) {
 	lines := map[protocol.InstanceID]InstanceEntry{}
 	h.config.Journal.View(func(state *replica.State) {
@@ -87,7 +89,7 @@
 	slices.SortFunc(out.Instances, func(a, b InstanceEntry) int {
 		return cmp.Or(cmp.Compare(a.Domain, b.Domain), cmp.Compare(a.Instance, b.Instance))
 	})
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
 func (h *Handler) targets(w http.ResponseWriter, _ *http.Request) {
@@ -95,11 +97,11 @@
 	if h.config.Targets != nil {
 		out.Targets = append(out.Targets, h.config.Targets()...)
 	}
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
 func (h *Handler) status(w http.ResponseWriter, r *http.Request) {
-	answer(w, http.StatusOK, h.config.Status.Status(r.Context()))
+	writeJSON(w, http.StatusOK, h.config.Status.Status(r.Context()))
 }
 
 func (h *Handler) burn(w http.ResponseWriter, r *http.Request) {
@@ -107,27 +109,28 @@
 	report, err := h.config.Burn.Report(r.Context(), request)
 	if err != nil {
 		_ = level.Error(h.config.Logger).Log("event", "burn_failed", "err", err)
-		refuse(w, protocol.Refuse(protocol.CodeInternal, 0, "the report can't be made"), "see the instance's log")
+		writeRefusal(w, protocol.Refuse(protocol.CodeInternal, 0, "the burn report could not be created"), "see the instance's log")
 		return
 	}
-	answer(w, http.StatusOK, report)
+	writeJSON(w, http.StatusOK, report)
 }
 
-// drain answers before the instance leaves: afterwards nobody is there to.
+// drain starts draining the instance. It responds immediately, because the process
+// ends after the drain.
 func (h *Handler) drain(w http.ResponseWriter, r *http.Request) {
 	if h.config.Drain == nil {
-		refuse(w, protocol.Refuse(protocol.CodeNotFound, 0, "this instance can't be drained by a call"), "send SIGTERM to its process")
+		writeRefusal(w, protocol.Refuse(protocol.CodeNotFound, 0, "this instance can't be drained over the operator API"), "send SIGTERM to its process")
 		return
 	}
-	_ = level.Info(h.config.Logger).Log("event", "drain_asked", "operator", operatorOf(r))
+	_ = level.Info(h.config.Logger).Log("event", "drain_asked", "operator", operatorFrom(r))
 	h.config.Drain()
-	answer(w, http.StatusAccepted, DrainAnswer{
+	writeJSON(w, http.StatusAccepted, DrainAnswer{
 		Instance: h.config.Instance,
-		Message:  string(h.config.Instance) + " is leaving: it takes no new calls, finishes those in flight, and hands over what it holds",
+		Message:  string(h.config.Instance) + " is draining: it accepts no new calls, completes the calls in flight, and hands over what it holds",
 		Next:     "wait until its process has ended; until then status shows it as draining",
 	})
 }
 
-// statusTimeout bounds the work for one call, above the time that a fan-out
-// over 340 instances of which a domain does not answer can take.
+// statusTimeout limits the time of one request. It is longer than a fan-out to 340
+// instances takes if one domain does not respond.
 const statusTimeout = 20 * time.Second
--- a/internal/transport/operatorapi/views_test.go
+++ b/internal/transport/operatorapi/views_test.go
@@ -31,11 +31,12 @@
 	require.Equal(t, []protocol.Verdict{protocol.Accepted}, state.Apply(at, protocol.Frame{Records: []protocol.Record{rec}}))
 }
 
-// One instance is cut off and another has not seen the newest configuration.
-// An operator who asks whether a change is in force everywhere must see both.
-func TestStatusNamesWhoIsBehindAndWhoIsCutOff(t *testing.T) {
+// One instance is isolated and another has not loaded the newest configuration. The
+// status must show both, so that an operator can check whether a change is in force
+// everywhere.
+func TestStatusReportsOutdatedAndUnreachableInstances(t *testing.T) {
 	f := newFixture(accepted(1))
-	f.peers.cut["c"] = true
+	f.peers.unreachable["c"] = true
 	status := get[fleetstatus.Status](t, f, PathStatus)
 	require.Equal(t, []fleetstatus.Unreached{{Instance: "c"}}, status.Unreached)
 	require.Len(t, status.Instances, 2)
@@ -48,7 +49,7 @@
 	f := newFixture(accepted(1))
 	open := protocol.Record{ID: protocol.RecordID{Session: 7, Seq: 1}, SessionOpen: &protocol.SessionOpen{Instance: "a", Domain: "d1"}}
 	apply(t, f.journal.state, 0, open)
-	for i, deadline := range []time.Time{clock().Add(-time.Minute), clock().Add(3 * time.Hour)} {
+	for i, deadline := range []time.Time{fixedTime().Add(-time.Minute), fixedTime().Add(3 * time.Hour)} {
 		apply(t, f.journal.state, protocol.Offset(i+1), protocol.Record{
 			ID: protocol.RecordID{Session: 7, Seq: uint64(i + 2)},
 			JobSubmit: &protocol.JobSubmit{
@@ -57,7 +58,7 @@
 			},
 		})
 	}
-	// An instance with a session that nobody here has ever heard of counts too.
+	// An instance with a session counts even if no heartbeat of it was received.
 	apply(t, f.journal.state, 3, protocol.Record{ID: protocol.RecordID{Session: 8, Seq: 1}, SessionOpen: &protocol.SessionOpen{Instance: "never-heard"}})
 	status := get[fleetstatus.Status](t, f, PathStatus)
 	require.Equal(t, []fleetstatus.Unreached{{Instance: "never-heard", SessionOpen: true}}, status.Unreached)
@@ -80,7 +81,7 @@
 	history := get[HistoryAnswer](t, f, PathHistory)
 	require.Equal(t, "c1", history.Changes[0].ChangeID)
 	require.Len(t, history.Changes, 2)
-	// A resent change is answered with the version that it made.
+	// The response to a repeated change has the version that the change created.
 	f.journal.outcome = coordination.Outcome{Verdict: protocol.Duplicate, Run: protocol.Completed}
 	w := f.call("POST", PathChanges, operatorSecret, strings.Replace(smallChange, "c1", "c0", 1))
 	var answer ChangeAnswer
