--- a/internal/transport/batchapi/client_test.go
+++ b/internal/transport/batchapi/client_test.go
@@ -277,7 +277,7 @@
 // The log fails in the middle of a download. A client would take a truncated
 // response with a success status for the complete file, so the connection must be
 // closed instead.
-func TestCutDownloadBreaksTheConnection(t *testing.T) {
+func TestInterruptedDownloadClosesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t)
 		var text bytes.Buffer
--- a/internal/transport/edge/badinput_test.go
+++ b/internal/transport/edge/badinput_test.go
@@ -120,7 +120,7 @@
 
 // A caller sends a header larger than MaxHeaderBytes. The server stops reading at
 // the limit and responds with status 431.
-func TestHugeHeaderIsRefused(t *testing.T) {
+func TestOversizedHeaderIsRejected(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxHeaderBytes: 4 << 10}})
 	conn := s.dialRaw(t, rawHeader("X-Long: "+strings.Repeat("x", 16<<10)+"\r\n\r\n"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -132,7 +132,7 @@
 // A caller sends half a header and then nothing. The server must close the
 // connection after HeaderTimeout; otherwise such callers could occupy all
 // connections.
-func TestHalfHeaderIsShed(t *testing.T) {
+func TestIncompleteHeaderTimesOut(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{HeaderTimeout: 20 * time.Millisecond}})
 	conn := s.dialRaw(t, "POST "+testPath+" HTTP/1.1\r\nHost: x\r\n")
 	_, err := io.ReadAll(conn)
@@ -141,7 +141,7 @@
 
 // A caller sends half a body and then nothing. The server must respond with status
 // 408 after BodyTimeout, and the request must not occupy a slot at a target.
-func TestHalfBodyIsShed(t *testing.T) {
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{BodyTimeout: 20 * time.Millisecond}})
 	conn := s.dialRaw(t, rawHeader("Content-Length: 100\r\n\r\n{\"model\":"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -162,7 +162,7 @@
 
 // A caller requests a long stream and stops reading. The call must be cancelled at
 // the target after WriteTimeout, so that it does not keep its slot.
-func TestCallerThatStopsReadingIsShed(t *testing.T) {
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	s := newSystem(t, systemOptions{tokens: 1 << 20, limits: Limits{WriteTimeout: 50 * time.Millisecond}})
 	conn := s.dialRaw(t, "")
 	require.NoError(t, conn.(*net.TCPConn).SetReadBuffer(4<<10))
@@ -180,7 +180,7 @@
 // More connections are opened than MaxConnections allows. Connections beyond the
 // limit are closed immediately, the others are served, and a connection that
 // closes makes room for a new one.
-func TestConnectionsBeyondTheLimitAreShed(t *testing.T) {
+func TestConnectionsBeyondTheLimitAreClosed(t *testing.T) {
 	s := newSystem(t, systemOptions{limits: Limits{MaxConnections: 1}})
 	first := s.dialRaw(t, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(first)
@@ -234,7 +234,7 @@
 
 // A caller downloads a large batch result and stops reading. The write timeout must
 // also apply to the batch API, so that the write fails.
-func TestCallerThatStopsReadingResultsIsShed(t *testing.T) {
+func TestCallerThatStopsReadingResultsIsDisconnected(t *testing.T) {
 	failed := make(chan error, 1)
 	endless := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for {
--- a/internal/transport/edge/matrix_answer_test.go
+++ b/internal/transport/edge/matrix_answer_test.go
@@ -8,7 +8,7 @@
 	"merlintiller/internal/standin/target"
 )
 
-const noLogAtAnswer = "forwarding a response from a target to its caller uses no log record; stored outcomes of reserved calls are tested with the at-most-once path"
+const answerUsesNoLog = "forwarding a response from a target to its caller uses no log record; stored outcomes of reserved calls are tested with the at-most-once path"
 
 // answerCases returns the faults while a target responds to the instance.
 func answerCases() []faultCase {
@@ -17,12 +17,12 @@
 		{step, "kill-before", "The target dies before its first token. Another target serves the call.", systemOptions{}, answerKillBefore},
 		{step, "kill-after", "The target dies before its last token. The stream is resumed at another target from the point of the interruption.", systemOptions{}, answerKillAfter},
 		{step, "pause-past-lease", "The target is paused in the middle of a stream. Its connection stays open, so only the stall timeout detects the pause.", systemOptions{policy: shortPolicy}, answerPaused},
-		{step, "log-down", noLogAtAnswer, systemOptions{}, nil},
+		{step, "log-down", answerUsesNoLog, systemOptions{}, nil},
 		{step, "answer-lost", "The complete response is lost. Another target serves the call.", systemOptions{}, answerLost},
 		{step, "duplicate", "The second target ignores the resume position and starts from the beginning. The caller must not receive the beginning twice.", systemOptions{}, answerDuplicate},
 		{step, "late", "A frozen target responds long after its call was retried at another target. No caller may receive the late response.", systemOptions{policy: shortPolicy}, answerLate},
 		{step, "crossed", "The target swaps two concurrent streams. Each caller must receive its own response or none.", systemOptions{}, answerCrossed},
-		{step, "cut-from-log", noLogAtAnswer, systemOptions{}, nil},
+		{step, "cut-from-log", answerUsesNoLog, systemOptions{}, nil},
 		{step, "cut-from-domain", "A stream comes from another domain, and a network partition interrupts it. It is resumed at a target of the instance's own domain.", systemOptions{}, answerCutFromDomain},
 		{step, "target-dead", "Every target ends its streams early, some with a regular end of the body but without the end marker. The caller must see an error, never a truncated response that looks complete.", systemOptions{}, answerAllDead},
 		{step, "operators-racing", "Operators change the version and the service in the middle of a stream. The stream completes.", systemOptions{}, answerOperators},
--- a/internal/transport/edge/matrix_deliver_test.go
+++ b/internal/transport/edge/matrix_deliver_test.go
@@ -9,7 +9,7 @@
 	"merlintiller/internal/standin/target"
 )
 
-const noLogAtDeliver = "forwarding a response to the caller uses no log record and no lease"
+const deliverUsesNoLog = "forwarding a response to the caller uses no log record and no lease"
 
 // deliverCases returns the faults while the instance forwards a response to its
 // caller.
@@ -18,13 +18,13 @@
 	return []faultCase{
 		{step, "kill-before", "The instance dies in the middle of a stream. The caller must see an error, never a truncated response that looks complete.", systemOptions{}, deliverKillBefore},
 		{step, "kill-after", "The instance dies just after the end of a response. The caller has received the complete response.", systemOptions{}, deliverKillAfter},
-		{step, "pause-past-lease", noLogAtDeliver, systemOptions{}, nil},
-		{step, "log-down", noLogAtDeliver, systemOptions{}, nil},
+		{step, "pause-past-lease", deliverUsesNoLog, systemOptions{}, nil},
+		{step, "log-down", deliverUsesNoLog, systemOptions{}, nil},
 		{step, "answer-lost", "The caller's connection breaks while a call that is not idempotent runs. The call completes and runs at most once.", systemOptions{}, deliverAnswerLost},
 		{step, "duplicate", "A caller that lost its response sends the request again. It receives the complete response.", systemOptions{}, deliverDuplicate},
 		{step, "late", "A call reaches its deadline in the middle of its stream. The stream must end with an error event and nothing after it.", systemOptions{}, deliverLate},
 		{step, "crossed", "Several callers use the same request ID. Each receives its own response.", systemOptions{}, deliverCrossed},
-		{step, "cut-from-log", noLogAtDeliver, systemOptions{}, nil},
+		{step, "cut-from-log", deliverUsesNoLog, systemOptions{}, nil},
 		{step, "cut-from-domain", "The caller's connection to the domain breaks in the middle of a stream. The call must not keep its slot at the target.", systemOptions{}, deliverCallerCut},
 		{step, "target-dead", "The target dies just after the end of its response. The caller receives the complete response.", systemOptions{}, deliverTargetDead},
 		{step, "operators-racing", "One operator withdraws a key while another adds a key. The stream of the withdrawn key is ended; the stream of the added key continues.", systemOptions{}, deliverOperators},
--- a/internal/transport/edge/matrix_drain_test.go
+++ b/internal/transport/edge/matrix_drain_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	killAtDrain   = "a kill interrupts calls in flight whether the instance drains or not; deliver/kill-before tests what callers see"
-	drainNoLog    = "the edge drains without the log and without a lease; returning chunks, shares and the session is tested at other steps"
-	drainNoDomain = "the edge drains without communicating with other domains"
+	drainCannotDelayKill = "a kill interrupts calls in flight whether the instance drains or not; deliver/kill-before tests what callers see"
+	drainUsesNoLog       = "the edge drains without the log and without a lease; returning chunks, shares and the session is tested at other steps"
+	drainUsesNoDomain    = "the edge drains without communicating with other domains"
 )
 
 // drainCases returns the faults while an instance drains with calls in flight.
@@ -22,16 +22,16 @@
 	short := systemOptions{limits: Limits{DrainDelay: time.Millisecond}}
 	long := systemOptions{limits: Limits{DrainDelay: time.Hour}}
 	return []faultCase{
-		{step, "kill-before", killAtDrain, short, nil},
-		{step, "kill-after", killAtDrain, short, nil},
-		{step, "pause-past-lease", drainNoLog, short, nil},
-		{step, "log-down", drainNoLog, short, nil},
+		{step, "kill-before", drainCannotDelayKill, short, nil},
+		{step, "kill-after", drainCannotDelayKill, short, nil},
+		{step, "pause-past-lease", drainUsesNoLog, short, nil},
+		{step, "log-down", drainUsesNoLog, short, nil},
 		{step, "answer-lost", "A target's response is lost while the instance drains. The call is retried at another target and completes.", short, drainAnswerLost},
 		{step, "duplicate", "Two operators drain the same instance. No call is interrupted.", short, drainTwice},
 		{step, "late", "The load balancer sends requests until it detects the drain. These requests are served; later ones are rejected immediately as not_run.", long, drainLate},
 		{step, "crossed", "The target swaps responses while the instance drains. Each caller receives its own complete response.", short, drainCrossed},
-		{step, "cut-from-log", drainNoLog, short, nil},
-		{step, "cut-from-domain", drainNoDomain, short, nil},
+		{step, "cut-from-log", drainUsesNoLog, short, nil},
+		{step, "cut-from-domain", drainUsesNoDomain, short, nil},
 		{step, "target-dead", "The target of a call in flight dies while the instance drains. The stream is resumed at another target.", short, drainTargetDead},
 		{step, "operators-racing", "An operator changes the configuration while another drains the instance. The call in flight completes.", short, drainOperators},
 	}
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func drainPlain(s *system) error { return s.drainDuringStream(1, s.clearFaults) }
+func drainWithoutFault(s *system) error { return s.drainDuringStream(1, s.clearFaults) }
 
 func drainTwice(s *system) error { return s.drainDuringStream(2, s.clearFaults) }
 
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -33,16 +33,16 @@
 // defectiveTarget is a target client with a defect.
 type defectiveTarget struct {
 	*targethttp.Client
-	v defect
+	defect defect
 }
 
-func (b *defectiveTarget) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
-	if b.v.skipEchoCheck {
+func (t *defectiveTarget) Do(ctx context.Context, address string, call external.Call) (*external.Answer, error) {
+	if t.defect.skipEchoCheck {
 		return doWithoutEchoCheck(ctx, address, call)
 	}
-	answer, err := b.Client.Do(ctx, address, call)
-	if err != nil && b.v.retryLostAnswer {
-		return b.Client.Do(ctx, address, call)
+	answer, err := t.Client.Do(ctx, address, call)
+	if err != nil && t.defect.retryLostAnswer {
+		return t.Client.Do(ctx, address, call)
 	}
 	return answer, err
 }
@@ -62,9 +62,9 @@
 	return &external.Answer{EchoedID: call.ID, Status: resp.StatusCode, Header: resp.Header, Body: resp.Body}, nil
 }
 
-func newDefectiveSystem(t testing.TB, v defect, opts systemOptions) *system {
-	if v != (defect{}) {
-		opts.target = &defectiveTarget{Client: targethttp.New(targethttp.Options{}), v: v}
+func newDefectiveSystem(t testing.TB, d defect, opts systemOptions) *system {
+	if d != (defect{}) {
+		opts.target = &defectiveTarget{Client: targethttp.New(targethttp.Options{}), defect: d}
 	}
 	return newSystem(t, opts)
 }
--- a/internal/transport/edge/matrix_test.go
+++ b/internal/transport/edge/matrix_test.go
@@ -65,9 +65,9 @@
 // case fails that passes otherwise.
 func TestMatrixOnlineDetectsDefects(t *testing.T) {
 	cases := []struct {
-		name string
-		v    defect
-		id   string
+		name   string
+		defect defect
+		id     string
 	}{
 		{"no echo check, whole", defect{skipEchoCheck: true}, "dispatch/crossed"},
 		{"no echo check, streamed", defect{skipEchoCheck: true}, "answer/crossed"},
@@ -78,7 +78,7 @@
 			step, fault, _ := strings.Cut(c.id, "/")
 			for _, one := range allFaultCases() {
 				if one.step == step && one.fault == fault {
-					err := one.run(newDefectiveSystem(t, c.v, one.opts))
+					err := one.run(newDefectiveSystem(t, c.defect, one.opts))
 					require.Error(t, err)
 					t.Log("found:", err)
 					return
@@ -104,7 +104,7 @@
 // log or domain would inject no fault here and are marked as not applicable.
 func TestWithdrawalAndDrainWithoutAFault(t *testing.T) {
 	require.NoError(t, checkWithdrawnKeyRejected(newSystem(t, systemOptions{})))
-	require.NoError(t, drainPlain(newSystem(t, systemOptions{limits: Limits{DrainDelay: time.Millisecond}})))
+	require.NoError(t, drainWithoutFault(newSystem(t, systemOptions{limits: Limits{DrainDelay: time.Millisecond}})))
 }
 
 var errCaseNotReached = errors.New("the tested case did not occur")
--- a/internal/transport/edge/matrix_withdraw_test.go
+++ b/internal/transport/edge/matrix_withdraw_test.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	withdrawInLog = "faults in the propagation of a withdrawal are tested at the steps apply and read back; the edge uses the configuration in force"
-	withdrawTold  = "the edge does not send the response to the operator"
+	testedAtOtherSteps = "faults in the propagation of a withdrawal are tested at the steps apply and read back; the edge uses the configuration in force"
+	notSentByEdge      = "the edge does not send the response to the operator"
 )
 
 // withdrawCases returns the faults while a key in use is withdrawn.
 func withdrawCases() []faultCase {
 	const step = "withdraw"
 	return []faultCase{
-		{step, "kill-before", withdrawInLog, systemOptions{}, nil},
-		{step, "kill-after", withdrawInLog, systemOptions{}, nil},
+		{step, "kill-before", testedAtOtherSteps, systemOptions{}, nil},
+		{step, "kill-after", testedAtOtherSteps, systemOptions{}, nil},
 		{step, "pause-past-lease", "The instance is paused while the key is withdrawn. When it resumes, requests and tokens are waiting; none of them may be served with the outdated keys.", systemOptions{}, withdrawWhilePaused},
-		{step, "log-down", withdrawInLog, systemOptions{}, nil},
-		{step, "answer-lost", withdrawTold, systemOptions{}, nil},
+		{step, "log-down", testedAtOtherSteps, systemOptions{}, nil},
+		{step, "answer-lost", notSentByEdge, systemOptions{}, nil},
 		{step, "duplicate", "The withdrawal arrives twice. The key stays rejected.", systemOptions{}, withdrawTwice},
 		{step, "late", "The key is withdrawn in the middle of a stream and before the end of a non-streamed response. The caller must receive no further content of either.", systemOptions{}, withdrawMidway},
 		{step, "crossed", "The target swaps responses while the key is withdrawn. The call must not be retried for a withdrawn key.", systemOptions{}, withdrawBeforeRetry},
-		{step, "cut-from-log", withdrawInLog, systemOptions{}, nil},
-		{step, "cut-from-domain", withdrawInLog, systemOptions{}, nil},
+		{step, "cut-from-log", testedAtOtherSteps, systemOptions{}, nil},
+		{step, "cut-from-domain", testedAtOtherSteps, systemOptions{}, nil},
 		{step, "target-dead", "The target dies in the middle of a stream whose key is withdrawn. The stream is not resumed at another target.", systemOptions{}, withdrawBeforeResume},
 		{step, "operators-racing", "One operator withdraws a key while another publishes its secret under a new ID. The secret stays rejected.", systemOptions{}, withdrawRacing},
 	}
--- a/internal/transport/operatorapi/handler_test.go
+++ b/internal/transport/operatorapi/handler_test.go
@@ -147,7 +147,7 @@
 
 const smallChange = `{"change_id":"c1","based_on":9,"set":[{"domain":{"domain":"d","share":1}}],"at":"2026-01-01T00:00:00Z"}`
 
-func TestCallsWithoutOperatorKeyAreRefused(t *testing.T) {
+func TestCallsWithoutOperatorKeyAreRejected(t *testing.T) {
 	f := newFixture(accepted(10))
 	for _, secret := range []string{"", "callers-secret", operatorSecret + "x"} {
 		w := f.call("POST", PathChanges, secret, smallChange)
