--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -81,7 +81,7 @@
 // time may exceed the limit by a few jobs.
 func (s *Service) checkJobLimit(org protocol.OrganisationID) *protocol.Refusal {
 	count := 0
-	s.journal.View(func(state *replica.State) { count = state.Ledger.RunningOf(org) })
+	s.journal.View(func(state *replica.State) { count = state.Ledger.CountRunning(org) })
 	if count < s.opts.MaxJobs {
 		return nil
 	}
@@ -185,7 +185,7 @@
 // jobByKey returns the job of the organisation with an idempotency key.
 func (s *Service) jobByKey(org protocol.OrganisationID, key string) (view ledger.JobView, found bool) {
 	s.journal.View(func(state *replica.State) {
-		view, found = state.Ledger.Submitted(org, key)
+		view, found = state.Ledger.JobByIdempotencyKey(org, key)
 	})
 	return view, found
 }
--- a/internal/coordination/batch/watcher.go
+++ b/internal/coordination/batch/watcher.go
@@ -57,5 +57,5 @@
 		return claimStatus{ended: true}
 	}
 	chunk, _ := state.Ledger.Chunk(id)
-	return claimStatus{held: session != 0 && chunk.Holder == session, won: chunk.Won}
+	return claimStatus{held: session != 0 && chunk.Holder == session, won: chunk.Finished}
 }
--- a/internal/coordination/journal/publish.go
+++ b/internal/coordination/journal/publish.go
@@ -31,7 +31,7 @@
 			j.localTombstones.Forget(tombstone.Key)
 			continue
 		}
-		next = fleet.Withdraw(next, tombstone.Key)
+		next = fleet.WithdrawKey(next, tombstone.Key)
 	}
 	j.effectiveFleet.Store(next)
 }
--- a/internal/coordination/online/handler.go
+++ b/internal/coordination/online/handler.go
@@ -40,7 +40,7 @@
 	idCounter atomic.Uint64
 
 	budgetMu sync.Mutex
-	budgets  map[protocol.ServiceName]*routing.Budget
+	budgets  map[protocol.ServiceName]*routing.RetryBudget
 }
 
 // New returns a Handler. Its Services must be run by a supervisor.
@@ -59,7 +59,7 @@
 		policy:    policy,
 		canceller: newCanceller(opts.Target, policy.CancelTimeout),
 		idPrefix:  hex.EncodeToString(random) + "-",
-		budgets:   map[protocol.ServiceName]*routing.Budget{},
+		budgets:   map[protocol.ServiceName]*routing.RetryBudget{},
 	}
 	h.headersToForward = append(h.headersToForward, forwardedHeaders...)
 	for _, name := range policy.AllowHeaders {
@@ -164,10 +164,10 @@
 }
 
 // budgetLocked returns the retry budget of a service. The caller holds budgetMu.
-func (h *Handler) budgetLocked(service protocol.ServiceName) *routing.Budget {
+func (h *Handler) budgetLocked(service protocol.ServiceName) *routing.RetryBudget {
 	budget, ok := h.budgets[service]
 	if !ok {
-		budget = routing.NewBudget(h.policy.RetryRatio, h.policy.RetryPerSecond, h.policy.RetryBurst)
+		budget = routing.NewRetryBudget(h.policy.RetryRatio, h.policy.RetryPerSecond, h.policy.RetryBurst)
 		h.budgets[service] = budget
 	}
 	return budget
@@ -176,11 +176,11 @@
 func (h *Handler) recordCall(service protocol.ServiceName) {
 	h.budgetMu.Lock()
 	defer h.budgetMu.Unlock()
-	h.budgetLocked(service).Called()
+	h.budgetLocked(service).RecordCall()
 }
 
 func (h *Handler) mayRetry(service protocol.ServiceName) bool {
 	h.budgetMu.Lock()
 	defer h.budgetMu.Unlock()
-	return h.budgetLocked(service).Retry(time.Now())
+	return h.budgetLocked(service).TakeRetry(time.Now())
 }
--- a/internal/coordination/routed/batchjobs/claims.go
+++ b/internal/coordination/routed/batchjobs/claims.go
@@ -33,7 +33,7 @@
 	}
 	r.claimsReadAt = now
 	r.claimedByPeers = map[itemID]bool{}
-	for _, c := range r.opts.Peers.Claimed() {
+	for _, c := range r.opts.Peers.Claims() {
 		r.claimedByPeers[itemID{c.Job, c.Item}] = true
 	}
 }
@@ -48,7 +48,7 @@
 		if p.State != mesh.Up {
 			continue
 		}
-		if p.Beat.HasLost || !p.Beat.Young {
+		if p.Heartbeat.HasLost || !p.Heartbeat.Young {
 			return acquiredAt.Add(claimWait), acquiredAt.Add(claimWait)
 		}
 	}
--- a/internal/coordination/routed/broker/broker_test.go
+++ b/internal/coordination/routed/broker/broker_test.go
@@ -155,7 +155,7 @@
 }
 
 func (c *fakePeers) Up(string) []mesh.Instance { return c.up }
-func (c *fakePeers) Alive(string) int          { return c.alive }
+func (c *fakePeers) CountNotDown(string) int   { return c.alive }
 
 // Guards against two instances that both consider themselves the only broker of a domain during
 // a network partition.
--- a/internal/coordination/routed/broker/client.go
+++ b/internal/coordination/routed/broker/client.go
@@ -47,9 +47,9 @@
 type Peers interface {
 	// Up returns the instances of a failure domain that are reachable and not leaving.
 	Up(domain string) []mesh.Instance
-	// Alive returns the number of instances of a failure domain whose processes are not
+	// CountNotDown returns the number of instances of a failure domain whose processes are not
 	// known to be down.
-	Alive(domain string) int
+	CountNotDown(domain string) int
 }
 
 // ClientOptions configure a Client.
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -76,13 +76,13 @@
 		Domain:          s.Domain,
 		Seed:            seedOf(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
-		SpillGain:       s.Routing.SpillGain,
+		SpillMargin:     s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
-		AffinityLoad:    s.Routing.AffinityLoad,
+		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
-		EjectFor:        s.Routing.EjectFor,
-		EjectMost:       s.Routing.LongestEjection,
-		EjectShare:      s.Routing.EjectShare,
+		InitialEjection: s.Routing.EjectFor,
+		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
 }
@@ -100,7 +100,7 @@
 		FileTimeout:    s.Limits.FileTimeout,
 		WriteTimeout:   s.Limits.WriteTimeout,
 		IdleTimeout:    s.Limits.IdleTimeout,
-		DrainDelay:       s.Timings.DrainNotice,
+		DrainDelay:     s.Timings.DrainNotice,
 	}
 }
 
@@ -108,8 +108,8 @@
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
-		ListEvery:      s.Timings.ListPoll,
-		LoadEvery:      s.Timings.LoadPoll,
+		ListInterval:   s.Timings.ListPoll,
+		LoadInterval:   s.Timings.LoadPoll,
 		LoadsPerSecond: s.Routing.LoadsPerSecond,
 	}
 }
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -54,7 +54,7 @@
 	placer  *placement.Placer
 	broker  *broker.Broker
 	slots   *broker.Client
-	meter   *quota.Meter
+	meter   *quota.Limiter
 	mesh    *mesh.Mesh
 	peers   *peer.Server
 	calls   *peer.Client
@@ -79,7 +79,7 @@
 		settings: s, network: network, logger: logger,
 		self: mesh.Instance{
 			Name: string(s.Instance), Domain: string(s.Domain),
-			Address: s.Listen.Peers, Start: time.Now().UnixMilli(), Strength: mesh.StrengthOf(s.Processor),
+			Address: s.Listen.Peers, Start: time.Now().UnixMilli(), Strength: mesh.CapacityOf(s.Processor),
 		},
 		store: platform.NewStore(network, s.Store.Address, s.Store.Timeout),
 		targets: targetconn.New(network, targetconn.Codec{
@@ -90,7 +90,7 @@
 		}),
 		calls: peer.NewClientOn(network),
 	}
-	d.meter = quota.NewMeter()
+	d.meter = quota.NewLimiter()
 	d.killed, d.kill = context.WithCancel(context.Background())
 	d.placer = placement.NewPlacer(d.self.Domain, d.targets.Connected, xxhash.Sum64String(d.self.Name))
 	d.joinView()
@@ -100,7 +100,7 @@
 	d.joinBroker()
 	d.joinJobs()
 	d.isolation = &isolation{
-		cutOff: d.mesh.CutOff, storeAge: d.view.StoreAge, logger: d.logger,
+		cutOff: d.mesh.Isolated, storeAge: d.view.StoreAge, logger: d.logger,
 		takesJobs: func() bool {
 			table := d.view.Table()
 			return table != nil && table.HasAnyBatchRoute()
@@ -127,7 +127,7 @@
 		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
 		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
 		// A broker counts what begins at targets that warm up, and others need not know of that.
-		TargetsFromPeers: func() bool { return d.mesh.Follows() && !d.slots.IsBroker() },
+		TargetsFromPeers: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.slots.IsBroker() },
 	})
 }
 
@@ -138,7 +138,7 @@
 	}
 	d.peers = peer.NewServer(listener, nil, d.logger)
 	d.mesh = mesh.New(mesh.Config{Self: d.self, Seeds: d.settings.Seeds, Caller: d.calls, Logger: d.logger})
-	d.mesh.Attach(&local{Daemon: d})
+	d.mesh.SetDelegate(&local{Daemon: d})
 	return nil
 }
 
--- a/internal/transport/edge/matrix_answer_test.go
+++ b/internal/transport/edge/matrix_answer_test.go
@@ -98,7 +98,7 @@
 	for i := 1; i < modelTargets; i++ {
 		far.Targets[i].Leaving = true
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.targets[0].SetFaults(target.Faults{HoldAfter: 4})
 	running := startCall(func() error { return s.checkChatStream("riser") })
 	if err := s.waitStreamsHeld(1); err != nil {
@@ -107,7 +107,7 @@
 	for i := range modelTargets {
 		far.Targets[i].Leaving = false
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.servers[0].CloseClientConnections()
 	return firstError(<-running, s.checkRetried(1))
 }
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -246,7 +246,7 @@
 	for i := 1; i < modelTargets; i++ {
 		far.Targets[i].Domain = "pnw-pdx"
 	}
-	s.router.Listing(far)
+	s.router.ApplyListing(far)
 	s.targets[0].SetFaults(target.Faults{Cross: true, CrossWaitMS: 10_000, Times: 2})
 	err := runConcurrently(
 		func() error { return call("riser 1") },
--- a/internal/transport/front/online.go
+++ b/internal/transport/front/online.go
@@ -36,7 +36,7 @@
 		ReceivedAt: c.receivedAt, Deadline: c.receivedAt.Add(c.timeout()),
 	}, sink)
 	if outcome.PossibleRuns == 0 {
-		c.opts.Quota.GiveBack(organisation)
+		c.opts.Quota.Refund(organisation)
 	}
 	c.reportOutcome(&outcome)
 }
--- a/internal/transport/front/server.go
+++ b/internal/transport/front/server.go
@@ -54,7 +54,7 @@
 // Quota enforces the rates of organisations.
 type Quota interface {
 	Admit(organisation string) quota.Decision
-	GiveBack(organisation string)
+	Refund(organisation string)
 }
 
 // Relay serves online requests.
