--- a/internal/daemon/routed/world_test.go
+++ b/internal/daemon/routed/world_test.go
@@ -56,7 +56,7 @@
 	name     string
 	ip       string
 	domain   string
-	door     *sharedstore.Door
+	door     *sharedstore.Endpoint
 	settings settings.Routed
 	daemon   *Daemon
 	term     context.CancelFunc
--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -27,8 +27,8 @@
 	Deaf bool
 }
 
-// Door is one caller's way to the store. It is an http.Handler.
-type Door struct {
+// Endpoint is one caller's way to the store. It is an http.Handler.
+type Endpoint struct {
 	store *Store
 
 	mu    sync.Mutex
@@ -38,10 +38,10 @@
 }
 
 // Door returns a new way to the store.
-func (s *Store) Door() *Door { return &Door{store: s, changed: make(chan struct{})} }
+func (s *Store) Door() *Endpoint { return &Endpoint{store: s, changed: make(chan struct{})} }
 
 // Set replaces what is wrong.
-func (d *Door) Set(f Fault) {
+func (d *Endpoint) Set(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
@@ -49,14 +49,14 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *Door) state() (Fault, <-chan struct{}) {
+func (d *Endpoint) state() (Fault, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fault, d.changed
 }
 
 // loses says whether the answer to this write is lost.
-func (d *Door) loses() (lost bool, by time.Duration) {
+func (d *Endpoint) loses() (lost bool, by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fault.LoseWrites == 0 {
@@ -67,7 +67,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -105,7 +105,7 @@
 	}
 }
 
-func (d *Door) serve(w http.ResponseWriter, r *http.Request, kind string, body []byte, fault Fault) {
+func (d *Endpoint) serve(w http.ResponseWriter, r *http.Request, kind string, body []byte, fault Fault) {
 	switch kind {
 	case "log-append":
 		if lost, by := d.loses(); lost {
