--- a/internal/daemon/routed/world_test.go
+++ b/internal/daemon/routed/world_test.go
@@ -219,7 +219,7 @@
 }
 
 func (w *world) addNode(name, domain, ip string) *node {
-	n := &node{world: w, name: name, ip: ip, domain: domain, door: w.store.Door()}
+	n := &node{world: w, name: name, ip: ip, domain: domain, door: w.store.NewEndpoint()}
 	w.nodes = append(w.nodes, n)
 	// Each instance reaches the store under an address of its own, so that the
 	// store can be away for it alone.
--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -37,8 +37,8 @@
 	changed chan struct{}
 }
 
-// Door returns a new way to the store.
-func (s *Store) Door() *Endpoint { return &Endpoint{store: s, changed: make(chan struct{})} }
+// NewEndpoint returns a new way to the store.
+func (s *Store) NewEndpoint() *Endpoint { return &Endpoint{store: s, changed: make(chan struct{})} }
 
 // Set replaces what is wrong.
 func (d *Endpoint) Set(f Fault) {
