--- a/internal/daemon/routed/drain_test.go
+++ b/internal/daemon/routed/drain_test.go
@@ -55,7 +55,7 @@
 func TestNothingBeginsInADrainedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, size{domains: 3, nodes: 2, targets: 2})
-		w.nodes[0].door.Set(sharedstore.Fault{Refuse: 503})
+		w.nodes[0].door.Set(sharedstore.Fault{Status: 503})
 		w.askAll("before", 4)
 		require.NotZero(t, w.ranIn("d1", time.Time{}))
 		require.Equal(t, 202, w.nodes[1].send(jobOf("job", 30, 40)).status)
--- a/internal/daemon/routed/store_test.go
+++ b/internal/daemon/routed/store_test.go
@@ -16,7 +16,7 @@
 // and soon: a job that is accepted late counts as late.
 func TestJobIsAcceptedWhereTheStoreTurnsTheInstanceAway(t *testing.T) {
 	for name, fault := range map[string]sharedstore.Fault{
-		"busy": {Refuse: http.StatusServiceUnavailable}, "many": {Refuse: http.StatusTooManyRequests},
+		"busy": {Status: http.StatusServiceUnavailable}, "many": {Status: http.StatusTooManyRequests},
 		"reset": {Reset: true}, "silent": {Silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, size{domains: 1, nodes: 2, targets: 1})
 		for _, n := range w.nodes {
-			n.door.Set(sharedstore.Fault{Refuse: http.StatusServiceUnavailable})
+			n.door.Set(sharedstore.Fault{Status: http.StatusServiceUnavailable})
 		}
 		pass(3 * time.Second)
 		got := w.nodes[0].send(jobOf("job", 2, 5))
--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -13,8 +13,8 @@
 
 // Fault is what is wrong at a door.
 type Fault struct {
-	// Refuse answers every call with this status, if it is not 0.
-	Refuse int
+	// Status answers every call with this status, if it is not 0.
+	Status int
 	// Silent answers no call, Reset closes its connection.
 	Silent, Reset bool
 	// Slow is the time that each answer takes.
@@ -77,8 +77,8 @@
 		pause(r.Context(), fault.Slow)
 	}
 	switch {
-	case fault.Refuse != 0:
-		w.WriteHeader(fault.Refuse)
+	case fault.Status != 0:
+		w.WriteHeader(fault.Status)
 		return
 	case fault.Reset:
 		panic(http.ErrAbortHandler)
