--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -17,8 +17,8 @@
 	Status int
 	// Silent answers no call, Reset closes its connection.
 	Silent, Reset bool
-	// Slow is the time that each answer takes.
-	Slow time.Duration
+	// Delay is the time that each answer takes.
+	Delay time.Duration
 	// LoseWrites does what is asked and does not answer, for the next so many
 	// writes. LateBy does it so much later.
 	LoseWrites int
@@ -73,8 +73,8 @@
 		return
 	}
 	fault, changed := d.state()
-	if fault.Slow > 0 {
-		pause(r.Context(), fault.Slow)
+	if fault.Delay > 0 {
+		pause(r.Context(), fault.Delay)
 	}
 	switch {
 	case fault.Status != 0:
