--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -19,9 +19,9 @@
 	Silent, Reset bool
 	// Delay is the time that each answer takes.
 	Delay time.Duration
-	// LoseWrites does what is asked and does not answer, for the next so many
+	// LoseAppendReplies does what is asked and does not answer, for the next so many
 	// writes. LateBy does it so much later.
-	LoseWrites int
+	LoseAppendReplies int
 	LateBy     time.Duration
 	// Deaf lets reads that wait hear nothing.
 	Deaf bool
@@ -59,10 +59,10 @@
 func (d *Endpoint) loses() (lost bool, by time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.fault.LoseWrites == 0 {
+	if d.fault.LoseAppendReplies == 0 {
 		return false, 0
 	}
-	d.fault.LoseWrites--
+	d.fault.LoseAppendReplies--
 	return true, d.fault.LateBy
 }
 
