--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -22,7 +22,7 @@
 	// LoseAppendReplies does what is asked and does not answer, for the next so many
 	// writes. LateBy does it so much later.
 	LoseAppendReplies int
-	LateBy     time.Duration
+	AppendDelay     time.Duration
 	// Deaf lets reads that wait hear nothing.
 	Deaf bool
 }
@@ -63,7 +63,7 @@
 		return false, 0
 	}
 	d.fault.LoseAppendReplies--
-	return true, d.fault.LateBy
+	return true, d.fault.AppendDelay
 }
 
 // ServeHTTP implements http.Handler.
