--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/door.go
@@ -23,8 +23,8 @@
 	// writes. LateBy does it so much later.
 	LoseAppendReplies int
 	AppendDelay     time.Duration
-	// Deaf lets reads that wait hear nothing.
-	Deaf bool
+	// NoReadWakeup lets reads that wait hear nothing.
+	NoReadWakeup bool
 }
 
 // Endpoint is one caller's way to the store. It is an http.Handler.
@@ -116,7 +116,7 @@
 		status, reply := d.store.appendCall(r, body)
 		answer(w, status, reply)
 	case "log-read":
-		d.store.readCall(w, r, fault.Deaf)
+		d.store.readCall(w, r, fault.NoReadWakeup)
 	case "log-newest":
 		status, reply := d.store.newestCall(r)
 		answer(w, status, reply)
