--- a/internal/coordination/routed/batchjobs/replica_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -133,7 +133,7 @@
 				p := newTestPartition(t, 3)
 				direct := &sharedstore.Direct{Store: p.store.Store}
 				attempts := 0
-				p.store.Before = func(records []external.KeyedRecord) error {
+				p.store.BeforeAppend = func(records []external.KeyedRecord) error {
 					if attempts++; attempts > 2 {
 						return nil
 					}
--- a/internal/standin/sharedstore/direct.go
+++ b/internal/standin/sharedstore/direct.go
@@ -11,16 +11,16 @@
 // implements external.KeyedLog.
 type Direct struct {
 	Store *Store
-	// Before, if set, is called before each append and may make it fail.
-	Before func(records []external.KeyedRecord) error
+	// BeforeAppend, if set, is called before each append and may make it fail.
+	BeforeAppend func(records []external.KeyedRecord) error
 	// MostRead bounds the records of one read, if it is above 0.
 	MostRead int
 }
 
 // Append implements external.KeyedLog.
 func (d *Direct) Append(_ context.Context, at external.Partition, records []external.KeyedRecord, end int64) (int64, error) {
-	if d.Before != nil {
-		if err := d.Before(records); err != nil {
+	if d.BeforeAppend != nil {
+		if err := d.BeforeAppend(records); err != nil {
 			return 0, err
 		}
 	}
