--- a/internal/coordination/routed/batchjobs/replica_test.go
+++ b/internal/coordination/routed/batchjobs/replica_test.go
@@ -214,7 +214,7 @@
 		p := newTestPartition(t, 2)
 		service := NewJobService(p.opts, &PartitionOwner{opts: p.opts, owned: map[int]*ownedPartition{}}, nil)
 		require.Equal(t, Done, service.resultsFromStore(t.Context(), ResultsCall{Job: jobID, Organisation: "o"}).Verdict)
-		p.store.MostRead = 3
+		p.store.MaxReadRecords = 3
 		for n := range 10 {
 			job := &jobs.Job{ID: fmt.Sprint("later-", n), Organisation: "o", Submitted: time.Now(), Items: []jobs.Item{{ID: "i", Path: "/"}}}
 			records, err := jobs.EncodeJob(job, p.opts.RecordBytes)
--- a/internal/standin/sharedstore/direct.go
+++ b/internal/standin/sharedstore/direct.go
@@ -13,8 +13,8 @@
 	Store *Store
 	// BeforeAppend, if set, is called before each append and may make it fail.
 	BeforeAppend func(records []external.KeyedRecord) error
-	// MostRead bounds the records of one read, if it is above 0.
-	MostRead int
+	// MaxReadRecords bounds the records of one read, if it is above 0.
+	MaxReadRecords int
 }
 
 // Append implements external.KeyedLog.
@@ -50,7 +50,7 @@
 		changed := p.changed
 		if from >= p.first {
 			for i, record := range p.records[min(from-p.first, int64(len(p.records))):] {
-				if d.MostRead > 0 && i == d.MostRead {
+				if d.MaxReadRecords > 0 && i == d.MaxReadRecords {
 					page.Next = from + int64(i)
 					break
 				}
