--- a/internal/daemon/routed/drain_test.go
+++ b/internal/daemon/routed/drain_test.go
@@ -62,7 +62,7 @@
 		w.drain("d1")
 		pass(drainBound)
 		drained := time.Now()
-		w.store.Forget("keyed.op")
+		w.store.Trim("keyed.op")
 		w.nodes[3].kill()
 		w.nodes[3].start()
 		pass(2 * time.Second)
--- a/internal/standin/sharedstore/store.go
+++ b/internal/standin/sharedstore/store.go
@@ -63,8 +63,8 @@
 	s.partition(topic, 0).append([][]byte{append(record, value...)})
 }
 
-// Forget drops the history of a topic; the newest records stay.
-func (s *Store) Forget(topic string) {
+// Trim drops the history of a topic; the newest records stay.
+func (s *Store) Trim(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.topics[topic] {
