--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -47,7 +47,7 @@
 		w := newWorld(t, size{domains: 2, nodes: 2, targets: 2})
 		ids := w.submit(w.nodes[0], 6, 4, 150)
 		pass(800 * time.Millisecond)
-		w.store.Redeal()
+		w.store.Rebalance()
 		for _, id := range ids {
 			w.requireWhole(id, w.nodes[3].allResults(id, 12*time.Second), 150)
 			require.Equal(t, 4, w.fromStart(id, 4), "job %s", id)
@@ -117,7 +117,7 @@
 		w := newWorld(t, size{domains: 1, nodes: 3, targets: 1})
 		ids := w.submit(w.nodes[0], 3, 12, 100)
 		pass(time.Second)
-		w.store.Redeal()
+		w.store.Rebalance()
 		for _, id := range ids {
 			got := w.nodes[1].send(ask{method: http.MethodDelete, path: "/lots/" + id, key: keyOne})
 			require.Equal(t, http.StatusOK, got.status)
@@ -284,7 +284,7 @@
 // from the beginning by each new holder.
 func TestFailuresOfAnItemAreKnownToItsNextHolder(t *testing.T) {
 	for name, disturb := range map[string]func(*world){
-		"dealt anew": func(w *world) { w.store.Redeal() },
+		"dealt anew": func(w *world) { w.store.Rebalance() },
 		"killed": func(w *world) {
 			for _, n := range w.nodes {
 				n.kill()
--- a/internal/standin/sharedstore/store.go
+++ b/internal/standin/sharedstore/store.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// Redeal takes all partitions of all groups from their members and gives them to
+// Rebalance takes all partitions of all groups from their members and gives them to
 // the next ones.
-func (s *Store) Redeal() {
+func (s *Store) Rebalance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.groups {
