--- a/internal/standin/sharedstore/store.go
+++ b/internal/standin/sharedstore/store.go
@@ -81,8 +81,8 @@
 	return found.Value, ok
 }
 
-// Calls counts the calls of a kind, such as "log-append".
-func (s *Store) Calls(kind string) int {
+// CallCount counts the calls of a kind, such as "log-append".
+func (s *Store) CallCount(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[kind]
