--- a/internal/standin/target/orders.go
+++ b/internal/standin/target/orders.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Taken lists the orders that had an effect, oldest first.
-func (t *Target) Taken() []external.Order {
+// AppliedOrders lists the orders that had an effect, oldest first.
+func (t *Target) AppliedOrders() []external.Order {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]external.Order(nil), t.order.taken...)
