--- a/internal/standin/target/call.go
+++ b/internal/standin/target/call.go
@@ -124,8 +124,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Counted copies the execution counts.
-func (t *Target) Counted() Executions {
+// ExecutionCounts copies the execution counts.
+func (t *Target) ExecutionCounts() Executions {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := Executions{ByCall: map[protocol.CallID]int{}, ByBody: map[string]int{}}
@@ -139,7 +139,7 @@
 }
 
 func (t *Target) executions(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, t.Counted())
+	writeJSON(w, t.ExecutionCounts())
 }
 
 // hangUp closes the connection without an answer.
--- a/internal/transport/edge/badinput_test.go
+++ b/internal/transport/edge/badinput_test.go
@@ -100,7 +100,7 @@
 		})
 	}
 	for _, standin := range append(s.targets, s.plain) {
-		require.Empty(t, standin.Counted().ByCall)
+		require.Empty(t, standin.ExecutionCounts().ByCall)
 	}
 }
 
--- a/internal/transport/edge/matrix_answer_test.go
+++ b/internal/transport/edge/matrix_answer_test.go
@@ -52,7 +52,7 @@
 func (s *system) checkRetried(calls int) error {
 	attempts := 0
 	for _, standin := range s.targets {
-		attempts += len(standin.Counted().ByCall)
+		attempts += len(standin.ExecutionCounts().ByCall)
 	}
 	if attempts <= calls {
 		return errCaseNotReached
--- a/internal/transport/edge/matrix_dispatch_test.go
+++ b/internal/transport/edge/matrix_dispatch_test.go
@@ -105,7 +105,7 @@
 	if err == nil {
 		return errTruncationHidden
 	}
-	if calls := len(s.plain.Counted().ByCall); calls != 1 {
+	if calls := len(s.plain.ExecutionCounts().ByCall); calls != 1 {
 		return fmt.Errorf("the call ran %d times", calls)
 	}
 	return nil
--- a/internal/transport/edge/matrix_drain_test.go
+++ b/internal/transport/edge/matrix_drain_test.go
@@ -107,7 +107,7 @@
 
 func drainCrossed(s *system) error {
 	ended := startCall(func() error { return s.checkCrossedAnswers(s.checkChat) })
-	if err := eventually("both calls have reached the target", func() bool { return len(s.targets[0].Counted().ByCall) == 2 || len(ended) > 0 }); err != nil {
+	if err := eventually("both calls have reached the target", func() bool { return len(s.targets[0].ExecutionCounts().ByCall) == 2 || len(ended) > 0 }); err != nil {
 		return err
 	}
 	return firstError(s.edge.Drain(context.Background()), <-ended)
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -168,7 +168,7 @@
 
 // executions returns how often the plain call with the given body ran.
 func (s *system) executions(body string) int {
-	return s.plain.Counted().ByBody[target.BodyKey([]byte(body))]
+	return s.plain.ExecutionCounts().ByBody[target.BodyKey([]byte(body))]
 }
 
 // checkExecutions checks how often the plain call with the given body ran.
@@ -252,7 +252,7 @@
 		func() error { return call("riser 1") },
 		func() error { return call("riser 2") },
 	)
-	if len(s.targets[0].Counted().ByCall) != 2 {
+	if len(s.targets[0].ExecutionCounts().ByCall) != 2 {
 		return errors.Join(err, errCaseNotReached)
 	}
 	return err
--- a/internal/transport/edge/matrix_withdraw_test.go
+++ b/internal/transport/edge/matrix_withdraw_test.go
@@ -103,7 +103,7 @@
 func (s *system) checkCallsAtMost(most int) error {
 	n := 0
 	for _, standin := range s.targets {
-		n += len(standin.Counted().ByCall)
+		n += len(standin.ExecutionCounts().ByCall)
 	}
 	if n > most {
 		return errors.New("a call ran for a withdrawn key")
