--- a/internal/standin/target/chat.go
+++ b/internal/standin/target/chat.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// ChatText is the prompt text of a chat with a single user message, the input
+// ChatPrompt is the prompt text of a chat with a single user message, the input
 // of Text and Token.
-func ChatText(content string) string { return "user:" + content + "\n" }
+func ChatPrompt(content string) string { return "user:" + content + "\n" }
 
 // Token is token i of the answer to a prompt: it names the prompt's hash, so
 // that a caller sees whether it got its own answer and all of it.
