--- a/internal/coordination/itemrun/runner_test.go
+++ b/internal/coordination/itemrun/runner_test.go
@@ -53,7 +53,7 @@
 	runner := New(Options{Target: targethttp.New(targethttp.Options{})})
 	outcome := runner.Run(t.Context(), start(t), item(body))
 	require.Equal(t, batch.Done, outcome.Kind)
-	require.Equal(t, target.Text(target.ChatPrompt("valve"), 8), content(t, outcome.Result.Body))
+	require.Equal(t, target.AnswerText(target.ChatPrompt("valve"), 8), content(t, outcome.Result.Body))
 	require.Contains(t, string(outcome.Result.Body), `"total_tokens"`)
 }
 
@@ -99,7 +99,7 @@
 	again.Resume = outcome.Resume
 	outcome = New(Options{Target: client}).Run(t.Context(), start(t), again)
 	require.Equal(t, batch.Done, outcome.Kind)
-	require.Equal(t, target.Text(target.ChatPrompt("valve"), 8), content(t, outcome.Result.Body))
+	require.Equal(t, target.AnswerText(target.ChatPrompt("valve"), 8), content(t, outcome.Result.Body))
 }
 
 // fixedStream is a target that responds to every call with the same stream.
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -131,7 +131,7 @@
 
 // IsOwnAnswer reports whether the answer is the whole one to the prompt.
 func (a *Answer) IsOwnAnswer(prompt string, tokens int, stream bool) bool {
-	want := target.Text(target.ChatPrompt(prompt), tokens)
+	want := target.AnswerText(target.ChatPrompt(prompt), tokens)
 	if stream {
 		return a.Whole && a.Text == want
 	}
--- a/internal/harness/demo/batch.go
+++ b/internal/harness/demo/batch.go
@@ -142,7 +142,7 @@
 	if _, err := fmt.Sscanf(strings.TrimPrefix(result.CustomID, "report-"), "%d", &n); err != nil {
 		return result.CustomID, false
 	}
-	want := target.Text(target.ChatPrompt(itemPrompt(n)), batchTokens)
+	want := target.AnswerText(target.ChatPrompt(itemPrompt(n)), batchTokens)
 	return result.CustomID, result.Response.Body.Choices[0].Message.Content == want
 }
 
--- a/internal/harness/proctest/job_test.go
+++ b/internal/harness/proctest/job_test.go
@@ -96,7 +96,7 @@
 	output := f.content(client, f.awaitCompleted(client, job))
 	want := map[string]string{}
 	for n := range items {
-		want[itemID(n)] = target.Text(target.ChatPrompt(itemPrompt(n)), tokens)
+		want[itemID(n)] = target.AnswerText(target.ChatPrompt(itemPrompt(n)), tokens)
 	}
 	got := map[string]string{}
 	for _, line := range strings.Split(strings.TrimSpace(output), "\n") {
--- a/internal/harness/proctest/openai_test.go
+++ b/internal/harness/proctest/openai_test.go
@@ -30,7 +30,7 @@
 	t.Run("whole chat", func(t *testing.T) {
 		answer, err := client.Chat.Completions.New(f.ctx, chat("riser 4"))
 		require.NoError(t, err)
-		require.Equal(t, target.Text(target.ChatPrompt("riser 4"), askTokens), answer.Choices[0].Message.Content)
+		require.Equal(t, target.AnswerText(target.ChatPrompt("riser 4"), askTokens), answer.Choices[0].Message.Content)
 	})
 	t.Run("streamed chat", func(t *testing.T) {
 		stream := client.Chat.Completions.NewStreaming(f.ctx, chat("pump 2"))
@@ -41,7 +41,7 @@
 			}
 		}
 		require.NoError(t, stream.Err())
-		require.Equal(t, target.Text(target.ChatPrompt("pump 2"), askTokens), text)
+		require.Equal(t, target.AnswerText(target.ChatPrompt("pump 2"), askTokens), text)
 	})
 	t.Run("models", func(t *testing.T) {
 		page, err := client.Models.List(f.ctx)
--- a/internal/standin/target/chat.go
+++ b/internal/standin/target/chat.go
@@ -80,8 +80,8 @@
 	return fmt.Sprintf("%016x.%d ", xxhash.Sum64String(prompt), i)
 }
 
-// Text is the whole answer of n tokens to a prompt.
-func Text(prompt string, n int) string {
+// AnswerText is the whole answer of n tokens to a prompt.
+func AnswerText(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(Token(prompt, i))
@@ -167,7 +167,7 @@
 	}
 	answer := g.answer("chat.completion", "text_completion")
 	c := choice{FinishReason: &stopReason}
-	text := Text(g.prompt, g.tokens)
+	text := AnswerText(g.prompt, g.tokens)
 	if g.isChat {
 		c.Message = &answerMessage{Role: "assistant", Content: text}
 	} else {
--- a/internal/transport/edge/matrix_helpers_test.go
+++ b/internal/transport/edge/matrix_helpers_test.go
@@ -124,7 +124,7 @@
 	if r.err != nil || r.status != http.StatusOK {
 		return fmt.Errorf("status %d, %s %s: %v", r.status, r.refusal.Code, r.refusal.Message, r.err)
 	}
-	if !strings.Contains(r.body, target.Text(target.ChatPrompt(question), answerTokens)) {
+	if !strings.Contains(r.body, target.AnswerText(target.ChatPrompt(question), answerTokens)) {
 		return fmt.Errorf("not the complete response to %q: %s", question, r.body)
 	}
 	return nil
@@ -137,7 +137,7 @@
 	if err != nil {
 		return fmt.Errorf("stream: %w", err)
 	}
-	if want := target.Text(target.ChatPrompt(question), answerTokens); text != want {
+	if want := target.AnswerText(target.ChatPrompt(question), answerTokens); text != want {
 		return fmt.Errorf("got %q, wanted %q", text, want)
 	}
 	return nil
@@ -153,7 +153,7 @@
 	if err == nil {
 		return errTruncationHidden
 	}
-	if !strings.HasPrefix(target.Text(target.ChatPrompt(question), answerTokens), text) {
+	if !strings.HasPrefix(target.AnswerText(target.ChatPrompt(question), answerTokens), text) {
 		return fmt.Errorf("the text is not a prefix of the expected text: %q", text)
 	}
 	return nil
--- a/internal/transport/edge/openai_test.go
+++ b/internal/transport/edge/openai_test.go
@@ -30,7 +30,7 @@
 	client := s.openai(testSecret)
 	answer, err := client.Chat.Completions.New(context.Background(), chat("riser 4"))
 	require.NoError(t, err)
-	require.Equal(t, target.Text(target.ChatPrompt("riser 4"), answerTokens), answer.Choices[0].Message.Content)
+	require.Equal(t, target.AnswerText(target.ChatPrompt("riser 4"), answerTokens), answer.Choices[0].Message.Content)
 	require.EqualValues(t, answerTokens, answer.Usage.CompletionTokens)
 }
 
@@ -38,7 +38,7 @@
 	s := newSystem(t, systemOptions{})
 	text, err := s.streamText("pump 2")
 	require.NoError(t, err)
-	require.Equal(t, target.Text(target.ChatPrompt("pump 2"), answerTokens), text)
+	require.Equal(t, target.AnswerText(target.ChatPrompt("pump 2"), answerTokens), text)
 }
 
 // streamText returns the text that a client received from a streamed chat.
@@ -63,7 +63,7 @@
 		Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("valve 7")},
 	})
 	require.NoError(t, err)
-	require.Equal(t, target.Text("valve 7", answerTokens), answer.Choices[0].Text)
+	require.Equal(t, target.AnswerText("valve 7", answerTokens), answer.Choices[0].Text)
 }
 
 func TestOpenAIClientListsModels(t *testing.T) {
