--- a/internal/daemon/routed/answers_test.go
+++ b/internal/daemon/routed/answers_test.go
@@ -19,7 +19,7 @@
 	spoilt := map[string]bool{}
 	return newWorld(t, size{domains: 1, nodes: 2, targets: 3, target: engine.Options{
 		Slots: 8, Queue: 24, Step: 20 * time.Millisecond,
-		Misbehave: func(id string) engine.Fault {
+		FaultFor: func(id string) engine.Fault {
 			name, _, _ := strings.Cut(id, "-")
 			if spoilt[id] {
 				return engine.Fault{}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -19,8 +19,8 @@
 	// Slots run at once, Queue wait. Step is the time of one event.
 	Slots, Queue int
 	Step         time.Duration
-	// Misbehave, if set, says what is wrong with the answer to a request.
-	Misbehave func(id string) Fault
+	// FaultFor, if set, says what is wrong with the answer to a request.
+	FaultFor func(id string) Fault
 }
 
 // Fault is what is wrong with one answer.
@@ -185,8 +185,8 @@
 		entry.Ended = time.Now()
 	}()
 	var fault Fault
-	if e.opts.Misbehave != nil {
-		fault = e.opts.Misbehave(id)
+	if e.opts.FaultFor != nil {
+		fault = e.opts.FaultFor(id)
 	}
 	e.stream(w, r, entry, fault)
 }
