--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -16,8 +16,8 @@
 // Options make an Engine.
 type Options struct {
 	ID string
-	// Slots run at once, Queue wait. Step is the time of one event.
-	Slots, Queue int
+	// Slots run at once, QueueSize wait. Step is the time of one event.
+	Slots, QueueSize int
 	Step         time.Duration
 	// FaultFor, if set, says what is wrong with the answer to a request.
 	FaultFor func(id string) Fault
@@ -140,7 +140,7 @@
 // admit waits for a slot, unless the queue is full or the caller leaves.
 func (e *Engine) admit(r *http.Request) bool {
 	e.mu.Lock()
-	if len(e.free) == 0 && e.waiting >= e.opts.Queue {
+	if len(e.free) == 0 && e.waiting >= e.opts.QueueSize {
 		e.mu.Unlock()
 		return false
 	}
