--- a/internal/daemon/routed/answers_test.go
+++ b/internal/daemon/routed/answers_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	spoilt := map[string]bool{}
 	return newWorld(t, size{domains: 1, nodes: 2, targets: 3, target: engine.Options{
-		Slots: 8, QueueSize: 24, Step: 20 * time.Millisecond,
+		Slots: 8, QueueSize: 24, EventInterval: 20 * time.Millisecond,
 		FaultFor: func(id string) engine.Fault {
 			name, _, _ := strings.Cut(id, "-")
 			if spoilt[id] {
--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		breaks, failing, impossible := itemOf("job", 0), itemOf("job", 1), itemOf("job", 2)
 		w := newWorld(t, size{domains: 1, nodes: 2, targets: 2, target: engine.Options{
-			Slots: 8, QueueSize: 24, Step: 20 * time.Millisecond,
+			Slots: 8, QueueSize: 24, EventInterval: 20 * time.Millisecond,
 			FaultFor: func(id string) engine.Fault {
 				switch id {
 				case breaks:
@@ -299,7 +299,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				failing := itemOf("job", 0)
 				w := newWorld(t, size{domains: 1, nodes: 3, targets: 2, target: engine.Options{
-					Slots: 8, QueueSize: 24, Step: 20 * time.Millisecond,
+					Slots: 8, QueueSize: 24, EventInterval: 20 * time.Millisecond,
 					FaultFor: func(id string) engine.Fault {
 						if id == failing {
 							return engine.Fault{Status: http.StatusInternalServerError}
--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -95,7 +95,7 @@
 func warmWorld(t *testing.T, nodes int) *world {
 	return newWorld(t, size{
 		domains: 2, nodes: nodes, targets: 4,
-		target: engine.Options{Slots: 8, QueueSize: 24, Step: 20 * time.Millisecond},
+		target: engine.Options{Slots: 8, QueueSize: 24, EventInterval: 20 * time.Millisecond},
 	})
 }
 
--- a/internal/daemon/routed/world_test.go
+++ b/internal/daemon/routed/world_test.go
@@ -173,7 +173,7 @@
 func (w *world) addTarget(id, domain, ip string, opts engine.Options) *target {
 	opts.ID = id
 	if opts.Slots == 0 {
-		opts.Slots, opts.QueueSize, opts.Step = 8, 24, 20*time.Millisecond
+		opts.Slots, opts.QueueSize, opts.EventInterval = 8, 24, 20*time.Millisecond
 	}
 	target := &target{
 		Engine: engine.New(opts), world: w, id: id, ip: ip, domain: domain, state: "ready", started: time.Now().UnixMilli(),
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,7 +18,7 @@
 	ID string
 	// Slots run at once, QueueSize wait. Step is the time of one event.
 	Slots, QueueSize int
-	Step         time.Duration
+	EventInterval         time.Duration
 	// FaultFor, if set, says what is wrong with the answer to a request.
 	FaultFor func(id string) Fault
 }
@@ -231,7 +231,7 @@
 
 // step takes the time of one event, unless the caller leaves.
 func (e *Engine) step(r *http.Request) bool {
-	timer := time.NewTimer(e.opts.Step)
+	timer := time.NewTimer(e.opts.EventInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/transport/targetconn/inspect_test.go
+++ b/internal/transport/targetconn/inspect_test.go
@@ -44,7 +44,7 @@
 		listener, err := network.Host("10.0.0.2").Listen(targetAddress)
 		require.NoError(t, err)
 		f := &inspectFixture{
-			target: engine.New(engine.Options{ID: "t", Slots: 2, Step: 20 * time.Millisecond}),
+			target: engine.New(engine.Options{ID: "t", Slots: 2, EventInterval: 20 * time.Millisecond}),
 			dials:  &dialCounter{Host: network.Host("10.0.0.1")},
 		}
 		if handler == nil {
