--- a/internal/daemon/routed/calm_test.go
+++ b/internal/daemon/routed/calm_test.go
@@ -35,7 +35,7 @@
 				require.Equal(t, "one", runs[0].Organisation)
 				require.Equal(t, path, runs[0].Path)
 				require.Equal(t, "ask "+id, runs[0].Body)
-				require.False(t, runs[0].KeyShown)
+				require.False(t, runs[0].HasAuthorization)
 			})
 		}
 		accepted := w.nodes[0].send(jobOf("job", 8, 50))
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -47,7 +47,7 @@
 	// caller's key came along.
 	Path     string
 	Body     string
-	KeyShown bool
+	HasAuthorization bool
 	// After is the event after which it was resumed, -1 from the start.
 	After int
 	Began time.Time
@@ -166,7 +166,7 @@
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, id, body string) {
 	entry := &Run{
 		ID: id, Organisation: r.Header.Get("Tenant"), Path: r.RequestURI, Body: body,
-		KeyShown: r.Header.Get("Authorization") != "", After: -1, Began: time.Now(),
+		HasAuthorization: r.Header.Get("Authorization") != "", After: -1, Began: time.Now(),
 	}
 	if after, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		entry.After = after
