--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -31,7 +31,7 @@
 	count := 0
 	for i := range items {
 		for _, run := range w.runs(itemOf(job, i)) {
-			if run.After < 0 {
+			if run.ResumedAfter < 0 {
 				count++
 			}
 		}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -48,8 +48,8 @@
 	Path     string
 	Body     string
 	HasAuthorization bool
-	// After is the event after which it was resumed, -1 from the start.
-	After int
+	// ResumedAfter is the event after which it was resumed, -1 from the start.
+	ResumedAfter int
 	Began time.Time
 	// Ended is zero while it runs. Whole says that all events were sent.
 	Ended time.Time
@@ -166,10 +166,10 @@
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, id, body string) {
 	entry := &Run{
 		ID: id, Organisation: r.Header.Get("Tenant"), Path: r.RequestURI, Body: body,
-		HasAuthorization: r.Header.Get("Authorization") != "", After: -1, Began: time.Now(),
+		HasAuthorization: r.Header.Get("Authorization") != "", ResumedAfter: -1, Began: time.Now(),
 	}
 	if after, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
-		entry.After = after
+		entry.ResumedAfter = after
 	}
 	ctx, end := context.WithCancel(r.Context())
 	defer end()
@@ -206,8 +206,8 @@
 	}
 	out := e.begin(w, entry, fault)
 	events := Events(r.URL.Path)
-	for n := entry.After + 1; n < events; n++ {
-		sent := n - entry.After - 1
+	for n := entry.ResumedAfter + 1; n < events; n++ {
+		sent := n - entry.ResumedAfter - 1
 		if fault.BreakAfter > 0 && sent == fault.BreakAfter {
 			_, _ = fmt.Fprintf(out, "id: %d\ndata: %s", n, Event(entry.ID, n)[:3])
 			out.flush()
