--- a/internal/daemon/routed/drain_test.go
+++ b/internal/daemon/routed/drain_test.go
@@ -23,7 +23,7 @@
 func (w *world) ranIn(domain string, since time.Time) (count int) {
 	for _, t := range w.targets {
 		for _, run := range t.Runs() {
-			if t.domain == domain && run.Began.After(since) {
+			if t.domain == domain && run.StartedAt.After(since) {
 				count++
 			}
 		}
--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -127,7 +127,7 @@
 		pass(8 * time.Second)
 		for _, target := range w.targets {
 			for _, run := range target.Runs() {
-				require.False(t, run.Began.After(ended.Add(3*time.Second)), "item %s began %s after the end", run.ID, run.Began.Sub(ended))
+				require.False(t, run.StartedAt.After(ended.Add(3*time.Second)), "item %s began %s after the end", run.ID, run.StartedAt.Sub(ended))
 			}
 		}
 	})
@@ -265,7 +265,7 @@
 		for _, id := range ids {
 			for i := range 8 {
 				for _, run := range w.runs(itemOf(id, i)) {
-					if run.Began.After(began) {
+					if run.StartedAt.After(began) {
 						again++
 						break
 					}
--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -41,8 +41,8 @@
 func (t *target) mostBegun(from, to time.Time) (most int) {
 	var at []time.Time
 	for _, run := range t.Runs() {
-		if !run.Began.Before(from) && run.Began.Before(to) {
-			at = append(at, run.Began)
+		if !run.StartedAt.Before(from) && run.StartedAt.Before(to) {
+			at = append(at, run.StartedAt)
 		}
 	}
 	slices.SortFunc(at, time.Time.Compare)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,7 +50,7 @@
 	HasAuthorization bool
 	// ResumedAfter is the event after which it was resumed, -1 from the start.
 	ResumedAfter int
-	Began time.Time
+	StartedAt time.Time
 	// Ended is zero while it runs. Whole says that all events were sent.
 	Ended time.Time
 	Whole bool
@@ -166,7 +166,7 @@
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, id, body string) {
 	entry := &Run{
 		ID: id, Organisation: r.Header.Get("Tenant"), Path: r.RequestURI, Body: body,
-		HasAuthorization: r.Header.Get("Authorization") != "", ResumedAfter: -1, Began: time.Now(),
+		HasAuthorization: r.Header.Get("Authorization") != "", ResumedAfter: -1, StartedAt: time.Now(),
 	}
 	if after, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		entry.ResumedAfter = after
