--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -91,7 +91,7 @@
 		ended := w.endedRuns()
 		require.NotEmpty(t, ended)
 		for _, run := range ended {
-			require.Less(t, run.Ended.Sub(cut), 1500*time.Millisecond)
+			require.Less(t, run.EndedAt.Sub(cut), 1500*time.Millisecond)
 		}
 		w.net.Join(w.domainIPs("d0"), w.domainIPs("d1"))
 		for _, n := range []*node{w.nodes[0], w.nodes[4]} {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -51,8 +51,8 @@
 	// ResumedAfter is the event after which it was resumed, -1 from the start.
 	ResumedAfter int
 	StartedAt time.Time
-	// Ended is zero while it runs. Whole says that all events were sent.
-	Ended time.Time
+	// EndedAt is zero while it runs. Whole says that all events were sent.
+	EndedAt time.Time
 	Whole bool
 	// MovedBy is the address that took its memory when it was ended, empty if it was
 	// not.
@@ -182,7 +182,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.running--
-		entry.Ended = time.Now()
+		entry.EndedAt = time.Now()
 	}()
 	var fault Fault
 	if e.opts.FaultFor != nil {
--- a/internal/standin/engine/inspect.go
+++ b/internal/standin/engine/inspect.go
@@ -56,7 +56,7 @@
 	e.mu.Lock()
 	runs := [][]any{}
 	for _, run := range e.ledger {
-		if run.Ended.IsZero() {
+		if run.EndedAt.IsZero() {
 			runs = append(runs, []any{run.ID, 100, 1, 5})
 		}
 	}
@@ -79,7 +79,7 @@
 	e.mu.Lock()
 	var ended *Run
 	for _, run := range e.ledger {
-		if run.ID == call.ID && run.Ended.IsZero() {
+		if run.ID == call.ID && run.EndedAt.IsZero() {
 			ended = run
 		}
 	}
