--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -70,7 +70,7 @@
 			w.requireWhole(id, w.nodes[4].allResults(id, 12*time.Second), 200)
 		}
 		for _, run := range w.runs("unknown-" + w.targets[0].id + "-0") {
-			require.True(t, run.Whole)
+			require.True(t, run.Complete)
 		}
 	})
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -53,7 +53,7 @@
 	StartedAt time.Time
 	// EndedAt is zero while it runs. Whole says that all events were sent.
 	EndedAt time.Time
-	Whole bool
+	Complete bool
 	// MovedBy is the address that took its memory when it was ended, empty if it was
 	// not.
 	MovedBy string
@@ -225,7 +225,7 @@
 	}
 	out.end()
 	e.mu.Lock()
-	entry.Whole = true
+	entry.Complete = true
 	e.mu.Unlock()
 }
 
