--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -39,7 +39,7 @@
 	for _, target := range w.targets {
 		require.Zero(w.t, target.Kept(), "memory at %s that nobody freed", target.id)
 		for _, run := range target.Runs() {
-			if run.MovedBy != "" {
+			if run.MovedTo != "" {
 				ended = append(ended, run)
 			}
 		}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -54,9 +54,9 @@
 	// EndedAt is zero while it runs. Whole says that all events were sent.
 	EndedAt time.Time
 	Complete bool
-	// MovedBy is the address that took its memory when it was ended, empty if it was
+	// MovedTo is the address that took its memory when it was ended, empty if it was
 	// not.
-	MovedBy string
+	MovedTo string
 	end     context.CancelFunc
 }
 
--- a/internal/standin/engine/inspect.go
+++ b/internal/standin/engine/inspect.go
@@ -85,7 +85,7 @@
 	}
 	handle := fmt.Sprint("h-", len(e.kept))
 	if ended != nil {
-		ended.MovedBy = call.Target
+		ended.MovedTo = call.Target
 		e.kept[handle] = true
 	}
 	e.mu.Unlock()
