--- a/internal/daemon/routed/world_test.go
+++ b/internal/daemon/routed/world_test.go
@@ -375,7 +375,7 @@
 func stream(id string, events int) string {
 	var out strings.Builder
 	for n := range events {
-		fmt.Fprintf(&out, "id: %d\ndata: %s\n\n", n, engine.Event(id, n))
+		fmt.Fprintf(&out, "id: %d\ndata: %s\n\n", n, engine.EventData(id, n))
 	}
 	return out.String()
 }
@@ -384,7 +384,7 @@
 func text(id string, events int) string {
 	lines := make([]string, events)
 	for n := range lines {
-		lines[n] = engine.Event(id, n)
+		lines[n] = engine.EventData(id, n)
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -102,8 +102,8 @@
 	return e.running, e.waiting
 }
 
-// Event gives the data of an event, which follows from the request's id alone.
-func Event(id string, n int) string { return fmt.Sprintf("%s#%d", id, n) }
+// EventData gives the data of an event, which follows from the request's id alone.
+func EventData(id string, n int) string { return fmt.Sprintf("%s#%d", id, n) }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -209,7 +209,7 @@
 	for n := entry.ResumedAfter + 1; n < events; n++ {
 		sent := n - entry.ResumedAfter - 1
 		if fault.BreakAfter > 0 && sent == fault.BreakAfter {
-			_, _ = fmt.Fprintf(out, "id: %d\ndata: %s", n, Event(entry.ID, n)[:3])
+			_, _ = fmt.Fprintf(out, "id: %d\ndata: %s", n, EventData(entry.ID, n)[:3])
 			out.flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -217,7 +217,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s\n\n", n, Event(entry.ID, n))
+		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s\n\n", n, EventData(entry.ID, n))
 		out.flush()
 		if n+1 < events && !e.step(r) {
 			return
