--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -205,7 +205,7 @@
 		return
 	}
 	out := e.begin(w, entry, fault)
-	events := Events(r.URL.Path)
+	events := EventCount(r.URL.Path)
 	for n := entry.ResumedAfter + 1; n < events; n++ {
 		sent := n - entry.ResumedAfter - 1
 		if fault.BreakAfter > 0 && sent == fault.BreakAfter {
@@ -241,8 +241,8 @@
 	}
 }
 
-// Events is the number of events that a path asks for: its last segment.
-func Events(path string) int {
+// EventCount is the number of events that a path asks for: its last segment.
+func EventCount(path string) int {
 	const usual = 10
 	for i := len(path) - 1; i >= 0; i-- {
 		if path[i] == '/' {
