--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -31,7 +31,7 @@
 
 func (t *target) comeBack() {
 	t.started = time.Now().UnixMilli()
-	t.Start(time.Now().Add(warmsFor))
+	t.Restart(time.Now().Add(warmsFor))
 	t.quiet = false
 	t.listen()
 }
@@ -132,7 +132,7 @@
 			w.undrain("d0")
 			if cold {
 				for _, target := range w.targets[:4] {
-					target.Start(began.Add(warmsFor))
+					target.Restart(began.Add(warmsFor))
 				}
 			}
 			pass(warmsFor)
--- a/internal/standin/engine/inspect.go
+++ b/internal/standin/engine/inspect.go
@@ -37,8 +37,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Start begins another life that warms up until a time. What ran before is not ended here.
-func (e *Engine) Start(warmAt time.Time) {
+// Restart begins another life that warms up until a time. What ran before is not ended here.
+func (e *Engine) Restart(warmAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.warmAt = warmAt
