--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -37,7 +37,7 @@
 // the memory of each was freed.
 func (w *world) endedRuns() (ended []engine.Run) {
 	for _, target := range w.targets {
-		require.Zero(w.t, target.Kept(), "memory at %s that nobody freed", target.id)
+		require.Zero(w.t, target.UnreleasedHandles(), "memory at %s that nobody freed", target.id)
 		for _, run := range target.Runs() {
 			if run.MovedTo != "" {
 				ended = append(ended, run)
--- a/internal/standin/engine/inspect.go
+++ b/internal/standin/engine/inspect.go
@@ -106,8 +106,8 @@
 	e.kept[handle] = false
 }
 
-// Kept counts the memory of ended runs that nobody freed.
-func (e *Engine) Kept() (count int) {
+// UnreleasedHandles counts the memory of ended runs that nobody freed.
+func (e *Engine) UnreleasedHandles() (count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, kept := range e.kept {
--- a/internal/transport/targetconn/inspect_test.go
+++ b/internal/transport/targetconn/inspect_test.go
@@ -86,7 +86,7 @@
 
 		require.NoError(t, f.EndRun(t.Context(), targetAddress, "one", "10.0.0.3:80"))
 		synctest.Wait()
-		require.Zero(t, f.target.Kept(), "memory of the ended run is freed")
+		require.Zero(t, f.target.UnreleasedHandles(), "memory of the ended run is freed")
 		report, err = f.Report(t.Context(), targetAddress)
 		require.NoError(t, err)
 		require.Equal(t, []string{"two"}, report.Runs)
