--- a/internal/standin/sharedstore/direct.go
+++ b/internal/standin/sharedstore/direct.go
@@ -7,13 +7,14 @@
 	"merlintiller/internal/external"
 )
 
-// Direct is the store without a network, for tests of what uses it. It
-// implements external.KeyedLog.
+// Direct gives in-process access to a Store, for tests that need no HTTP
+// connection. It implements external.KeyedLog.
 type Direct struct {
 	Store *Store
-	// BeforeAppend, if set, is called before each append and may make it fail.
+	// BeforeAppend, if set, is called before each append. The append fails
+	// with the error that it returns.
 	BeforeAppend func(records []external.KeyedRecord) error
-	// MaxReadRecords bounds the records of one read, if it is above 0.
+	// MaxReadRecords limits the records of one read. 0 means no limit.
 	MaxReadRecords int
 }
 
@@ -43,7 +44,7 @@
 func (d *Direct) Read(ctx context.Context, at external.Partition, from int64, wait time.Duration) (external.KeyedPage, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := wait <= 0; ; {
+	for timedOut := wait <= 0; ; {
 		d.Store.mu.Lock()
 		p := d.Store.partition(at.Topic, at.Number)
 		page := external.KeyedPage{First: p.first, End: p.end(), Next: p.end()}
@@ -63,13 +64,13 @@
 		switch {
 		case from < page.First:
 			return page, external.ErrTrimmed
-		case len(page.Records) > 0 || over:
+		case len(page.Records) > 0 || timedOut:
 			return page, nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return external.KeyedPage{}, external.ErrUnavailable
 		}
--- a/internal/standin/sharedstore/doc.go
+++ b/internal/standin/sharedstore/doc.go
@@ -1,5 +1,6 @@
-// Package sharedstore stands in for the users' store in tests: a log with keyed
-// topics, conditional appends, reads that wait, and groups that divide
-// partitions, on the wire form of the platform. Each caller has a door of its
-// own, which can be shut, slowed or made to lose answers.
+// Package sharedstore is an in-memory substitute, for tests, for the store that
+// the users of Merlintiller operate. It has topics of keyed records with
+// conditional appends, long-poll reads, and consumer groups that divide the
+// partitions, over the wire format of the platform. Each caller has an Endpoint
+// of its own, on which a test can inject outages, delays and lost replies.
 package sharedstore
--- a/internal/standin/sharedstore/door.go
+++ b/internal/standin/sharedstore/endpoint.go
@@ -11,68 +11,72 @@
 	"time"
 )
 
-// Fault is what is wrong at a door.
+// Fault describes the faults injected at an Endpoint.
 type Fault struct {
-	// Status answers every call with this status, if it is not 0.
+	// Status is the HTTP status that answers every call. 0 means no fault.
 	Status int
-	// Silent answers no call, Reset closes its connection.
+	// Silent leaves every call unanswered until the fault is replaced or the
+	// caller gives up. Reset closes the connection of every call.
 	Silent, Reset bool
-	// Delay is the time that each answer takes.
+	// Delay is added to each call before it is processed.
 	Delay time.Duration
-	// LoseAppendReplies does what is asked and does not answer, for the next so many
-	// writes. LateBy does it so much later.
+	// LoseAppendReplies is the number of further appends that take effect
+	// but get no reply. AppendDelay is the time until such an append takes
+	// effect.
 	LoseAppendReplies int
-	AppendDelay     time.Duration
-	// NoReadWakeup lets reads that wait hear nothing.
+	AppendDelay       time.Duration
+	// NoReadWakeup makes a waiting read return only when its wait time is
+	// over, also if records are appended earlier.
 	NoReadWakeup bool
 }
 
-// Endpoint is one caller's way to the store. It is an http.Handler.
+// Endpoint is one caller's access to a Store, as an http.Handler.
 type Endpoint struct {
 	store *Store
 
 	mu    sync.Mutex
 	fault Fault
-	// changed is closed when the fault changes, so that calls that hang can end.
+	// changed is closed when the fault is replaced, which ends silent calls.
 	changed chan struct{}
 }
 
-// NewEndpoint returns a new way to the store.
+// NewEndpoint returns a new Endpoint of the store, without faults.
 func (s *Store) NewEndpoint() *Endpoint { return &Endpoint{store: s, changed: make(chan struct{})} }
 
-// Set replaces what is wrong.
-func (d *Endpoint) Set(f Fault) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fault = f
-	close(d.changed)
-	d.changed = make(chan struct{})
+// Set replaces the injected faults.
+func (e *Endpoint) Set(f Fault) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.fault = f
+	close(e.changed)
+	e.changed = make(chan struct{})
 }
 
-func (d *Endpoint) state() (Fault, <-chan struct{}) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.fault, d.changed
+func (e *Endpoint) currentFault() (Fault, <-chan struct{}) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.fault, e.changed
 }
 
-// loses says whether the answer to this write is lost.
-func (d *Endpoint) loses() (lost bool, by time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.fault.LoseAppendReplies == 0 {
+// takeLostReply reports whether the reply to this append is to be lost, counts it
+// against LoseAppendReplies, and returns the delay of the append.
+func (e *Endpoint) takeLostReply() (lost bool, delay time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.fault.LoseAppendReplies == 0 {
 		return false, 0
 	}
-	d.fault.LoseAppendReplies--
-	return true, d.fault.AppendDelay
+	e.fault.LoseAppendReplies--
+	return true, e.fault.AppendDelay
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	fault, changed := d.state()
+	fault, changed := e.currentFault()
 	if fault.Delay > 0 {
 		pause(r.Context(), fault.Delay)
 	}
@@ -90,10 +94,10 @@
 		panic(http.ErrAbortHandler)
 	}
 	kind := strings.TrimPrefix(r.URL.Path, "/")
-	d.store.mu.Lock()
-	d.store.calls[kind]++
-	d.store.mu.Unlock()
-	d.serve(w, r, kind, body, fault)
+	e.store.mu.Lock()
+	e.store.calls[kind]++
+	e.store.mu.Unlock()
+	e.serve(w, r, kind, body, fault)
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -105,30 +109,30 @@
 	}
 }
 
-func (d *Endpoint) serve(w http.ResponseWriter, r *http.Request, kind string, body []byte, fault Fault) {
+func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request, kind string, body []byte, fault Fault) {
 	switch kind {
 	case "log-append":
-		if lost, by := d.loses(); lost {
-			time.AfterFunc(by, func() { d.store.appendCall(r, body) })
+		if lost, delay := e.takeLostReply(); lost {
+			time.AfterFunc(delay, func() { e.store.appendCall(r, body) })
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
-		status, reply := d.store.appendCall(r, body)
-		answer(w, status, reply)
+		status, reply := e.store.appendCall(r, body)
+		writeJSON(w, status, reply)
 	case "log-read":
-		d.store.readCall(w, r, fault.NoReadWakeup)
+		e.store.readCall(w, r, fault.NoReadWakeup)
 	case "log-newest":
-		status, reply := d.store.newestCall(r)
-		answer(w, status, reply)
+		status, reply := e.store.newestCall(r)
+		writeJSON(w, status, reply)
 	case "log-join", "log-leave":
-		status, reply := d.store.memberCall(kind, body)
-		answer(w, status, reply)
+		status, reply := e.store.membershipCall(kind, body)
+		writeJSON(w, status, reply)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-func answer(w http.ResponseWriter, status int, reply any) {
+func writeJSON(w http.ResponseWriter, status int, reply any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if reply != nil {
@@ -136,14 +140,14 @@
 	}
 }
 
-// named gives the topic and partition of a call.
-func named(r *http.Request) (topic string, number int) {
+// topicAndPartition returns the topic and the partition number of a call.
+func topicAndPartition(r *http.Request) (topic string, number int) {
 	number, _ = strconv.Atoi(r.URL.Query().Get("part"))
 	return r.URL.Query().Get("topic"), number
 }
 
 func (s *Store) appendCall(r *http.Request, body []byte) (status int, reply any) {
-	topic, number := named(r)
+	topic, number := topicAndPartition(r)
 	if topic == "keyed.op" || topic == "keyed.servers" {
 		return http.StatusForbidden, nil
 	}
@@ -162,17 +166,17 @@
 	return http.StatusOK, map[string]int64{"offset": offset, "end": p.end()}
 }
 
-func (s *Store) readCall(w http.ResponseWriter, r *http.Request, deaf bool) {
-	topic, number := named(r)
+func (s *Store) readCall(w http.ResponseWriter, r *http.Request, noWakeup bool) {
+	topic, number := topicAndPartition(r)
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	most := 1024
+	maxKB := 1024
 	if n, err := strconv.Atoi(r.URL.Query().Get("max_kb")); err == nil {
-		most = n
+		maxKB = n
 	}
 	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer deadline.Stop()
-	for over := wait == 0; ; {
+	for timedOut := wait == 0; ; {
 		s.mu.Lock()
 		p := s.partition(topic, number)
 		first, end, changed := p.first, p.end(), p.changed
@@ -182,27 +186,28 @@
 		}
 		s.mu.Unlock()
 		switch {
-		case deaf && !over:
+		case noWakeup && !timedOut:
 			changed = nil
 		case from < first:
-			answer(w, http.StatusGone, map[string]int64{"first": first})
+			writeJSON(w, http.StatusGone, map[string]int64{"first": first})
 			return
-		case len(records) > 0 || over:
-			_, _ = w.Write(joinRecords(end, first, atMost(records, most<<10)))
+		case len(records) > 0 || timedOut:
+			_, _ = w.Write(joinRecords(end, first, limitBytes(records, maxKB<<10)))
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// atMost gives the first records up to a size, one at least.
-func atMost(records [][]byte, size int) [][]byte {
+// limitBytes returns the leading records whose total size is at most size bytes,
+// but at least one record.
+func limitBytes(records [][]byte, size int) [][]byte {
 	for i, record := range records {
 		size -= len(record)
 		if size < 0 && i > 0 {
@@ -213,18 +218,18 @@
 }
 
 func (s *Store) newestCall(r *http.Request) (status int, reply any) {
-	topic, number := named(r)
+	topic, number := topicAndPartition(r)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partition(topic, number)
-	items, more := p.sorted(r.URL.Query().Get("after"))
+	items, more := p.newestAfter(r.URL.Query().Get("after"))
 	if items == nil {
 		items = []newest{}
 	}
 	return http.StatusOK, map[string]any{"items": items, "more": more, "end": p.end()}
 }
 
-func (s *Store) memberCall(kind string, body []byte) (status int, reply any) {
+func (s *Store) membershipCall(kind string, body []byte) (status int, reply any) {
 	var call struct {
 		Group, Member string
 		Topics        []string
@@ -241,9 +246,9 @@
 		}
 		return http.StatusOK, map[string]any{}
 	}
-	generation, held := s.join(call.Group, call.Member, time.Duration(atLeast(call.TTLMillis, 1000))*time.Millisecond)
+	generation, owned := s.join(call.Group, call.Member, time.Duration(atLeast(call.TTLMillis, 1000))*time.Millisecond)
 	rows := [][]any{}
-	for _, number := range held {
+	for _, number := range owned {
 		rows = append(rows, []any{call.Topics[0], number, 0})
 	}
 	return http.StatusOK, map[string]any{"generation": generation, "ttl_ms": call.TTLMillis, "parts": rows}
--- a/internal/standin/sharedstore/store.go
+++ b/internal/standin/sharedstore/store.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Store is the content. It is safe for concurrent use.
+// Store holds the topics and consumer groups. It is safe for concurrent use.
 type Store struct {
 	parts int
 
@@ -20,14 +20,14 @@
 	calls  map[string]int
 }
 
-// New returns an empty store whose topics have a number of partitions.
+// New returns an empty store in which each topic has the given number of partitions.
 func New(parts int) *Store {
 	return &Store{parts: parts, topics: map[string][]*partition{}, groups: map[string]*group{}, calls: map[string]int{}}
 }
 
 type partition struct {
 	records [][]byte
-	// first is the oldest offset kept.
+	// first is the offset of the oldest record that is kept.
 	first   int64
 	newest  map[string]newest
 	changed chan struct{}
@@ -41,7 +41,7 @@
 
 func (p *partition) end() int64 { return p.first + int64(len(p.records)) }
 
-// partition needs the lock.
+// partition returns a partition and creates its topic if needed. The caller holds s.mu.
 func (s *Store) partition(topic string, number int) *partition {
 	list := s.topics[topic]
 	if list == nil {
@@ -54,8 +54,8 @@
 	return list[number]
 }
 
-// Put writes one keyed record, as the operator and targets do. An empty value
-// drops the key.
+// Put appends one keyed record to partition 0, as the operator and the targets
+// do. An empty value deletes the key.
 func (s *Store) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	s.partition(topic, 0).append([][]byte{append(record, value...)})
 }
 
-// Trim drops the history of a topic; the newest records stay.
+// Trim deletes the history of a topic. The newest record of each key is kept.
 func (s *Store) Trim(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Newest gives the value of a key.
+// Newest returns the newest value of a key.
 func (s *Store) Newest(topic string, number int, key string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	return found.Value, ok
 }
 
-// CallCount counts the calls of a kind, such as "log-append".
+// CallCount returns the number of calls of a kind, such as "log-append".
 func (s *Store) CallCount(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,16 +106,18 @@
 	p.changed = make(chan struct{})
 }
 
-// page is at most so many keys of the newest records.
-const page = 500
+// newestPageSize is the maximum number of keys in one reply to log-newest.
+const newestPageSize = 500
 
-func (p *partition) sorted(after string) (items []newest, more bool) {
+// newestAfter returns the newest records whose key sorts after the given one, in
+// key order, up to newestPageSize. more reports whether further keys follow.
+func (p *partition) newestAfter(after string) (items []newest, more bool) {
 	keys := slices.Sorted(maps.Keys(p.newest))
 	for _, key := range keys {
 		if key <= after {
 			continue
 		}
-		if len(items) == page {
+		if len(items) == newestPageSize {
 			return items, true
 		}
 		items = append(items, p.newest[key])
@@ -123,24 +125,25 @@
 	return items, false
 }
 
-// group divides partitions among its members.
+// group divides the partitions among its members.
 type group struct {
 	generation int64
 	members    map[string]*member
 	owner      map[int]string
-	// shift turns the order of the members at each dealing anew.
-	shift int
+	// rotation shifts the assignment of partitions to members. Rebalance increments it.
+	rotation int
 }
 
 type member struct {
-	until time.Time
-	// seen is the generation that the member was told last.
+	expiresAt time.Time
+	// seen is the generation that the member was last given.
 	seen int64
 }
 
-// join keeps a member in a group and gives its partitions. A partition that
-// moves is given to its new member once the old one has come by or is gone.
-func (s *Store) join(name, who string, ttl time.Duration) (generation int64, held []int) {
+// join adds a member to a group or renews its membership, and returns the
+// partitions that it owns. A partition that moves to another member is assigned
+// only after its previous owner has called join again or has been removed.
+func (s *Store) join(name, memberName string, ttl time.Duration) (generation int64, owned []int) {
 	g := s.groups[name]
 	if g == nil {
 		g = &group{members: map[string]*member{}, owner: map[int]string{}}
@@ -148,60 +151,60 @@
 	}
 	now := time.Now()
 	for other, m := range g.members {
-		if now.After(m.until) {
+		if now.After(m.expiresAt) {
 			g.remove(other)
 		}
 	}
-	m := g.members[who]
+	m := g.members[memberName]
 	if m == nil {
 		m = &member{}
-		g.members[who] = m
+		g.members[memberName] = m
 		g.generation++
 	}
-	m.until = now.Add(ttl)
+	m.expiresAt = now.Add(ttl)
 	m.seen = g.generation
 	names := slices.Sorted(maps.Keys(g.members))
 	for number := range s.parts {
-		wanted := names[(number+g.shift)%len(names)]
+		assigned := names[(number+g.rotation)%len(names)]
 		switch owner := g.owner[number]; {
-		case owner == who && wanted != who:
+		case owner == memberName && assigned != memberName:
 			delete(g.owner, number)
-		case owner == "" && wanted == who:
-			g.owner[number] = who
+		case owner == "" && assigned == memberName:
+			g.owner[number] = memberName
 		}
-		if g.owner[number] == who {
-			held = append(held, number)
+		if g.owner[number] == memberName {
+			owned = append(owned, number)
 		}
 	}
-	return g.generation, held
+	return g.generation, owned
 }
 
-func (g *group) remove(who string) {
-	if g.members[who] == nil {
+func (g *group) remove(memberName string) {
+	if g.members[memberName] == nil {
 		return
 	}
-	delete(g.members, who)
+	delete(g.members, memberName)
 	g.generation++
 	for number, owner := range g.owner {
-		if owner == who {
+		if owner == memberName {
 			delete(g.owner, number)
 		}
 	}
 }
 
-// Rebalance takes all partitions of all groups from their members and gives them to
-// the next ones.
+// Rebalance takes all partitions of all groups from their owners and assigns them
+// to the next members.
 func (s *Store) Rebalance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.groups {
 		g.generation++
-		g.shift++
+		g.rotation++
 		g.owner = map[int]string{}
 	}
 }
 
-// splitRecords reads the body of an append.
+// splitRecords decodes the body of an append.
 func splitRecords(body []byte) (records [][]byte, ok bool) {
 	for len(body) > 0 {
 		if len(body) < 4 {
@@ -217,7 +220,7 @@
 	return records, true
 }
 
-// joinRecords writes the body of a read.
+// joinRecords encodes the reply to a read.
 func joinRecords(end, first int64, records [][]byte) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))
 	out = binary.BigEndian.AppendUint64(out, uint64(first))
@@ -228,5 +231,5 @@
 	return out
 }
 
-// atLeast keeps a number from below.
+// atLeast returns the larger of n and least.
 func atLeast[T cmp.Ordered](n, least T) T { return max(n, least) }
