--- a/internal/standin/target/call.go
+++ b/internal/standin/target/call.go
@@ -14,21 +14,21 @@
 	"merlintiller/internal/protocol"
 )
 
-// maxBody bounds a request body.
+// maxBody is the maximum size of a request body in bytes.
 const maxBody = 8 << 20
 
-// Executions counts the calls that took effect.
+// Executions counts the calls that took effect, by call id and by BodyKey.
 type Executions struct {
 	ByCall map[protocol.CallID]int `json:"by_call"`
 	ByBody map[string]int          `json:"by_body"`
 }
 
-// BodyKey is the key of a body in Executions.ByBody.
+// BodyKey returns the key of a request body in Executions.ByBody.
 func BodyKey(body []byte) string {
-	return hex.EncodeToString(binaryHash(xxhash.Sum64(body)))
+	return hex.EncodeToString(bigEndianBytes(xxhash.Sum64(body)))
 }
 
-func binaryHash(n uint64) []byte {
+func bigEndianBytes(n uint64) []byte {
 	out := make([]byte, 8)
 	for i := range out {
 		out[i] = byte(n >> (56 - 8*i))
@@ -36,13 +36,13 @@
 	return out
 }
 
-// work runs a call whose body was read and whose faults are known.
-type work func(w http.ResponseWriter, r *http.Request, body []byte, faults Faults)
+// callFunc runs a call. The body has been read and the faults have been chosen.
+type callFunc func(w http.ResponseWriter, r *http.Request, body []byte, faults Faults)
 
-// call wraps the work of a call: leaving state, faults, cancel and the echo of
-// the call id.
-func (t *Target) call(run work) http.HandlerFunc {
-	return t.frozen(func(w http.ResponseWriter, r *http.Request) {
+// call wraps a callFunc with what all calls share: rejection, faults, cancellation,
+// and the call id in the answer.
+func (t *Target) call(run callFunc) http.HandlerFunc {
+	return t.waitWhileFrozen(func(w http.ResponseWriter, r *http.Request) {
 		id := protocol.CallID(r.Header.Get(HeaderCallID))
 		w.Header().Set(HeaderCallID, string(id))
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -94,22 +94,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running[id] = cancel
-	t.sample()
+	t.recordLoad()
 }
 
 func (t *Target) end(id protocol.CallID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.running, id)
-	t.sample()
+	t.recordLoad()
 }
 
-// effect counts an execution.
-func (t *Target) effect(id string, body []byte) {
+// countExecution counts a call that takes effect.
+func (t *Target) countExecution(id string, body []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.runs.ByCall[protocol.CallID(id)]++
-	t.runs.ByBody[BodyKey(body)]++
+	t.counts.ByCall[protocol.CallID(id)]++
+	t.counts.ByBody[BodyKey(body)]++
 }
 
 func (t *Target) cancel(w http.ResponseWriter, r *http.Request) {
@@ -124,15 +124,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ExecutionCounts copies the execution counts.
+// ExecutionCounts returns a copy of the execution counts.
 func (t *Target) ExecutionCounts() Executions {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := Executions{ByCall: map[protocol.CallID]int{}, ByBody: map[string]int{}}
-	for id, n := range t.runs.ByCall {
+	for id, n := range t.counts.ByCall {
 		out.ByCall[id] = n
 	}
-	for key, n := range t.runs.ByBody {
+	for key, n := range t.counts.ByBody {
 		out.ByBody[key] = n
 	}
 	return out
@@ -142,43 +142,43 @@
 	writeJSON(w, t.ExecutionCounts())
 }
 
-// hangUp closes the connection without an answer.
-func hangUp() {
+// abortConnection closes the connection without completing the answer.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// crossed is an answer that waits to be swapped with another.
-type crossed struct {
+// recordedAnswer is a complete answer that can be swapped with that of another call.
+type recordedAnswer struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func (c *crossed) Header() http.Header         { return c.header }
-func (c *crossed) WriteHeader(status int)      { c.status = status }
-func (c *crossed) Write(p []byte) (int, error) { return c.body.Write(p) }
-func (c *crossed) Flush()                      {}
+func (c *recordedAnswer) Header() http.Header         { return c.header }
+func (c *recordedAnswer) WriteHeader(status int)      { c.status = status }
+func (c *recordedAnswer) Write(p []byte) (int, error) { return c.body.Write(p) }
+func (c *recordedAnswer) Flush()                      {}
 
-// crossWait is the default of Faults.CrossWaitMS.
-const crossWait = 50 * time.Millisecond
+// defaultCrossWait is the default of Faults.CrossWaitMS.
+const defaultCrossWait = 50 * time.Millisecond
 
-// cross gives this call the answer of another one that runs now.
-func (t *Target) cross(w http.ResponseWriter, r *http.Request, run work, body []byte, faults Faults) {
-	own := &crossed{header: http.Header{}, status: http.StatusOK}
+// cross sends this call the answer of a concurrent call, see Faults.Cross.
+func (t *Target) cross(w http.ResponseWriter, r *http.Request, run callFunc, body []byte, faults Faults) {
+	own := &recordedAnswer{header: http.Header{}, status: http.StatusOK}
 	own.header.Set(HeaderCallID, r.Header.Get(HeaderCallID))
 	run(own, r, body, Faults{})
 	other := own
-	wait := crossWait
+	wait := defaultCrossWait
 	if faults.CrossWaitMS > 0 {
 		wait = time.Duration(faults.CrossWaitMS) * time.Millisecond
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case t.crossing <- own:
-		other = <-t.crossing
-	case other = <-t.crossing:
-		t.crossing <- own
+	case t.swap <- own:
+		other = <-t.swap
+	case other = <-t.swap:
+		t.swap <- own
 	case <-timer.C:
 		own.header.Set(HeaderCallID, "late-answer-of-another-call")
 	}
--- a/internal/standin/target/chat.go
+++ b/internal/standin/target/chat.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// request is what the stand-in reads of a chat or text completion.
+// request holds the fields of a chat or text completion request that the target reads.
 type request struct {
 	Model         string    `json:"model"`
 	Messages      []message `json:"messages"`
@@ -29,7 +29,7 @@
 	Content any    `json:"content"`
 }
 
-// text is all that the answer depends on.
+// text returns the prompt text. The answer depends on nothing else.
 func (q *request) text() string {
 	var b strings.Builder
 	for _, m := range q.Messages {
@@ -59,28 +59,30 @@
 	}
 }
 
-func (q *request) tokens(standard int) int {
+// tokens returns the number of tokens to generate.
+func (q *request) tokens(defaultTokens int) int {
 	switch {
 	case q.MaxCompletionTokens > 0:
 		return q.MaxCompletionTokens
 	case q.MaxTokens > 0:
 		return q.MaxTokens
 	default:
-		return standard
+		return defaultTokens
 	}
 }
 
-// ChatPrompt is the prompt text of a chat with a single user message, the input
-// of Text and Token.
+// ChatPrompt returns the prompt text of a chat with a single user message, as
+// AnswerText and Token take it.
 func ChatPrompt(content string) string { return "user:" + content + "\n" }
 
-// Token is token i of the answer to a prompt: it names the prompt's hash, so
-// that a caller sees whether it got its own answer and all of it.
+// Token returns token i of the answer to a prompt. It contains a hash of the prompt
+// and the index, so that a caller can check that the answer is its own and
+// complete.
 func Token(prompt string, i int) string {
 	return fmt.Sprintf("%016x.%d ", xxhash.Sum64String(prompt), i)
 }
 
-// AnswerText is the whole answer of n tokens to a prompt.
+// AnswerText returns the complete answer of n tokens to a prompt.
 func AnswerText(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -119,7 +121,7 @@
 
 var stopReason = "stop"
 
-// generation is one answer being made.
+// generation is an answer that is being generated.
 type generation struct {
 	target  *Target
 	request request
@@ -138,8 +140,8 @@
 	g.prompt = g.request.text()
 	g.tokens = g.request.tokens(t.cfg.Tokens)
 	g.id = fmt.Sprintf("cmpl-%016x", xxhash.Sum64String(g.prompt))
-	t.effect(r.Header.Get(HeaderCallID), body)
-	t.cached(xxhash.Sum64String(g.prompt))
+	t.countExecution(r.Header.Get(HeaderCallID), body)
+	t.addCacheEvent(xxhash.Sum64String(g.prompt))
 	if !pause(r, t.cfg.PrefillTime) {
 		return
 	}
@@ -147,23 +149,23 @@
 		g.stream(w, r, faults)
 		return
 	}
-	g.whole(w, r, faults)
+	g.writeCompletion(w, r, faults)
 }
 
-// tokenTime is the pace now: the more in flight, the slower each token.
+// tokenTime returns the current time per token, which grows with the calls in flight.
 func (t *Target) tokenTime() time.Duration {
 	others := time.Duration(max(0, t.InFlight()-1))
 	return t.cfg.TokenTime + others*t.cfg.TokenTimePerStream
 }
 
-func (g *generation) whole(w http.ResponseWriter, r *http.Request, faults Faults) {
+func (g *generation) writeCompletion(w http.ResponseWriter, r *http.Request, faults Faults) {
 	for range g.tokens {
 		if !pause(r, g.target.tokenTime()) {
 			return
 		}
 	}
 	if faults.LoseAnswer {
-		hangUp()
+		abortConnection()
 	}
 	answer := g.answer("chat.completion", "text_completion")
 	c := choice{FinishReason: &stopReason}
@@ -178,7 +180,7 @@
 	if faults.CutAfter > 0 {
 		w.Header().Set("Content-Length", "1000000")
 		writeJSON(w, answer)
-		hangUp()
+		abortConnection()
 	}
 	writeJSON(w, answer)
 }
@@ -202,41 +204,42 @@
 		from = 0
 	}
 	if faults.LoseAnswer {
-		hangUp()
+		abortConnection()
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := max(0, from); i < g.tokens; i++ {
 		if !pause(r, g.target.tokenTime()) {
 			return
 		}
-		if !g.proceeds(r, faults, i) {
+		if !g.applyStreamFaults(r, faults, i) {
 			return
 		}
-		g.event(w, i+1, g.token(i))
+		g.writeEvent(w, i+1, g.tokenChunk(i))
 	}
 	if from <= g.tokens {
-		g.event(w, g.tokens+1, g.finish())
+		g.writeEvent(w, g.tokens+1, g.finishChunk())
 	}
 	if g.request.StreamOptions.IncludeUsage {
 		last := g.answer("chat.completion.chunk", "text_completion")
 		last.Usage = g.usage()
-		g.event(w, g.tokens+2, last)
+		g.writeEvent(w, g.tokens+2, last)
 	}
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// proceeds shows the faults of a stream before token i.
-func (g *generation) proceeds(r *http.Request, faults Faults, i int) bool {
+// applyStreamFaults applies the faults that are due before token i. It returns
+// false if no further tokens are to be sent.
+func (g *generation) applyStreamFaults(r *http.Request, faults Faults, i int) bool {
 	if faults.CutAfter > 0 && i == faults.CutAfter {
-		hangUp()
+		abortConnection()
 	}
 	if faults.HoldAfter > 0 && i == faults.HoldAfter {
-		return g.target.hold(r)
+		return g.target.waitForFaults(r)
 	}
 	return faults.EndAfter == 0 || i < faults.EndAfter
 }
 
-func (g *generation) token(i int) completion {
+func (g *generation) tokenChunk(i int) completion {
 	chunk := g.answer("chat.completion.chunk", "text_completion")
 	c := choice{}
 	if g.isChat {
@@ -251,7 +254,7 @@
 	return chunk
 }
 
-func (g *generation) finish() completion {
+func (g *generation) finishChunk() completion {
 	chunk := g.answer("chat.completion.chunk", "text_completion")
 	c := choice{FinishReason: &stopReason}
 	if g.isChat {
@@ -261,9 +264,9 @@
 	return chunk
 }
 
-// event writes one server-sent event. Its id is the number of events that a
-// reader has once it got this one: where the stream can be resumed.
-func (g *generation) event(w http.ResponseWriter, position int, chunk completion) {
+// writeEvent writes one server-sent event. Its id is the number of events that the
+// caller has received with it, which is the position to resume the stream at.
+func (g *generation) writeEvent(w http.ResponseWriter, position int, chunk completion) {
 	data, _ := json.Marshal(chunk)
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", position, data)
 	if f, ok := w.(http.Flusher); ok {
--- a/internal/standin/target/config.go
+++ b/internal/standin/target/config.go
@@ -1,6 +1,6 @@
-// Package target is the stand-in for a target: a model engine that batches
-// continuously, or a plain service whose calls may not be repeated. It is
-// small, deterministic in what it answers, and shows faults on request.
+// Package target simulates a target: a model engine with continuous batching, or
+// a plain service whose calls are not idempotent. Its answers are deterministic,
+// and faults can be injected over HTTP or by SetFaults.
 package target
 
 import (
@@ -9,29 +9,31 @@
 	"merlintiller/internal/protocol"
 )
 
-// Config describes one stand-in.
+// Config holds the settings of one Target.
 type Config struct {
 	ID      protocol.TargetID
 	Service protocol.ServiceName
 	Domain  protocol.Domain
-	// Kind is a model engine or a plain service.
+	// Kind is KindModel, the default, or KindPlain.
 	Kind protocol.ServiceKind
-	// Address to listen on, "ip:port". Used by Run only.
+	// Address is the listen address, "ip:port". Only Run uses it.
 	Address string
-	// TokenTime is the time of one token with nothing else in flight, and
-	// TokenTimePerStream what each other stream adds. Zero does not wait.
+	// TokenTime is the time to generate one token with a single call in
+	// flight. TokenTimePerStream is added for each other call in flight. Zero
+	// does not wait.
 	TokenTime, TokenTimePerStream time.Duration
-	// PrefillTime is the time to the first token beside TokenTime.
+	// PrefillTime is the time before generation of the first token begins.
 	PrefillTime time.Duration
-	// CallTime is how long a plain service works on a call.
+	// CallTime is the processing time of a call to a plain service.
 	CallTime time.Duration
-	// Tokens is the length of an answer whose request sets no max_tokens.
+	// Tokens is the number of tokens of an answer whose request sets neither
+	// max_completion_tokens nor max_tokens. Default 32.
 	Tokens int
 	// LoadLag is the age of the load that the target reports.
 	LoadLag time.Duration
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing makes the target reject orders with an outdated fencing number.
 	ChecksFencing bool
-	// OrderTime is how long the target works on an order.
+	// OrderTime is the time that the target needs to carry out an order.
 	OrderTime time.Duration
 }
 
@@ -45,7 +47,9 @@
 	return c
 }
 
-// Headers of the stand-in's wire form.
+// Headers that the target reads or sets. HeaderResumeAt holds the number of
+// events that the caller already has. HeaderNotRun states that a rejected call
+// was not executed, HeaderLeaving that the target accepts no new calls.
 const (
 	HeaderCallID   = "X-Call-Id"
 	HeaderResumeAt = "X-Resume-At"
--- a/internal/standin/target/faults.go
+++ b/internal/standin/target/faults.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// Faults are the switches that POST /faults sets. The zero value is none.
+// Faults are the injected faults, set by POST /faults. The zero value injects none.
 type Faults struct {
-	// Refuse answers 503 and says that the call did not begin.
+	// Refuse rejects calls with 503 and the header HeaderNotRun.
 	Refuse bool `json:"refuse,omitempty"`
 	// Fail answers 500 without running the call.
 	Fail bool `json:"fail,omitempty"`
-	// DelayMS waits before each call.
+	// DelayMS is the delay of each call before it runs, in milliseconds.
 	DelayMS int `json:"delay_ms,omitempty"`
 	// LoseAnswer runs the call and closes the connection without an answer.
 	LoseAnswer bool `json:"lose_answer,omitempty"`
-	// CutAfter closes the connection of a stream that comes to this token.
+	// CutAfter closes the connection of a stream before the token with this
+	// index. Any value above 0 cuts an answer that is not streamed short of
+	// its Content-Length.
 	CutAfter int `json:"cut_after,omitempty"`
-	// EndAfter ends a stream after so many tokens, tidily but without its end
-	// mark.
+	// EndAfter ends the token events of a stream after this number of tokens.
+	// The HTTP response ends normally, but without the end marker.
 	EndAfter int `json:"end_after,omitempty"`
-	// HoldAfter stops a stream after so many tokens until the switches are
-	// set again.
+	// HoldAfter stalls a stream after this number of tokens until the faults
+	// are replaced.
 	HoldAfter int `json:"hold_after,omitempty"`
-	// IgnoreResume starts every stream at its beginning.
+	// IgnoreResume starts every stream at its first token, despite HeaderResumeAt.
 	IgnoreResume bool `json:"ignore_resume,omitempty"`
-	// Cross swaps the answers of two calls that run at the same time.
+	// Cross swaps the answers of two concurrent calls.
 	Cross bool `json:"cross,omitempty"`
-	// CrossWaitMS is how long a call waits for another to swap answers with;
-	// after it the answer echoes an id that nobody asked for. Default 50.
+	// CrossWaitMS is how long a call waits for a second one to swap answers
+	// with, in milliseconds. After that, its own answer is sent with a call id
+	// that no caller used. Default 50.
 	CrossWaitMS int `json:"cross_wait_ms,omitempty"`
-	// Freeze accepts connections and answers nothing until it is switched
-	// off, as a paused process does.
+	// Freeze accepts connections and answers nothing until the faults are
+	// replaced, like a process that is paused.
 	Freeze bool `json:"freeze,omitempty"`
-	// Times limits the faults to so many calls; 0 means no limit.
+	// Times is the number of calls that the faults apply to. 0 means no limit.
 	Times int `json:"times,omitempty"`
 }
 
@@ -48,7 +51,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults and releases the calls that they stall.
 func (t *Target) SetFaults(faults Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +60,7 @@
 	t.faults = faults
 }
 
-// takeFaults gives the faults of one call and counts it against Times.
+// takeFaults returns the faults for one call and counts the call against Times.
 func (t *Target) takeFaults() Faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,8 +74,8 @@
 	return faults
 }
 
-// frozen holds a request back while the target is frozen.
-func (t *Target) frozen(next http.HandlerFunc) http.HandlerFunc {
+// waitWhileFrozen delays each request for as long as Faults.Freeze is set.
+func (t *Target) waitWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for {
 			t.mu.Lock()
@@ -82,22 +85,25 @@
 				next(w, r)
 				return
 			}
-			if !waitFor(r, changed) {
+			if !waitForClose(r, changed) {
 				return
 			}
 		}
 	}
 }
 
-// hold stops a stream until the switches are set again.
-func (t *Target) hold(r *http.Request) bool {
+// waitForFaults blocks until the faults are replaced. It returns false if the
+// request is cancelled first.
+func (t *Target) waitForFaults(r *http.Request) bool {
 	t.mu.Lock()
 	changed := t.changed
 	t.mu.Unlock()
-	return waitFor(r, changed)
+	return waitForClose(r, changed)
 }
 
-func waitFor(r *http.Request, changed <-chan struct{}) bool {
+// waitForClose blocks until the channel is closed. It returns false if the request
+// is cancelled first.
+func waitForClose(r *http.Request, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
@@ -106,7 +112,7 @@
 	}
 }
 
-// pause waits on the request's own time.
+// pause waits for d. It returns false if the request is cancelled first.
 func pause(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
--- a/internal/standin/target/load.go
+++ b/internal/standin/target/load.go
@@ -9,27 +9,27 @@
 	"merlintiller/internal/protocol"
 )
 
-// loadSample is the number of calls in flight from a time on.
+// loadSample is the number of calls in flight from a moment on.
 type loadSample struct {
 	at      time.Time
 	running int
 }
 
-// maxSamples bounds the history of the load.
+// maxSamples limits the load history. Beyond it, the older half is dropped.
 const maxSamples = 4096
 
-// sample notes the load. The caller holds the lock.
-func (t *Target) sample() {
-	t.loads = append(t.loads, loadSample{at: time.Now(), running: len(t.running)})
-	if len(t.loads) > maxSamples {
-		t.loads = append(t.loads[:0], t.loads[maxSamples/2:]...)
+// recordLoad adds the current load to the history. The caller holds t.mu.
+func (t *Target) recordLoad() {
+	t.loadHistory = append(t.loadHistory, loadSample{at: time.Now(), running: len(t.running)})
+	if len(t.loadHistory) > maxSamples {
+		t.loadHistory = append(t.loadHistory[:0], t.loadHistory[maxSamples/2:]...)
 	}
 }
 
-// lagged is the load as it was LoadLag ago. The caller holds the lock.
-func (t *Target) lagged(now time.Time) int {
+// laggedLoad returns the load as it was LoadLag ago. The caller holds t.mu.
+func (t *Target) laggedLoad(now time.Time) int {
 	running := 0
-	for _, s := range t.loads {
+	for _, s := range t.loadHistory {
 		if now.Sub(s.at) < t.cfg.LoadLag {
 			break
 		}
@@ -42,7 +42,7 @@
 	t.mu.Lock()
 	report := external.Load{
 		Target:  t.cfg.ID,
-		Running: t.lagged(time.Now()),
+		Running: t.laggedLoad(time.Now()),
 		Leaving: t.leaving,
 		AgeMS:   t.cfg.LoadLag.Milliseconds(),
 	}
@@ -55,20 +55,21 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Leave makes the target refuse new calls. Those in flight go on.
+// Leave makes the target reject new calls. Calls in flight continue.
 func (t *Target) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = true
 }
 
-// cacheLog keeps the last cache events.
+// cacheLog holds the most recent cache events.
 type cacheLog struct {
 	events []external.CacheEvent
 	seq    uint64
 }
 
-// maxCacheEvents bounds the kept events; older ones are a gap to readers.
+// maxCacheEvents limits the events that are kept. A reader that needs older ones
+// sees a gap in the sequence numbers.
 const maxCacheEvents = 256
 
 func (c *cacheLog) add(id protocol.TargetID, prefix uint64) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// cached notes that the target holds the cache of a prompt.
-func (t *Target) cached(prefix uint64) {
+// addCacheEvent records that the target has cached a prompt.
+func (t *Target) addCacheEvent(prefix uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cache.add(t.cfg.ID, prefix)
--- a/internal/standin/target/orders.go
+++ b/internal/standin/target/orders.go
@@ -9,32 +9,36 @@
 	"merlintiller/internal/protocol"
 )
 
-// orderBook is what the target was told to run.
-type orderBook struct {
+// orderState holds the orders that the target has received.
+type orderState struct {
 	// highest is the largest fencing number seen.
 	highest protocol.Offset
 	current external.Order
-	taken   []external.Order
-	busy    time.Time
+	// applied lists the accepted orders, oldest first.
+	applied []external.Order
+	// busyUntil is when the current order is carried out.
+	busyUntil time.Time
 }
 
-func (t *Target) giveOrder(w http.ResponseWriter, r *http.Request) {
+func (t *Target) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order external.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !t.takeOrder(order) {
+	if !t.applyOrder(order) {
 		http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 		return
 	}
 	if t.takeFaults().LoseAnswer {
-		hangUp()
+		abortConnection()
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (t *Target) takeOrder(order external.Order) bool {
+// applyOrder makes an order the current one. It returns false if the target checks
+// fencing numbers and the number of the order is outdated.
+func (t *Target) applyOrder(order external.Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cfg.ChecksFencing && order.Fence < t.order.highest {
@@ -42,16 +46,16 @@
 	}
 	t.order.highest = max(t.order.highest, order.Fence)
 	t.order.current = order
-	t.order.taken = append(t.order.taken, order)
-	t.order.busy = time.Now().Add(t.cfg.OrderTime)
+	t.order.applied = append(t.order.applied, order)
+	t.order.busyUntil = time.Now().Add(t.cfg.OrderTime)
 	return true
 }
 
-// AppliedOrders lists the orders that had an effect, oldest first.
+// AppliedOrders returns the orders that took effect, oldest first.
 func (t *Target) AppliedOrders() []external.Order {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]external.Order(nil), t.order.taken...)
+	return append([]external.Order(nil), t.order.applied...)
 }
 
 func (t *Target) currentOrder(w http.ResponseWriter, _ *http.Request) {
@@ -59,7 +63,7 @@
 	state := external.OrderState{
 		Fence: t.order.current.Fence,
 		Order: t.order.current,
-		Busy:  time.Now().Before(t.order.busy),
+		Busy:  time.Now().Before(t.order.busyUntil),
 	}
 	t.mu.Unlock()
 	writeJSON(w, state)
--- a/internal/standin/target/plain.go
+++ b/internal/standin/target/plain.go
@@ -6,29 +6,29 @@
 	"merlintiller/internal/protocol"
 )
 
-// PlainAnswer is what a plain service answers.
+// PlainAnswer is the answer of a plain service.
 type PlainAnswer struct {
 	Target protocol.TargetID `json:"target"`
 	Method string            `json:"method"`
 	Path   string            `json:"path"`
-	// Body is the BodyKey of the request's body.
+	// Body is the BodyKey of the request body.
 	Body string `json:"body"`
 }
 
-// plain runs a call that may not be repeated.
+// plain runs a call to a plain service, which is not idempotent.
 func (t *Target) plain(w http.ResponseWriter, r *http.Request, body []byte, faults Faults) {
-	t.effect(r.Header.Get(HeaderCallID), body)
+	t.countExecution(r.Header.Get(HeaderCallID), body)
 	if !pause(r, t.cfg.CallTime) {
 		return
 	}
 	if faults.LoseAnswer {
-		hangUp()
+		abortConnection()
 	}
 	answer := PlainAnswer{Target: t.cfg.ID, Method: r.Method, Path: r.URL.Path, Body: BodyKey(body)}
 	if faults.CutAfter > 0 {
 		w.Header().Set("Content-Length", "1000000")
 		writeJSON(w, answer)
-		hangUp()
+		abortConnection()
 	}
 	writeJSON(w, answer)
 }
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -14,33 +14,33 @@
 	"merlintiller/internal/protocol"
 )
 
-// Target is one stand-in. It serves its calls as an http.Handler.
+// Target simulates one target. It is an http.Handler.
 type Target struct {
 	cfg Config
 	mux *http.ServeMux
 
 	mu     sync.Mutex
 	faults Faults
-	// changed is closed when the faults are set anew.
-	changed  chan struct{}
-	running  map[protocol.CallID]context.CancelFunc
-	loads    []loadSample
-	leaving  bool
-	crossing chan *crossed
-	order    orderBook
-	cache    cacheLog
-	runs     Executions
+	// changed is closed when the faults are replaced.
+	changed     chan struct{}
+	running     map[protocol.CallID]context.CancelFunc
+	loadHistory []loadSample
+	leaving     bool
+	swap        chan *recordedAnswer
+	order       orderState
+	cache       cacheLog
+	counts      Executions
 }
 
-// New returns a stand-in that runs no call.
+// New returns a target without calls or faults.
 func New(cfg Config) *Target {
 	t := &Target{
-		cfg:      cfg.withDefaults(),
-		mux:      http.NewServeMux(),
-		changed:  make(chan struct{}),
-		running:  map[protocol.CallID]context.CancelFunc{},
-		crossing: make(chan *crossed),
-		runs:     Executions{ByCall: map[protocol.CallID]int{}, ByBody: map[string]int{}},
+		cfg:     cfg.withDefaults(),
+		mux:     http.NewServeMux(),
+		changed: make(chan struct{}),
+		running: map[protocol.CallID]context.CancelFunc{},
+		swap:    make(chan *recordedAnswer),
+		counts:  Executions{ByCall: map[protocol.CallID]int{}, ByBody: map[string]int{}},
 	}
 	t.routes()
 	return t
@@ -50,11 +50,11 @@
 	t.mux.HandleFunc("POST /faults", t.setFaults)
 	t.mux.HandleFunc("POST /leave", t.leave)
 	t.mux.HandleFunc("GET /executions", t.executions)
-	t.mux.HandleFunc("GET /load", t.frozen(t.load))
-	t.mux.HandleFunc("GET /cache-events", t.frozen(t.cacheEvents))
-	t.mux.HandleFunc("POST /cancel/{id}", t.frozen(t.cancel))
-	t.mux.HandleFunc("POST /orders", t.frozen(t.giveOrder))
-	t.mux.HandleFunc("GET /orders", t.frozen(t.currentOrder))
+	t.mux.HandleFunc("GET /load", t.waitWhileFrozen(t.load))
+	t.mux.HandleFunc("GET /cache-events", t.waitWhileFrozen(t.cacheEvents))
+	t.mux.HandleFunc("POST /cancel/{id}", t.waitWhileFrozen(t.cancel))
+	t.mux.HandleFunc("POST /orders", t.waitWhileFrozen(t.postOrder))
+	t.mux.HandleFunc("GET /orders", t.waitWhileFrozen(t.currentOrder))
 	if t.cfg.Kind == protocol.KindPlain {
 		t.mux.HandleFunc("/", t.call(t.plain))
 		return
@@ -68,14 +68,14 @@
 	t.mux.ServeHTTP(w, r)
 }
 
-// InFlight counts the calls that run now.
+// InFlight returns the number of calls in flight.
 func (t *Target) InFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.running)
 }
 
-// Run serves the stand-in on its address until ctx ends.
+// Run serves a target on its address until ctx ends.
 func Run(ctx context.Context, cfg Config) error {
 	listener, err := net.Listen("tcp", cfg.Address)
 	if err != nil {
