--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -6,31 +6,32 @@
 	"net/http"
 )
 
-// body is where an answer's body goes.
+// body writes the body of a response.
 type body struct {
 	io.Writer
 	flush func()
-	// end ends a body that has no length of its own.
+	// end completes a body that was sent without a length.
 	end func()
 }
 
-// begin sends the head of an answer.
-func (e *Engine) begin(w http.ResponseWriter, entry *Run, fault Fault) body {
+// writeHead sends the response head and returns the body writer.
+func (e *Engine) writeHead(w http.ResponseWriter, entry *Run, fault Fault) body {
 	header := w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Response-Seal", "seal-"+entry.ID)
 	header.Set("Server-Load", e.load())
 	header.Set("Keep-Alive", "timeout=5")
 	if fault.Crossed || fault.Unframed {
-		return e.raw(w, fault)
+		return e.writeRawHead(w, fault)
 	}
 	control := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
 	return body{Writer: w, flush: func() { _ = control.Flush() }, end: func() {}}
 }
 
-// raw takes the connection over, to send what net/http would not.
-func (e *Engine) raw(w http.ResponseWriter, fault Fault) body {
+// writeRawHead hijacks the connection to send responses that net/http does not
+// produce: an unrelated response first, or a body without a length.
+func (e *Engine) writeRawHead(w http.ResponseWriter, fault Fault) body {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err)
--- a/internal/standin/engine/inspect.go
+++ b/internal/standin/engine/control.go
@@ -11,24 +11,25 @@
 
 const handlePath = "/kv-handle/"
 
-// inspect answers calls on the engine itself. It says whether this was one.
-func (e *Engine) inspect(w http.ResponseWriter, r *http.Request) bool {
+// serveControl serves the calls that concern the engine itself: report, health and
+// moves. It reports whether the request was one of them.
+func (e *Engine) serveControl(w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/report":
 		e.report(w)
 	case r.Method == http.MethodGet && r.URL.Path == "/health":
 		e.health(w)
 	case r.Method == http.MethodPost && r.URL.Path == "/kv-move":
-		e.move(w, r)
+		e.moveRun(w, r)
 	case r.Method == http.MethodDelete && strings.HasPrefix(r.URL.Path, handlePath):
-		e.drop(w, strings.TrimPrefix(r.URL.Path, handlePath))
+		e.releaseHandle(w, strings.TrimPrefix(r.URL.Path, handlePath))
 	default:
 		return false
 	}
 	return true
 }
 
-// health tells how the engine is.
+// health reports that the engine is up, and the rest of its warm-up.
 func (e *Engine) health(w http.ResponseWriter) {
 	w.Header().Set("Instance-Id", e.opts.ID)
 	if left := time.Until(e.WarmAt()); left > 0 {
@@ -37,25 +38,26 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Restart begins another life that warms up until a time. What ran before is not ended here.
+// Restart begins a new incarnation of the engine that warms up until warmAt.
+// Requests that are running are not ended.
 func (e *Engine) Restart(warmAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.warmAt = warmAt
 }
 
-// WarmAt is when the engine has warmed up.
+// WarmAt returns when the warm-up ends.
 func (e *Engine) WarmAt() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.warmAt
 }
 
-// report tells what runs.
+// report lists the running requests.
 func (e *Engine) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	runs := [][]any{}
-	for _, run := range e.ledger {
+	for _, run := range e.history {
 		if run.EndedAt.IsZero() {
 			runs = append(runs, []any{run.ID, 100, 1, 5})
 		}
@@ -66,8 +68,8 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// move ends a run and keeps its memory until it is dropped.
-func (e *Engine) move(w http.ResponseWriter, r *http.Request) {
+// moveRun ends a run and keeps its memory until the handle is released.
+func (e *Engine) moveRun(w http.ResponseWriter, r *http.Request) {
 	var call struct {
 		ID, Target string
 		Last       bool
@@ -78,15 +80,15 @@
 	}
 	e.mu.Lock()
 	var ended *Run
-	for _, run := range e.ledger {
+	for _, run := range e.history {
 		if run.ID == call.ID && run.EndedAt.IsZero() {
 			ended = run
 		}
 	}
-	handle := fmt.Sprint("h-", len(e.kept))
+	handle := fmt.Sprint("h-", len(e.handles))
 	if ended != nil {
 		ended.MovedTo = call.Target
-		e.kept[handle] = true
+		e.handles[handle] = true
 	}
 	e.mu.Unlock()
 	if ended == nil {
@@ -97,21 +99,21 @@
 	_, _ = fmt.Fprintf(w, `{"handle":%q,"created":1}`, handle)
 }
 
-func (e *Engine) drop(w http.ResponseWriter, handle string) {
+func (e *Engine) releaseHandle(w http.ResponseWriter, handle string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.kept[handle] {
+	if !e.handles[handle] {
 		w.WriteHeader(http.StatusNotFound)
 	}
-	e.kept[handle] = false
+	e.handles[handle] = false
 }
 
-// UnreleasedHandles counts the memory of ended runs that nobody freed.
+// UnreleasedHandles returns the number of moved runs whose memory is still held.
 func (e *Engine) UnreleasedHandles() (count int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, kept := range e.kept {
-		if kept {
+	for _, held := range e.handles {
+		if held {
 			count++
 		}
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine stands in for a target of the users' platform in tests: a model
-// runner with slots and a queue that streams numbered events, on the wire form of
-// the platform. It keeps a ledger of what it ran, so that a test can check what
-// no caller sees.
+// Package engine is a fake, for tests, of a target on the users' platform: a
+// model server with slots and a queue that streams numbered events, over the wire
+// format of the platform. It records the requests that it ran, so that a test can
+// check what the callers cannot observe.
 package engine
 
 import (
@@ -13,54 +13,61 @@
 	"time"
 )
 
-// Options make an Engine.
+// Options are the settings of an Engine.
 type Options struct {
 	ID string
-	// Slots run at once, QueueSize wait. Step is the time of one event.
+	// Slots is the number of requests that run concurrently, QueueSize the
+	// number of requests that may wait. EventInterval is the time before
+	// each event.
 	Slots, QueueSize int
-	EventInterval         time.Duration
-	// FaultFor, if set, says what is wrong with the answer to a request.
+	EventInterval    time.Duration
+	// FaultFor, if set, returns the fault for the response to a request.
 	FaultFor func(id string) Fault
 }
 
-// Fault is what is wrong with one answer.
+// Fault describes the faults injected into one response.
 type Fault struct {
-	// Status answers with a failure after the run.
+	// Status is the HTTP status that is sent after the first event interval,
+	// in place of the events. 0 means no fault.
 	Status int
-	// BreakAfter ends the connection after so many events, in the middle of the
-	// next one, if it is above 0. LoseAnswer ends it before the answer.
+	// BreakAfter, if above 0, closes the connection after this number of
+	// events, in the middle of the next one. LoseAnswer closes the connection
+	// before the response.
 	BreakAfter int
 	LoseAnswer bool
-	// HangAfter stops sending after so many events, if it is above 0.
+	// HangAfter, if above 0, sends nothing more after this number of events.
 	HangAfter int
-	// Crossed sends the answer to another request first.
+	// Crossed sends the response to another request first.
 	Crossed bool
-	// Unframed sends the answer without a length, up to the connection's end.
+	// Unframed sends a body without a length, which ends when the connection closes.
 	Unframed bool
 }
 
-// Run is one entry of the ledger.
+// Run records one request that the engine ran.
 type Run struct {
 	ID           string
 	Organisation string
-	// Path is the path with its query, Body what came, KeyShown whether the
-	// caller's key came along.
-	Path     string
-	Body     string
+	// Path is the path with the query string. Body is the request body, up to
+	// 64 KiB. HasAuthorization reports whether the request had an
+	// Authorization header.
+	Path             string
+	Body             string
 	HasAuthorization bool
-	// ResumedAfter is the event after which it was resumed, -1 from the start.
+	// ResumedAfter is the number of the event that the request was resumed
+	// after. It is -1 for a request that began with the first event.
 	ResumedAfter int
-	StartedAt time.Time
-	// EndedAt is zero while it runs. Whole says that all events were sent.
-	EndedAt time.Time
+	StartedAt    time.Time
+	// EndedAt is zero while the request runs. Complete reports that all events
+	// were sent.
+	EndedAt  time.Time
 	Complete bool
-	// MovedTo is the address that took its memory when it was ended, empty if it was
-	// not.
+	// MovedTo is the address of the target that the cached state was moved to
+	// when the run was ended by a move. Otherwise it is empty.
 	MovedTo string
 	end     context.CancelFunc
 }
 
-// Engine is an http.Handler.
+// Engine simulates one model server. It is an http.Handler.
 type Engine struct {
 	opts Options
 
@@ -68,47 +75,48 @@
 	running int
 	waiting int
 	free    chan struct{}
-	ledger  []*Run
-	// kept is memory of runs that were moved away and not freed yet, by handle.
-	kept map[string]bool
-	// warmAt is when it has warmed up.
+	history []*Run
+	// handles maps the handle of each moved run to whether its memory is still
+	// held.
+	handles map[string]bool
+	// warmAt is when the warm-up ends.
 	warmAt time.Time
 }
 
-// New returns an engine.
+// New returns an engine that is idle.
 func New(opts Options) *Engine {
-	e := &Engine{opts: opts, free: make(chan struct{}, opts.Slots), kept: map[string]bool{}}
+	e := &Engine{opts: opts, free: make(chan struct{}, opts.Slots), handles: map[string]bool{}}
 	for range opts.Slots {
 		e.free <- struct{}{}
 	}
 	return e
 }
 
-// Runs gives the ledger.
+// Runs returns the requests that the engine ran or is running, oldest first.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]Run, len(e.ledger))
-	for i, r := range e.ledger {
+	out := make([]Run, len(e.history))
+	for i, r := range e.history {
 		out[i] = *r
 	}
 	return out
 }
 
-// Load gives how many requests run and wait.
+// Load returns the numbers of running and of waiting requests.
 func (e *Engine) Load() (running, waiting int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, e.waiting
 }
 
-// EventData gives the data of an event, which follows from the request's id alone.
+// EventData returns the data of event n. It depends only on the request id and n.
 func EventData(id string, n int) string { return fmt.Sprintf("%s#%d", id, n) }
 
 // ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header()["Date"] = nil
-	if e.inspect(w, r) {
+	if e.serveControl(w, r) {
 		return
 	}
 	id := r.Header.Get("Request-Id")
@@ -137,7 +145,8 @@
 	e.run(w, r, id, string(body[:n]))
 }
 
-// admit waits for a slot, unless the queue is full or the caller leaves.
+// admit waits for a slot. It returns false if the queue is full or the request is
+// cancelled.
 func (e *Engine) admit(r *http.Request) bool {
 	e.mu.Lock()
 	if len(e.free) == 0 && e.waiting >= e.opts.QueueSize {
@@ -176,7 +185,7 @@
 	r, entry.end = r.WithContext(ctx), end
 	e.mu.Lock()
 	e.running++
-	e.ledger = append(e.ledger, entry)
+	e.history = append(e.history, entry)
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
@@ -191,9 +200,9 @@
 	e.stream(w, r, entry, fault)
 }
 
-// stream sends the events. A path that ends in a number asks for so many.
+// stream sends the events. EventCount gives their number.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, entry *Run, fault Fault) {
-	if !e.step(r) {
+	if !e.waitInterval(r) {
 		return
 	}
 	switch {
@@ -204,7 +213,7 @@
 		w.WriteHeader(fault.Status)
 		return
 	}
-	out := e.begin(w, entry, fault)
+	out := e.writeHead(w, entry, fault)
 	events := EventCount(r.URL.Path)
 	for n := entry.ResumedAfter + 1; n < events; n++ {
 		sent := n - entry.ResumedAfter - 1
@@ -219,7 +228,7 @@
 		}
 		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s\n\n", n, EventData(entry.ID, n))
 		out.flush()
-		if n+1 < events && !e.step(r) {
+		if n+1 < events && !e.waitInterval(r) {
 			return
 		}
 	}
@@ -229,8 +238,9 @@
 	e.mu.Unlock()
 }
 
-// step takes the time of one event, unless the caller leaves.
-func (e *Engine) step(r *http.Request) bool {
+// waitInterval waits for EventInterval. It returns false if the request is
+// cancelled first.
+func (e *Engine) waitInterval(r *http.Request) bool {
 	timer := time.NewTimer(e.opts.EventInterval)
 	defer timer.Stop()
 	select {
@@ -241,9 +251,10 @@
 	}
 }
 
-// EventCount is the number of events that a path asks for: its last segment.
+// EventCount returns the number of events that a path asks for: its last segment,
+// or 10 if that is not a number.
 func EventCount(path string) int {
-	const usual = 10
+	const defaultEvents = 10
 	for i := len(path) - 1; i >= 0; i-- {
 		if path[i] == '/' {
 			if n, err := strconv.Atoi(path[i+1:]); err == nil {
@@ -252,5 +263,5 @@
 			break
 		}
 	}
-	return usual
+	return defaultEvents
 }
