--- a/internal/standin/memlog/memlog.go
+++ b/internal/standin/memlog/memlog.go
@@ -1,6 +1,7 @@
-// Package memlog is the stand-in for the platform's append-only log: streams
-// with offsets, limited retention, a limit on appends, and fault switches. The
-// stand-in program serves it over HTTP; tests use it directly as external.Log.
+// Package memlog is an in-memory fake of the platform's append-only log:
+// streams with offsets, limited retention, a rate limit on appends, and fault
+// injection. cmd/standin serves it over HTTP. Tests use it directly as
+// external.Log.
 package memlog
 
 import (
@@ -14,42 +15,44 @@
 	"merlintiller/internal/protocol"
 )
 
-// Options set the limits of the log.
+// Options are the limits of a Log.
 type Options struct {
-	// AppendsPerSecond limits appends over all streams; 0 means no limit.
+	// AppendsPerSecond limits the appends over all streams. 0 means no limit.
 	AppendsPerSecond float64
-	// Retention is how long entries are kept; 0 means for ever.
+	// Retention is how long entries are kept. 0 means without limit.
 	Retention time.Duration
-	// MaxEntries keeps at most so many entries a stream; 0 means no limit.
+	// MaxEntries is the number of entries kept in each stream. 0 means no limit.
 	MaxEntries int
 }
 
-// Fault says what goes wrong with one operation.
+// Fault is a fault injected into one operation.
 type Fault int
 
-// The faults a Log can show.
+// The faults that a Log can inject.
 const (
-	// None: the operation goes well.
+	// None injects no fault.
 	None Fault = iota
-	// Down: the operation has no effect and fails with ErrUnavailable.
+	// Down fails the operation with ErrUnavailable, without effect.
 	Down
-	// LoseAnswer: an append takes effect and fails with ErrUnavailable.
+	// LoseAnswer lets an append take effect and fails it with ErrUnavailable.
+	// A read fails as with Down.
 	LoseAnswer
-	// Throttle: the operation has no effect and fails with ErrThrottled.
+	// Throttle fails an append with ErrThrottled, without effect. A read
+	// fails as with Down.
 	Throttle
-	// Hang: the operation blocks until its context ends, without effect.
+	// Hang blocks the operation until its context ends, without effect.
 	Hang
 )
 
-// FaultFunc decides the fault of an operation ("append" or "read") on a
-// stream. It may block to delay the operation.
+// FaultFunc chooses the fault for an operation ("append" or "read") on a stream. It
+// may block, which delays the operation.
 type FaultFunc func(operation, stream string, payload []byte) Fault
 
 type stream struct {
-	entries []external.Entry
-	times   []time.Time
-	oldest  protocol.Offset
-	grown   chan struct{}
+	entries  []external.Entry
+	times    []time.Time
+	oldest   protocol.Offset
+	appended chan struct{}
 }
 
 func (s *stream) next() protocol.Offset {
@@ -76,14 +79,14 @@
 	return &Log{opts: opts, limiter: rate.NewLimiter(limit, burst), streams: map[string]*stream{}}
 }
 
-// SetFault installs the fault switch; nil removes it.
+// SetFault sets the function that chooses the faults. nil removes it.
 func (l *Log) SetFault(fault FaultFunc) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
 }
 
-// Appends counts the appends that took effect.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,28 +98,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	l.drop(s, int(before-s.oldest))
+	l.dropOldest(s, int(before-s.oldest))
 }
 
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
-		s = &stream{grown: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-func (l *Log) drop(s *stream, count int) {
+func (l *Log) dropOldest(s *stream, count int) {
 	count = min(max(count, 0), len(s.entries))
 	s.entries = s.entries[count:]
 	s.times = s.times[count:]
 	s.oldest += protocol.Offset(count)
 }
 
-func (l *Log) retain(s *stream, now time.Time) {
+func (l *Log) applyRetention(s *stream, now time.Time) {
 	if l.opts.MaxEntries > 0 {
-		l.drop(s, len(s.entries)-l.opts.MaxEntries)
+		l.dropOldest(s, len(s.entries)-l.opts.MaxEntries)
 	}
 	if l.opts.Retention <= 0 {
 		return
@@ -125,11 +128,11 @@
 	for old < len(s.times) && now.Sub(s.times[old]) > l.opts.Retention {
 		old++
 	}
-	l.drop(s, old)
+	l.dropOldest(s, old)
 }
 
-// decide asks the fault switch without holding the lock, so that it may block.
-func (l *Log) decide(operation, stream string, payload []byte) Fault {
+// faultFor calls the FaultFunc without holding the lock, because it may block.
+func (l *Log) faultFor(operation, stream string, payload []byte) Fault {
 	l.mu.Lock()
 	fault := l.fault
 	l.mu.Unlock()
@@ -141,7 +144,7 @@
 
 // Append implements external.Log.
 func (l *Log) Append(ctx context.Context, name string, payload []byte) (protocol.Offset, error) {
-	fault := l.decide("append", name, payload)
+	fault := l.faultFor("append", name, payload)
 	switch fault {
 	case Down:
 		return protocol.NoOffset, external.ErrUnavailable
@@ -176,15 +179,15 @@
 	s.entries = append(s.entries, external.Entry{Offset: offset, Payload: append([]byte(nil), payload...)})
 	s.times = append(s.times, now)
 	l.appends++
-	l.retain(s, now)
-	close(s.grown)
-	s.grown = make(chan struct{})
+	l.applyRetention(s, now)
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset
 }
 
 // Read implements external.Log.
 func (l *Log) Read(ctx context.Context, name string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
-	switch l.decide("read", name, nil) {
+	switch l.faultFor("read", name, nil) {
 	case Down, Throttle, LoseAnswer:
 		return external.Page{}, external.ErrUnavailable
 	case Hang:
@@ -194,12 +197,12 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		page, grown, err := l.page(name, from, limit)
+		page, appended, err := l.page(name, from, limit)
 		if err != nil || len(page.Entries) > 0 || wait <= 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timeout.C:
 			return page, nil
 		case <-ctx.Done():
@@ -212,16 +215,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	l.retain(s, time.Now())
+	l.applyRetention(s, time.Now())
 	page := external.Page{Oldest: s.oldest, Next: s.next()}
 	if from < s.oldest {
-		return page, s.grown, external.ErrTrimmed
+		return page, s.appended, external.ErrTrimmed
 	}
 	if from >= s.next() {
-		return page, s.grown, nil
+		return page, s.appended, nil
 	}
 	start := int(from - s.oldest)
 	end := min(len(s.entries), start+limit)
 	page.Entries = append(page.Entries, s.entries[start:end]...)
-	return page, s.grown, nil
+	return page, s.appended, nil
 }
--- a/internal/standin/memlog/memlog_test.go
+++ b/internal/standin/memlog/memlog_test.go
@@ -10,8 +10,8 @@
 	"merlintiller/internal/external"
 )
 
-// The platform keeps entries for a limited time. A reader that was away for
-// longer must be told so, or it would miss what was agreed meanwhile.
+// The platform keeps entries for a limited time. A reader that lags behind the
+// retention must get an error, or it would miss the entries that were dropped.
 func TestReadPastRetentionIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := New(Options{Retention: time.Minute})
@@ -24,8 +24,8 @@
 	})
 }
 
-// An append takes effect and its answer is lost on the way back. The caller
-// sees a failure, and the entry stands in the stream.
+// An append takes effect but its reply is lost. The caller sees a failure, and the
+// entry is in the stream.
 func TestLostAnswerLeavesTheEntry(t *testing.T) {
 	log := New(Options{})
 	log.SetFault(func(string, string, []byte) Fault { return LoseAnswer })
