--- a/internal/standin/platformsrv/server.go
+++ b/internal/standin/platformsrv/server.go
@@ -1,9 +1,9 @@
-// Package platformsrv is the stand-in for the platform as a process: it serves
-// the log, the lagging list of targets and instances, and the rate-limited
-// weight store over HTTP, each with fault switches.
+// Package platformsrv simulates the platform as a process of its own. Over
+// HTTP it serves the log, the list of targets and instances, which lags behind
+// changes, and the rate-limited weight store. Faults can be injected into each.
 //
-// It listens at several addresses, one for each failure domain, so that one
-// domain can be cut off from the platform while the others are not.
+// It listens at several addresses, one for each failure domain, so that a test can
+// disconnect one domain from the platform and leave the others connected.
 package platformsrv
 
 import (
@@ -23,24 +23,24 @@
 	"merlintiller/internal/transport/platformhttp"
 )
 
-// Options set the limits of the stand-in.
+// Options are the limits of a Server.
 type Options struct {
 	Log memlog.Options
-	// ListLag is how old the list is that is served.
+	// ListLag is the age of the list that is served.
 	ListLag time.Duration
-	// WeightsPerSecond limits looks at the weight store.
+	// WeightsPerSecond limits the requests to the weight store.
 	WeightsPerSecond float64
 }
 
-// Faults are the switches, set by POST /faults.
+// Faults are the injected faults, set by POST /faults.
 type Faults struct {
-	// Log is "", "down", "lose_answer", "throttle" or "hang".
+	// Log is "", "down", "lose_answer", "throttle" or "hang". See memlog.Fault.
 	Log string `json:"log"`
 	// List is "" or "down".
 	List string `json:"list"`
-	// DelayMS delays every answer.
+	// DelayMS is the delay of every answer, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// Cut names the listeners whose callers are cut off.
+	// Cut names the listeners that close each connection without an answer.
 	Cut []string `json:"cut"`
 }
 
@@ -58,7 +58,7 @@
 	listing external.Listing
 }
 
-// Server is the platform stand-in.
+// Server simulates the platform.
 type Server struct {
 	opts    Options
 	log     *memlog.Log
@@ -71,21 +71,21 @@
 	changes  int
 }
 
-// New returns a stand-in with an empty log and list.
+// New returns a server with an empty log and an empty list.
 func New(opts Options) *Server {
 	s := &Server{opts: opts, log: memlog.New(opts.Log)}
 	s.weights = rate.NewLimiter(rate.Limit(opts.WeightsPerSecond), 1)
-	s.log.SetFault(func(string, string, []byte) memlog.Fault { return logFaults[s.current().Log] })
+	s.log.SetFault(func(string, string, []byte) memlog.Fault { return logFaults[s.currentFaults().Log] })
 	return s
 }
 
-func (s *Server) current() Faults {
+func (s *Server) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Handler serves the platform to the callers of one listener.
+// Handler returns the handler for the callers of one listener.
 func (s *Server) Handler(listener string) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /log/{stream}", s.append)
@@ -99,10 +99,11 @@
 	return s.withFaults(listener, mux)
 }
 
-// withFaults cuts or delays callers. The switches themselves stay reachable.
+// withFaults aborts or delays requests according to the faults. POST /faults is
+// exempt, so that a test can end them.
 func (s *Server) withFaults(listener string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		faults := s.current()
+		faults := s.currentFaults()
 		if r.URL.Path != "/faults" {
 			for _, cut := range faults.Cut {
 				if cut == listener {
@@ -157,23 +158,23 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	if s.current().List == "down" {
+	if s.currentFaults().List == "down" {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	listing, number := s.lagging(time.Now())
-	tag := strconv.Quote(strconv.Itoa(number))
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	listing, number := s.laggedListing(time.Now())
+	etag := strconv.Quote(strconv.Itoa(number))
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	writeJSON(w, listing)
 }
 
-// lagging returns the newest listing that is at least ListLag old, and its
+// laggedListing returns the newest listing that is at least ListLag old, and its
 // number.
-func (s *Server) lagging(now time.Time) (external.Listing, int) {
+func (s *Server) laggedListing(now time.Time) (external.Listing, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.versions) > 1 && now.Sub(s.versions[1].at) >= s.opts.ListLag {
@@ -199,7 +200,7 @@
 	s.changeTargets(protocol.TargetID(r.PathValue("id")), nil)
 }
 
-func (s *Server) changeTargets(id protocol.TargetID, put *external.ListedTarget) {
+func (s *Server) changeTargets(id protocol.TargetID, added *external.ListedTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var targets []external.ListedTarget
@@ -208,8 +209,8 @@
 			targets = append(targets, target)
 		}
 	}
-	if put != nil {
-		targets = append(targets, *put)
+	if added != nil {
+		targets = append(targets, *added)
 	}
 	s.listing.Targets = targets
 	s.changes++
@@ -221,8 +222,8 @@
 		writeError(w, external.ErrThrottled)
 		return
 	}
-	const standInBytes = 16 << 30
-	writeJSON(w, platformhttp.WeightReply{Bytes: standInBytes})
+	const weightBytes = 16 << 30
+	writeJSON(w, platformhttp.WeightReply{Bytes: weightBytes})
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/platformsrv/server_test.go
+++ b/internal/standin/platformsrv/server_test.go
@@ -36,20 +36,21 @@
 	require.Equal(t, protocol.Offset(1), page.Oldest)
 }
 
-// A failure domain is cut off from the platform. Its instances see an outage
-// while the others go on appending.
-func TestCutListenerSeesAnOutage(t *testing.T) {
+// A failure domain is disconnected from the platform. Its instances see an outage
+// while the others continue to append.
+func TestDisconnectedListenerSeesOutage(t *testing.T) {
 	s := New(Options{})
-	cut, whole := serve(t, s, "a"), serve(t, s, "b")
+	disconnected, connected := serve(t, s, "a"), serve(t, s, "b")
 	s.faults.Cut = []string{"a"}
-	_, err := cut.Append(t.Context(), "s", nil)
+	_, err := disconnected.Append(t.Context(), "s", nil)
 	require.ErrorIs(t, err, external.ErrUnavailable)
-	_, err = whole.Append(t.Context(), "s", nil)
+	_, err = connected.Append(t.Context(), "s", nil)
 	require.NoError(t, err)
 }
 
-// A target joins. Instances ask for the list with the tag of the one they have:
-// they must see the change, and the unchanged list must still be the whole one.
+// Instances request the list with the ETag of their copy. After a target is added
+// they must receive the change, and after "not modified" they must still have the
+// complete list.
 func TestListIsSentOnlyWhenItChanged(t *testing.T) {
 	s := New(Options{})
 	client := serve(t, s, "a")
@@ -65,9 +66,10 @@
 	require.Len(t, listing.Targets, 2)
 }
 
-// The log limits appends. The refusal comes back as a throttle, which says
-// that nothing was appended, and not as an outage, which would not.
-func TestThrottleIsToldFromAnOutage(t *testing.T) {
+// The log limits the rate of appends. The client must report a rejected append as
+// throttled, which means that nothing was appended. An outage would leave that
+// open.
+func TestThrottleIsDistinctFromOutage(t *testing.T) {
 	s := New(Options{Log: memlog.Options{AppendsPerSecond: 0.001}})
 	client := serve(t, s, "a")
 	_, err := client.Append(t.Context(), "s", nil)
