--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New(time.Millisecond)
 		client, server := pair(t, n)
-		n.Cut("10.0.0.1", "10.0.0.2")
+		n.Block("10.0.0.1", "10.0.0.2")
 		_, err := client.Write([]byte("late"))
 		require.NoError(t, err)
 		require.NoError(t, server.SetReadDeadline(time.Now().Add(time.Second)))
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -47,16 +47,16 @@
 // Host returns a machine.
 func (n *Network) Host(ip string) *Host { return &Host{network: n, ip: ip} }
 
-// Cut drops all packets from one host to another. Connections stay open and
+// Block drops all packets from one host to another. Connections stay open and
 // nothing comes; what was sent is delivered once the cut is healed.
-func (n *Network) Cut(from, to string) { n.change(func() { n.cuts[path{from, to}] = true }) }
+func (n *Network) Block(from, to string) { n.change(func() { n.cuts[path{from, to}] = true }) }
 
 // Heal ends a cut.
 func (n *Network) Heal(from, to string) { n.change(func() { delete(n.cuts, path{from, to}) }) }
 
 // Part cuts both ways between each host of one side and each of the other, and
 // Join heals that.
-func (n *Network) Part(one, other []string) { n.both(one, other, n.Cut) }
+func (n *Network) Part(one, other []string) { n.both(one, other, n.Block) }
 
 // Join ends what Part did.
 func (n *Network) Join(one, other []string) { n.both(one, other, n.Heal) }
