--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -54,7 +54,7 @@
 		defer cancel()
 		_, err = n.Host("10.0.0.1").Dial(ctx, "10.0.0.2:80")
 		require.ErrorContains(t, err, "timeout")
-		n.Heal("10.0.0.1", "10.0.0.2")
+		n.Unblock("10.0.0.1", "10.0.0.2")
 		require.NoError(t, server.SetReadDeadline(time.Time{}))
 		got, err := server.Read(buffer)
 		require.NoError(t, err)
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -51,15 +51,15 @@
 // nothing comes; what was sent is delivered once the cut is healed.
 func (n *Network) Block(from, to string) { n.change(func() { n.cuts[path{from, to}] = true }) }
 
-// Heal ends a cut.
-func (n *Network) Heal(from, to string) { n.change(func() { delete(n.cuts, path{from, to}) }) }
+// Unblock ends a cut.
+func (n *Network) Unblock(from, to string) { n.change(func() { delete(n.cuts, path{from, to}) }) }
 
 // Part cuts both ways between each host of one side and each of the other, and
 // Join heals that.
 func (n *Network) Part(one, other []string) { n.both(one, other, n.Block) }
 
 // Join ends what Part did.
-func (n *Network) Join(one, other []string) { n.both(one, other, n.Heal) }
+func (n *Network) Join(one, other []string) { n.both(one, other, n.Unblock) }
 
 func (n *Network) both(one, other []string, do func(from, to string)) {
 	for _, a := range one {
