--- a/internal/daemon/routed/isolation_test.go
+++ b/internal/daemon/routed/isolation_test.go
@@ -20,7 +20,7 @@
 			others = append(others, w.domainIPs(n.domain)...)
 		}
 	}
-	w.net.Part(w.domainIPs(domain), others)
+	w.net.Partition(w.domainIPs(domain), others)
 	return func() { w.net.Join(w.domainIPs(domain), others) }
 }
 
--- a/internal/daemon/routed/jobs_test.go
+++ b/internal/daemon/routed/jobs_test.go
@@ -214,7 +214,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, size{domains: 2, nodes: 2, targets: 2})
 		w.submit(w.nodes[0], 8, 10, 150)
-		w.net.Part(w.domainIPs("d0"), w.domainIPs("d1"))
+		w.net.Partition(w.domainIPs("d0"), w.domainIPs("d1"))
 		pass(8 * time.Second)
 		seen := 0
 		for _, n := range w.nodes[:2] {
--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -85,7 +85,7 @@
 			w.submit(n, 4, 9, 300)
 		}
 		pass(time.Second)
-		w.net.Part(w.domainIPs("d0"), w.domainIPs("d1"))
+		w.net.Partition(w.domainIPs("d0"), w.domainIPs("d1"))
 		cut := time.Now()
 		pass(2 * time.Second)
 		ended := w.endedRuns()
--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -165,7 +165,7 @@
 				other = append(other, n.ip)
 			}
 		}
-		w.net.Part(one, other)
+		w.net.Partition(one, other)
 		pass(300 * time.Millisecond)
 		back := w.targets[0]
 		back.crash()
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -54,9 +54,9 @@
 // Unblock ends a cut.
 func (n *Network) Unblock(from, to string) { n.change(func() { delete(n.cuts, path{from, to}) }) }
 
-// Part cuts both ways between each host of one side and each of the other, and
+// Partition cuts both ways between each host of one side and each of the other, and
 // Join heals that.
-func (n *Network) Part(one, other []string) { n.both(one, other, n.Block) }
+func (n *Network) Partition(one, other []string) { n.both(one, other, n.Block) }
 
 // Join ends what Part did.
 func (n *Network) Join(one, other []string) { n.both(one, other, n.Unblock) }
