--- a/internal/daemon/routed/isolation_test.go
+++ b/internal/daemon/routed/isolation_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	w.net.Partition(w.domainIPs(domain), others)
-	return func() { w.net.Join(w.domainIPs(domain), others) }
+	return func() { w.net.HealPartition(w.domainIPs(domain), others) }
 }
 
 // A failure domain is cut off from the store and from all others, and callers still
--- a/internal/daemon/routed/orphans_test.go
+++ b/internal/daemon/routed/orphans_test.go
@@ -93,7 +93,7 @@
 		for _, run := range ended {
 			require.Less(t, run.EndedAt.Sub(cut), 1500*time.Millisecond)
 		}
-		w.net.Join(w.domainIPs("d0"), w.domainIPs("d1"))
+		w.net.HealPartition(w.domainIPs("d0"), w.domainIPs("d1"))
 		for _, n := range []*node{w.nodes[0], w.nodes[4]} {
 			for i := range 4 {
 				id := fmt.Sprintf("job-%s-%d", n.name, i)
--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -174,7 +174,7 @@
 		began := time.Now()
 		pass(warmsFor)
 		require.LessOrEqual(t, float64(back.mostBegun(began, began.Add(warmsFor))), coldMost)
-		w.net.Join(one, other)
+		w.net.HealPartition(one, other)
 		end()
 	})
 }
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -58,8 +58,8 @@
 // Join heals that.
 func (n *Network) Partition(one, other []string) { n.both(one, other, n.Block) }
 
-// Join ends what Part did.
-func (n *Network) Join(one, other []string) { n.both(one, other, n.Unblock) }
+// HealPartition ends what Part did.
+func (n *Network) HealPartition(one, other []string) { n.both(one, other, n.Unblock) }
 
 func (n *Network) both(one, other []string, do func(from, to string)) {
 	for _, a := range one {
