--- a/internal/standin/memnet/conn.go
+++ b/internal/standin/memnet/conn.go
@@ -9,37 +9,38 @@
 	"time"
 )
 
-// window is what may be on its way unread in one direction, in bytes.
+// window is the maximum number of unread bytes in one direction of a connection.
 const window = 64 << 10
 
-// segment is what one write sent.
+// segment is the data of one write.
 type segment struct {
 	data []byte
 	at   time.Time
-	// end says that the sender closed its side.
-	end bool
+	// fin marks that the sender closed the connection.
+	fin bool
 }
 
-// conn is one end of a connection. The network's lock guards it.
+// conn is one end of a connection. Network.mu guards it.
 type conn struct {
 	network       *Network
 	cond          *sync.Cond
 	local, remote endpoint
 	peer          *conn
-	// inbox is what comes in, inboxBytes its size.
+	// inbox holds the received segments, inboxBytes their total size.
 	inbox      []segment
 	inboxBytes int
-	ended      bool
+	eof        bool
 	closed     bool
-	// reset says that the other side aborted, lost that this side has no power.
-	reset, lost bool
+	// reset marks that the other end aborted the connection, hostDown that the
+	// host of this end was powered off.
+	reset, hostDown bool
 
-	readBy, writeBy time.Time
+	readDeadline, writeDeadline time.Time
 }
 
-func newPair(n *Network, here, there endpoint) (near, far *conn) {
-	near = &conn{network: n, cond: sync.NewCond(&n.mu), local: here, remote: there}
-	far = &conn{network: n, cond: sync.NewCond(&n.mu), local: there, remote: here, peer: near}
+func newPair(n *Network, localEnd, remoteEnd endpoint) (near, far *conn) {
+	near = &conn{network: n, cond: sync.NewCond(&n.mu), local: localEnd, remote: remoteEnd}
+	far = &conn{network: n, cond: sync.NewCond(&n.mu), local: remoteEnd, remote: localEnd, peer: near}
 	near.peer = far
 	return near, far
 }
@@ -53,35 +54,37 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case c.reset && n.reaches(c.remote.ip, c.local.ip):
+		case c.reset && n.reachable(c.remote.ip, c.local.ip):
 			return 0, &net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}
-		case c.arrived():
-			if read, end := c.take(p); read > 0 {
+		case c.readable():
+			if read, end := c.consume(p); read > 0 {
 				return read, nil
 			} else if end {
 				return 0, io.EOF
 			}
 			continue
-		case c.ended:
+		case c.eof:
 			return 0, io.EOF
-		case past(c.readBy):
+		case deadlinePassed(c.readDeadline):
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.cond.Wait()
 	}
 }
 
-func past(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
+func deadlinePassed(deadline time.Time) bool {
+	return !deadline.IsZero() && !time.Now().Before(deadline)
+}
 
-// arrived says that the oldest segment is there.
-func (c *conn) arrived() bool {
-	return len(c.inbox) > 0 && !time.Now().Before(c.inbox[0].at) && c.network.reaches(c.remote.ip, c.local.ip)
+// readable reports whether the oldest segment has arrived.
+func (c *conn) readable() bool {
+	return len(c.inbox) > 0 && !time.Now().Before(c.inbox[0].at) && c.network.reachable(c.remote.ip, c.local.ip)
 }
 
-func (c *conn) take(p []byte) (read int, end bool) {
+func (c *conn) consume(p []byte) (read int, end bool) {
 	head := &c.inbox[0]
-	if head.end {
-		c.inbox, c.ended = nil, true
+	if head.fin {
+		c.inbox, c.eof = nil, true
 		return 0, true
 	}
 	read = copy(p, head.data)
@@ -104,9 +107,9 @@
 		switch {
 		case c.closed:
 			return written, net.ErrClosed
-		case c.reset && n.reaches(c.remote.ip, c.local.ip), c.peer.closed && !c.peer.lost && n.reaches(c.local.ip, c.remote.ip):
+		case c.reset && n.reachable(c.remote.ip, c.local.ip), c.peer.closed && !c.peer.hostDown && n.reachable(c.local.ip, c.remote.ip):
 			return written, &net.OpError{Op: "write", Net: "tcp", Err: syscall.EPIPE}
-		case past(c.writeBy):
+		case deadlinePassed(c.writeDeadline):
 			return written, os.ErrDeadlineExceeded
 		}
 		room := window - c.peer.inboxBytes
@@ -126,29 +129,29 @@
 	s.at = time.Now().Add(c.network.delay)
 	c.peer.inbox = append(c.peer.inbox, s)
 	c.peer.inboxBytes += len(s.data)
-	c.network.wake(c.peer.cond, c.network.delay)
+	c.network.broadcastAfter(c.peer.cond, c.network.delay)
 }
 
-// Close implements net.Conn. Unread bytes make it a reset.
+// Close implements net.Conn. If received bytes are unread, the connection is reset.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	if c.closed {
 		return nil
 	}
-	if len(c.inbox) > 0 && c.arrived() && !c.inbox[0].end {
+	if len(c.inbox) > 0 && c.readable() && !c.inbox[0].fin {
 		c.abort()
 		return nil
 	}
 	c.closed = true
-	c.send(segment{end: true})
+	c.send(segment{fin: true})
 	c.cond.Broadcast()
 	c.peer.cond.Broadcast()
 	delete(c.network.conns, c)
 	return nil
 }
 
-// abort ends the connection at both sides. It needs the lock.
+// abort ends the connection at both ends. The caller holds Network.mu.
 func (c *conn) abort() {
 	c.closed = true
 	c.peer.reset = true
@@ -166,22 +169,26 @@
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	return c.deadline(func() { c.readBy, c.writeBy = t, t }, t)
+	return c.setDeadline(func() { c.readDeadline, c.writeDeadline = t, t }, t)
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *conn) SetReadDeadline(t time.Time) error { return c.deadline(func() { c.readBy = t }, t) }
+func (c *conn) SetReadDeadline(t time.Time) error {
+	return c.setDeadline(func() { c.readDeadline = t }, t)
+}
 
 // SetWriteDeadline implements net.Conn.
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.deadline(func() { c.writeBy = t }, t) }
+func (c *conn) SetWriteDeadline(t time.Time) error {
+	return c.setDeadline(func() { c.writeDeadline = t }, t)
+}
 
-func (c *conn) deadline(set func(), t time.Time) error {
+func (c *conn) setDeadline(set func(), t time.Time) error {
 	c.network.mu.Lock()
 	set()
 	c.cond.Broadcast()
 	c.network.mu.Unlock()
 	if !t.IsZero() {
-		c.network.wake(c.cond, max(0, time.Until(t)))
+		c.network.broadcastAfter(c.cond, max(0, time.Until(t)))
 	}
 	return nil
 }
--- a/internal/standin/memnet/doc.go
+++ b/internal/standin/memnet/doc.go
@@ -1,8 +1,9 @@
-// Package memnet is a network in memory for tests of whole instances. Its hosts
-// listen and dial by "ip:port"; paths between hosts have a delay and can be cut,
-// one way or both; a host can lose its power or its process.
+// Package memnet is an in-memory network for tests of whole instances. Its hosts
+// listen and dial by "ip:port". Packets have a delay, paths between hosts can be
+// blocked in one or both directions, and the process of a host can be killed or
+// the host powered off.
 //
-// It blocks on channels and condition variables only, so that instances run in a
-// bubble of testing/synctest: time passes when all of them wait, and a day of
-// seconds takes milliseconds.
+// The package blocks only on channels and condition variables, so that instances
+// can run in a testing/synctest bubble: the clock advances when all goroutines
+// wait, and a test that covers a day by the second takes milliseconds.
 package memnet
--- a/internal/standin/memnet/memnet_test.go
+++ b/internal/standin/memnet/memnet_test.go
@@ -26,7 +26,7 @@
 func TestBytesArriveInOrderAfterTheDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := pair(t, New(time.Millisecond))
-		began := time.Now()
+		start := time.Now()
 		_, err := client.Write([]byte("one"))
 		require.NoError(t, err)
 		_, err = client.Write([]byte("two"))
@@ -35,11 +35,11 @@
 		data, err := io.ReadAll(server)
 		require.NoError(t, err)
 		require.Equal(t, "onetwo", string(data))
-		require.Equal(t, time.Millisecond, time.Since(began))
+		require.Equal(t, time.Millisecond, time.Since(start))
 	})
 }
 
-func TestCutPathIsSilentAndDeliversOnceHealed(t *testing.T) {
+func TestBlockedPathIsSilentThenDelivers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(time.Millisecond)
 		client, server := pair(t, n)
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestDarkHostIsSilentAndResetsOnReturn(t *testing.T) {
+func TestPoweredOffHostIsSilentThenResets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(time.Millisecond)
 		client, _ := pair(t, n)
@@ -89,7 +89,7 @@
 	})
 }
 
-// A peer that does not read blocks the writer once the window is full.
+// A writer blocks once the window is full, if the other end does not read.
 func TestWindowBlocksTheWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, server := pair(t, New(time.Millisecond))
--- a/internal/standin/memnet/network.go
+++ b/internal/standin/memnet/network.go
@@ -10,58 +10,58 @@
 	"time"
 )
 
-// Network joins hosts.
+// Network connects hosts.
 type Network struct {
 	delay time.Duration
 
 	mu sync.Mutex
-	// dialling wakes those who wait for a connection to come about. Each
-	// connection and listener has a condition of its own.
-	dialling  *sync.Cond
-	listeners map[string]*listener
-	conns     map[*conn]struct{}
-	cuts      map[path]bool
-	dark      map[string]bool
-	nextPort  int
+	// dialCond wakes the calls of Dial. Each connection and each listener has
+	// a condition variable of its own.
+	dialCond   *sync.Cond
+	listeners  map[string]*listener
+	conns      map[*conn]struct{}
+	blocked    map[path]bool
+	poweredOff map[string]bool
+	nextPort   int
 }
 
-// path is one direction between two hosts, by IP number.
+// path is one direction between two hosts, named by their IP addresses.
 type path struct{ from, to string }
 
-// New returns a network whose packets take a delay one way.
+// New returns a network with the given one-way packet delay.
 func New(delay time.Duration) *Network {
 	n := &Network{
 		delay: delay, listeners: map[string]*listener{}, conns: map[*conn]struct{}{},
-		cuts: map[path]bool{}, dark: map[string]bool{}, nextPort: 40000,
+		blocked: map[path]bool{}, poweredOff: map[string]bool{}, nextPort: 40000,
 	}
-	n.dialling = sync.NewCond(&n.mu)
+	n.dialCond = sync.NewCond(&n.mu)
 	return n
 }
 
-// Host is one machine, named by its IP number.
+// Host is one machine, named by its IP address.
 type Host struct {
 	network *Network
 	ip      string
 }
 
-// Host returns a machine.
+// Host returns the host with an IP address.
 func (n *Network) Host(ip string) *Host { return &Host{network: n, ip: ip} }
 
-// Block drops all packets from one host to another. Connections stay open and
-// nothing comes; what was sent is delivered once the cut is healed.
-func (n *Network) Block(from, to string) { n.change(func() { n.cuts[path{from, to}] = true }) }
+// Block holds back all packets from one host to another. Connections stay open
+// and receive nothing. The packets are delivered after Unblock.
+func (n *Network) Block(from, to string) { n.update(func() { n.blocked[path{from, to}] = true }) }
 
-// Unblock ends a cut.
-func (n *Network) Unblock(from, to string) { n.change(func() { delete(n.cuts, path{from, to}) }) }
+// Unblock ends the effect of Block.
+func (n *Network) Unblock(from, to string) { n.update(func() { delete(n.blocked, path{from, to}) }) }
 
-// Partition cuts both ways between each host of one side and each of the other, and
-// Join heals that.
-func (n *Network) Partition(one, other []string) { n.both(one, other, n.Block) }
+// Partition blocks both directions between each host of one side and each host of
+// the other.
+func (n *Network) Partition(one, other []string) { n.forEachPair(one, other, n.Block) }
 
-// HealPartition ends what Part did.
-func (n *Network) HealPartition(one, other []string) { n.both(one, other, n.Unblock) }
+// HealPartition ends the effect of Partition.
+func (n *Network) HealPartition(one, other []string) { n.forEachPair(one, other, n.Unblock) }
 
-func (n *Network) both(one, other []string, do func(from, to string)) {
+func (n *Network) forEachPair(one, other []string, do func(from, to string)) {
 	for _, a := range one {
 		for _, b := range other {
 			do(a, b)
@@ -70,10 +70,11 @@
 	}
 }
 
-// Kill ends a host's process: its connections are reset and its ports refuse.
+// Kill ends the process of a host: its connections are reset and its ports refuse
+// connections.
 func (n *Network) Kill(ip string) {
-	n.change(func() {
-		n.unlisten(ip)
+	n.update(func() {
+		n.closeListeners(ip)
 		for c := range n.conns {
 			if c.local.ip == ip {
 				c.abort()
@@ -82,33 +83,34 @@
 	})
 }
 
-// PowerOff ends a host without a word to others: they hear nothing more.
+// PowerOff stops a host without closing its connections. Other hosts receive
+// nothing more from it.
 func (n *Network) PowerOff(ip string) {
-	n.change(func() {
-		n.unlisten(ip)
-		n.dark[ip] = true
+	n.update(func() {
+		n.closeListeners(ip)
+		n.poweredOff[ip] = true
 		for c := range n.conns {
 			if c.local.ip == ip {
-				c.lost = true
+				c.hostDown = true
 			}
 		}
 	})
 }
 
-// PowerOn lets a host be reached again. Its old connections are unknown there,
-// and packets on them are answered by a reset.
+// PowerOn makes a host reachable again. The host does not know its old
+// connections and resets them.
 func (n *Network) PowerOn(ip string) {
-	n.change(func() {
-		delete(n.dark, ip)
+	n.update(func() {
+		delete(n.poweredOff, ip)
 		for c := range n.conns {
-			if c.local.ip == ip && c.lost {
+			if c.local.ip == ip && c.hostDown {
 				c.abort()
 			}
 		}
 	})
 }
 
-func (n *Network) unlisten(ip string) {
+func (n *Network) closeListeners(ip string) {
 	for address, l := range n.listeners {
 		if hostOf(address) == ip {
 			l.closed = true
@@ -118,24 +120,26 @@
 	}
 }
 
-// change changes paths or hosts, which may concern anybody.
-func (n *Network) change(do func()) {
+// update changes paths or hosts and wakes all waiting calls, because the change may
+// affect any of them.
+func (n *Network) update(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	do()
-	n.dialling.Broadcast()
+	n.dialCond.Broadcast()
 	for c := range n.conns {
 		c.cond.Broadcast()
 	}
 }
 
-// reaches says that packets go through. It needs the lock.
-func (n *Network) reaches(from, to string) bool {
-	return !n.cuts[path{from, to}] && !n.dark[from] && !n.dark[to]
+// reachable reports whether packets get from one host to the other. The caller holds
+// n.mu.
+func (n *Network) reachable(from, to string) bool {
+	return !n.blocked[path{from, to}] && !n.poweredOff[from] && !n.poweredOff[to]
 }
 
-// wake wakes those who wait for a condition after a while.
-func (n *Network) wake(cond *sync.Cond, after time.Duration) {
+// broadcastAfter wakes the waiters of a condition variable after a delay.
+func (n *Network) broadcastAfter(cond *sync.Cond, after time.Duration) {
 	time.AfterFunc(after, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -147,7 +151,7 @@
 	return netip.MustParseAddrPort(address).Addr().String()
 }
 
-// endpoint is one end of a connection.
+// endpoint is the address of one end of a connection.
 type endpoint struct {
 	ip   string
 	port int
@@ -155,7 +159,7 @@
 
 func (e endpoint) addr() net.Addr { return &net.TCPAddr{IP: net.ParseIP(e.ip), Port: e.port} }
 
-// listener takes connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	network *Network
 	cond    *sync.Cond
@@ -210,31 +214,32 @@
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(l.address))
 }
 
-// Dial connects to an address. Nobody who listens there refuses; a cut path is
-// silent until ctx ends.
+// Dial connects to an address, which takes one round trip. It fails with
+// ECONNREFUSED if no listener is there. On a blocked path it waits until ctx
+// ends.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n := h.network
-	stop := context.AfterFunc(ctx, func() { n.wake(n.dialling, 0) })
+	stop := context.AfterFunc(ctx, func() { n.broadcastAfter(n.dialCond, 0) })
 	defer stop()
 	at := time.Now().Add(2 * n.delay)
-	n.wake(n.dialling, 2*n.delay)
+	n.broadcastAfter(n.dialCond, 2*n.delay)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := hostOf(address)
-	for time.Now().Before(at) || !n.reaches(h.ip, to) || !n.reaches(to, h.ip) {
+	for time.Now().Before(at) || !n.reachable(h.ip, to) || !n.reachable(to, h.ip) {
 		if ctx.Err() != nil {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		}
-		n.dialling.Wait()
+		n.dialCond.Wait()
 	}
 	l := n.listeners[address]
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
 	n.nextPort++
-	here := endpoint{h.ip, n.nextPort}
-	there := endpoint{to, int(netip.MustParseAddrPort(address).Port())}
-	near, far := newPair(n, here, there)
+	local := endpoint{h.ip, n.nextPort}
+	remote := endpoint{to, int(netip.MustParseAddrPort(address).Port())}
+	near, far := newPair(n, local, remote)
 	n.conns[near], n.conns[far] = struct{}{}, struct{}{}
 	l.waiting = append(l.waiting, far)
 	l.cond.Broadcast()
