--- a/internal/daemon/routed/config_test.go
+++ b/internal/daemon/routed/config_test.go
@@ -11,48 +11,48 @@
 	"merlintiller/internal/standin/sharedstore"
 )
 
-// withoutSecondKey takes the second organisation out of a configuration.
+// withoutSecondKey removes the second organisation from a configuration.
 func withoutSecondKey(config map[string]any) {
 	config["tenants"] = config["tenants"].([]any)[:1]
 }
 
-// A store that was restored from a copy, or a read that is behind, shows an older
-// configuration, or one that can't be read. Taken over, it would bring back a key
-// that was withdrawn.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A store that was restored from a backup, or a stale read, returns an older or an
+// unreadable configuration. If the instance applied it, a withdrawn key would work again.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 1, nodes: 2, targets: 1})
-		w.configure(withoutSecondKey)
-		pass(500 * time.Millisecond)
-		refused := func(what string) {
+		fleet := newTestFleet(t, fleetSize{domains: 1, instances: 2, targets: 1})
+		fleet.configure(withoutSecondKey)
+		sleep(500 * time.Millisecond)
+		requireUnauthorized := func(what string) {
 			t.Helper()
-			for _, n := range w.nodes {
-				require.Equal(t, http.StatusUnauthorized, n.send(ask{id: what + n.name, path: "/once/1", key: keyTwo}).status, what)
+			for _, inst := range fleet.instances {
+				require.Equal(t, http.StatusUnauthorized, inst.send(callerRequest{id: what + inst.name, path: "/once/1", key: keyTwo}).status, what)
 			}
 		}
-		refused("withdrawn")
-		newest := w.version
-		w.configure(func(config map[string]any) { config["version"] = newest - 1 })
-		pass(1500 * time.Millisecond)
-		refused("older")
-		w.store.Put("keyed.op", "config", []byte(`{"version":`))
-		pass(1500 * time.Millisecond)
-		refused("unreadable")
-		require.Contains(t, w.nodes[0].logs.String(), "event=config_unreadable")
+		requireUnauthorized("withdrawn")
+		newest := fleet.version
+		fleet.configure(func(config map[string]any) { config["version"] = newest - 1 })
+		sleep(1500 * time.Millisecond)
+		requireUnauthorized("older")
+		fleet.store.Put("keyed.op", "config", []byte(`{"version":`))
+		sleep(1500 * time.Millisecond)
+		requireUnauthorized("unreadable")
+		require.Contains(t, fleet.instances[0].logs.String(), "event=config_unreadable")
 	})
 }
 
-// The store turns one instance away while operators withdraw a key. The instance must
-// learn of it through the others, or the key works there for as long as that lasts.
-func TestConfigurationComesThroughOthers(t *testing.T) {
+// One instance can't reach the store while operators withdraw a key. The instance must
+// learn of the change from its peers. Otherwise the key would work there until the store
+// responds again.
+func TestConfigurationArrivesThroughPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 2, nodes: 2, targets: 1})
-		away := w.nodes[0]
-		away.door.Set(sharedstore.Fault{Silent: true})
-		pass(500 * time.Millisecond)
-		w.configure(withoutSecondKey)
-		pass(1500 * time.Millisecond)
-		require.Equal(t, http.StatusUnauthorized, away.send(ask{id: "a", path: "/once/1", key: keyTwo}).status)
-		require.Contains(t, away.logs.String(), "before=3 from=peer")
+		fleet := newTestFleet(t, fleetSize{domains: 2, instances: 2, targets: 1})
+		withoutStore := fleet.instances[0]
+		withoutStore.storeAccess.Set(sharedstore.Fault{Silent: true})
+		sleep(500 * time.Millisecond)
+		fleet.configure(withoutSecondKey)
+		sleep(1500 * time.Millisecond)
+		require.Equal(t, http.StatusUnauthorized, withoutStore.send(callerRequest{id: "a", path: "/once/1", key: keyTwo}).status)
+		require.Contains(t, withoutStore.logs.String(), "before=3 from=peer")
 	})
 }
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -32,49 +32,50 @@
 )
 
 const (
-	// jobsTopic holds batch jobs; instancesTopic holds who is there.
+	// jobsTopic holds batch jobs, instancesTopic the list of instances.
 	jobsTopic      = "keyed.jobs"
 	instancesTopic = "keyed.instances"
 	jobsGroup      = "jobs"
-	// memoryShare is the part of the memory that the collector keeps the heap
-	// below.
-	memoryShare = 0.6
+	// heapShareOfMemory is the share of the configured memory that is set as the soft
+	// memory limit of the Go runtime.
+	heapShareOfMemory = 0.6
 )
 
-// Daemon is one instance.
+// Daemon is one instance of the fleet.
 type Daemon struct {
 	settings *settings.Routed
 	network  external.Network
 	logger   log.Logger
 	self     mesh.Instance
 
-	store   *platform.Store
-	targets *targetconn.Client
-	view    *fleetview.View
-	placer  *placement.Placer
-	broker  *broker.Broker
-	slots   *broker.Client
-	meter   *quota.Limiter
-	mesh    *mesh.Mesh
-	peers   *peer.Server
-	calls   *peer.Client
-	keeper  *batchjobs.PartitionOwner
-	runner  *batchjobs.Runner
-	desk    *batchjobs.JobService
-	front   *front.Front
+	store          *platform.Store
+	targets        *targetconn.Client
+	view           *fleetview.View
+	placer         *placement.Placer
+	broker         *broker.Broker
+	brokerClient   *broker.Client
+	limiter        *quota.Limiter
+	mesh           *mesh.Mesh
+	peerServer     *peer.Server
+	peerClient     *peer.Client
+	partitionOwner *batchjobs.PartitionOwner
+	runner         *batchjobs.Runner
+	jobService     *batchjobs.JobService
+	front          *front.Front
 
-	isolation *isolation
+	isolation *isolationDetector
 
-	leaving atomic.Bool
-	tree    *suture.Supervisor
-	// killed ends all duties without leaving, for tests of sudden deaths.
+	leaving    atomic.Bool
+	supervisor *suture.Supervisor
+	// killed stops all background services without a graceful shutdown. Tests use it
+	// to simulate a crash.
 	killed context.Context
 	kill   context.CancelFunc
 }
 
-// New wires an instance on a network. Nothing runs before Run.
+// New creates an instance on a network. Background services start only in Run.
 func New(s *settings.Routed, network external.Network, logger log.Logger) (*Daemon, error) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(heapShareOfMemory * float64(s.MemoryMB) * (1 << 20)))
 	d := &Daemon{
 		settings: s, network: network, logger: logger,
 		self: mesh.Instance{
@@ -88,33 +89,33 @@
 			EndRunPath: platform.EndRunPath, EncodeEndRun: platform.EncodeEndRun, DecodeEndRun: platform.DecodeEndRun,
 			HandlePath: platform.HandlePath,
 		}),
-		calls: peer.NewClientOn(network),
+		peerClient: peer.NewClientOn(network),
 	}
-	d.meter = quota.NewLimiter()
+	d.limiter = quota.NewLimiter()
 	d.killed, d.kill = context.WithCancel(context.Background())
 	d.placer = placement.NewPlacer(d.self.Domain, d.targets.Connected, xxhash.Sum64String(d.self.Name))
-	d.joinView()
-	if err := d.joinPeers(); err != nil {
+	d.setupView()
+	if err := d.setupPeers(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d.joinBroker()
-	d.joinJobs()
-	d.isolation = &isolation{
-		cutOff: d.mesh.Isolated, storeAge: d.view.StoreAge, logger: d.logger,
-		takesJobs: func() bool {
+	d.setupBroker()
+	d.setupBatchJobs()
+	d.isolation = &isolationDetector{
+		otherDomainsUnreachable: d.mesh.Isolated, storeAge: d.view.StoreAge, logger: d.logger,
+		hasBatchRoutes: func() bool {
 			table := d.view.Table()
 			return table != nil && table.HasAnyBatchRoute()
 		},
 	}
-	d.joinFront()
-	if err := d.register(); err != nil {
+	d.setupFront()
+	if err := d.registerReceivers(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d.plant()
+	d.buildSupervisor()
 	return d, nil
 }
 
-func (d *Daemon) joinView() {
+func (d *Daemon) setupView() {
 	d.view = fleetview.New(fleetview.Options{
 		Log: d.store,
 		Sources: fleetview.Sources{
@@ -124,139 +125,140 @@
 			Config: platform.DecodeConfiguration, Drain: platform.DecodeDrain, Target: platform.DecodeTarget,
 		},
 		Logger:    d.logger,
-		OnConfig:  func(t *route.Table) { d.meter.SetOrganisations(t.Organisations()) },
-		OnTargets: func(list []roster.Target) { d.slots.SetTargets(list) },
-		// A broker counts what begins at targets that warm up, and others need not know of that.
-		TargetsFromPeers: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.slots.IsBroker() },
+		OnConfig:  func(t *route.Table) { d.limiter.SetOrganisations(t.Organisations()) },
+		OnTargets: func(list []roster.Target) { d.brokerClient.SetTargets(list) },
+		// A broker limits the requests that start at targets in their warm-up period, and
+		// peers need not know the warm-up state. So a broker reads the list of targets itself.
+		TargetsFromPeers: func() bool { return d.mesh.GetsTargetListFromRelay() && !d.brokerClient.IsBroker() },
 	})
 }
 
-func (d *Daemon) joinPeers() error {
+func (d *Daemon) setupPeers() error {
 	listener, err := d.network.Listen(d.settings.Listen.Peers)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	d.peers = peer.NewServer(listener, nil, d.logger)
-	d.mesh = mesh.New(mesh.Config{Self: d.self, Seeds: d.settings.Seeds, Caller: d.calls, Logger: d.logger})
-	d.mesh.SetDelegate(&local{Daemon: d})
+	d.peerServer = peer.NewServer(listener, nil, d.logger)
+	d.mesh = mesh.New(mesh.Config{Self: d.self, Seeds: d.settings.Seeds, Caller: d.peerClient, Logger: d.logger})
+	d.mesh.SetDelegate(&meshDelegate{Daemon: d})
 	return nil
 }
 
-func (d *Daemon) joinBroker() {
-	yield := func(instance string, number uint64) bool { return d.desk.Yield(instance, number) }
+func (d *Daemon) setupBroker() {
+	yield := func(instance string, number uint64) bool { return d.jobService.Yield(instance, number) }
 	d.broker = broker.New(d.self.Domain, xxhash.Sum64String(d.self.Name), yield)
-	d.slots = broker.NewClient(broker.ClientOptions{
-		Self: d.self, Peers: d.mesh, Caller: d.calls, Broker: d.broker, Local: d.placer,
+	d.brokerClient = broker.NewClient(broker.ClientOptions{
+		Self: d.self, Peers: d.mesh, Caller: d.peerClient, Broker: d.broker, Local: d.placer,
 		Connected: d.targets.Connected, Logger: d.logger,
 	})
-	d.broker.SetIsSoleBroker(d.slots.IsSoleBroker)
+	d.broker.SetIsSoleBroker(d.brokerClient.IsSoleBroker)
 }
 
-func (d *Daemon) joinJobs() {
+func (d *Daemon) setupBatchJobs() {
 	s := d.settings.Store
 	opts := &batchjobs.Options{
 		Member: d.self.Name,
 		Topic:  jobsTopic, Partitions: s.Partitions, Group: jobsGroup,
 		RecordBytes: s.RecordBytes, CallBytes: s.CallBytes, Readable: d.settings.ResultsReadable,
-		Log: d.store, Groups: d.store, Peers: d.mesh, Caller: d.calls,
+		Log: d.store, Groups: d.store, Peers: d.mesh, Caller: d.peerClient,
 		Table: d.view.Table, StoreAge: d.view.StoreAge, StoreAnswered: d.view.StoreAnswered,
-		Targets: d.targets, Placer: d.slots, Logger: d.logger,
+		Targets: d.targets, Placer: d.brokerClient, Logger: d.logger,
 	}
 	d.runner = batchjobs.NewRunner(opts)
-	d.keeper = batchjobs.NewPartitionOwner(opts, d.runner)
-	d.desk = batchjobs.NewJobService(opts, d.keeper, d.runner)
+	d.partitionOwner = batchjobs.NewPartitionOwner(opts, d.runner)
+	d.jobService = batchjobs.NewJobService(opts, d.partitionOwner, d.runner)
 }
 
-func (d *Daemon) joinFront() {
+func (d *Daemon) setupFront() {
 	d.front = front.New(front.Options{
-		Listen: d.listen(d.settings.Listen.Callers),
+		Listen: d.listenOn(d.settings.Listen.Callers),
 		Codec: front.Codec{
 			DecodeRequest: platform.DecodeRequest, DecodeJobCall: platform.DecodeJobCall,
 			DecodeItems: platform.DecodeItems, EncodeResults: platform.EncodeResults,
 			EncodeRetryAfter: platform.EncodeRetryAfter,
 		},
 		Table: d.view.Table,
-		Quota: d.meter,
-		Relay: relay.New(relay.Options{Targets: d.targets, Placer: d.slots, Logger: d.logger}),
-		Desk:  d.desk, NoJobs: d.isolation.jobRetry, Logger: d.logger,
+		Quota: d.limiter,
+		Relay: relay.New(relay.Options{Targets: d.targets, Placer: d.brokerClient, Logger: d.logger}),
+		Desk:  d.jobService, NoJobs: d.isolation.jobRetryAfter, Logger: d.logger,
 	})
 }
 
-func (d *Daemon) register() error {
+func (d *Daemon) registerReceivers() error {
 	receivers := map[string]any{
 		mesh.ServiceName:       d.mesh.Receiver(),
 		broker.ReceiverName:    d.broker.Receiver(),
-		batchjobs.ReceiverName: d.desk.Receiver(),
-		batchjobs.WaiterName:   d.desk.Waiter(),
+		batchjobs.ReceiverName: d.jobService.Receiver(),
+		batchjobs.WaiterName:   d.jobService.Waiter(),
 	}
 	for name, receiver := range receivers {
-		if err := d.peers.Register(name, receiver); err != nil {
+		if err := d.peerServer.Register(name, receiver); err != nil {
 			return trace.Wrap(err, "receiver %s", name)
 		}
 	}
 	return nil
 }
 
-// plant puts every duty into the supervisor's tree. A panic is a broken
-// invariant and stops the process; the platform starts it again.
-func (d *Daemon) plant() {
-	d.tree = suture.New("tillerd", suture.Spec{EventHook: d.event, PassThroughPanics: true})
-	for _, duty := range d.view.BackgroundServices() {
-		d.tree.Add(duty)
+// buildSupervisor adds every background service to the supervisor. A panic means a
+// broken invariant and stops the process; the platform restarts it.
+func (d *Daemon) buildSupervisor() {
+	d.supervisor = suture.New("tillerd", suture.Spec{EventHook: d.logSupervisorEvent, PassThroughPanics: true})
+	for _, service := range d.view.BackgroundServices() {
+		d.supervisor.Add(service)
 	}
-	d.tree.Add(d.peers)
-	d.tree.Add(d.mesh)
-	d.tree.Add(&registration{daemon: d})
-	d.tree.Add(d.broker)
-	d.tree.Add(d.slots)
-	d.tree.Add(&broker.Sweeper{
-		Broker: d.broker, IsBroker: d.slots.IsBroker, Targets: d.targets, FilterOrphans: d.desk.Orphans, Logger: d.logger,
+	d.supervisor.Add(d.peerServer)
+	d.supervisor.Add(d.mesh)
+	d.supervisor.Add(&registration{daemon: d})
+	d.supervisor.Add(d.broker)
+	d.supervisor.Add(d.brokerClient)
+	d.supervisor.Add(&broker.Sweeper{
+		Broker: d.broker, IsBroker: d.brokerClient.IsBroker, Targets: d.targets, FilterOrphans: d.jobService.Orphans, Logger: d.logger,
 	})
-	d.tree.Add(&broker.HealthChecker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
-	d.tree.Add(d.runner)
-	d.tree.Add(d.keeper)
-	d.tree.Add(d.front)
-	d.tree.Add(&readiness{daemon: d, listen: d.listen(d.settings.Listen.Readiness)})
+	d.supervisor.Add(&broker.HealthChecker{Broker: d.broker, Targets: d.targets, Logger: d.logger})
+	d.supervisor.Add(d.runner)
+	d.supervisor.Add(d.partitionOwner)
+	d.supervisor.Add(d.front)
+	d.supervisor.Add(&readinessServer{daemon: d, listen: d.listenOn(d.settings.Listen.Readiness)})
 	if d.settings.Listen.Metrics != "" {
-		d.tree.Add(&metricsServer{listen: d.listen(d.settings.Listen.Metrics)})
+		d.supervisor.Add(&metricsServer{listen: d.listenOn(d.settings.Listen.Metrics)})
 	}
 }
 
-// closeConnections closes what the duties have left open.
+// closeConnections closes the connections to targets, the store and peers.
 func (d *Daemon) closeConnections() {
 	d.targets.Close()
 	d.store.Close()
-	d.calls.Close()
+	d.peerClient.Close()
 }
 
-func (d *Daemon) event(e suture.Event) {
+func (d *Daemon) logSupervisorEvent(e suture.Event) {
 	_ = level.Warn(d.logger).Log("event", "duty_failed", "detail", e.String())
 }
 
-// Run serves until ctx ends, and then leaves gracefully.
+// Run serves until ctx ends, and then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
-	treeCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	servicesCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := d.tree.ServeBackground(treeCtx)
+	done := d.supervisor.ServeBackground(servicesCtx)
 	_ = level.Info(d.logger).Log("event", "started", "instance", d.self.Name, "domain", d.self.Domain,
 		"callers", d.settings.Listen.Callers, "peers", d.settings.Listen.Peers, "store", d.settings.Store.Address)
 	select {
 	case <-ctx.Done():
 		d.leave()
 	case <-d.killed.Done():
-	case err := <-ended:
+	case err := <-done:
 		return trace.Wrap(err)
 	}
 	stop()
 	defer d.closeConnections()
-	if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
 		return trace.Wrap(err)
 	}
 	_ = level.Info(d.logger).Log("event", "stopped")
 	return nil
 }
 
-func (d *Daemon) listen(address string) func() (net.Listener, error) {
+func (d *Daemon) listenOn(address string) func() (net.Listener, error) {
 	return func() (net.Listener, error) { return d.network.Listen(address) }
 }
 
--- /dev/null
+++ b/internal/daemon/routed/delegate.go
@@ -0,0 +1,93 @@
+package routed
+
+import (
+	"maps"
+	"time"
+
+	"merlintiller/internal/coordination/routed/mesh"
+	"merlintiller/internal/coordination/routed/quota"
+)
+
+// meshDelegate supplies the data for heartbeats and passes received data to the
+// components of the instance that use it.
+type meshDelegate struct{ *Daemon }
+
+// Versions implements mesh.Delegate.
+func (m *meshDelegate) Versions() mesh.Versions {
+	return mesh.Versions{Config: m.view.Version(), RosterMark: m.view.RosterMark(), RosterDigest: m.view.RosterDigest(), StoreAge: m.view.StoreAge()}
+}
+
+// FillHeartbeat implements mesh.Delegate.
+func (m *meshDelegate) FillHeartbeat(heartbeat *mesh.Heartbeat) {
+	heartbeat.Leaving = m.leaving.Load()
+	heartbeat.Drains = m.view.Drains()
+	heartbeat.Held = m.placer.InFlight()
+	heartbeat.Admitted = m.limiter.AdmittedCounts()
+	heartbeat.Levels = m.limiter.BucketLevels()
+	heartbeat.Informed = heartbeat.Levels != nil
+	heartbeat.TellsLevels = heartbeat.Informed
+	heartbeat.Partitions, heartbeat.Generation = m.partitionOwner.Owned()
+	heartbeat.HasLost = m.partitionOwner.HasLostPartition()
+	heartbeat.Claims = m.runner.Claims()
+}
+
+// SnapshotSince implements mesh.Delegate.
+func (m *meshDelegate) SnapshotSince(args mesh.SnapshotArgs) mesh.SnapshotReply {
+	reply := mesh.SnapshotReply{Config: m.view.ConfigNewerThan(args.ConfigVersion)}
+	reply.Targets, reply.RosterMark, reply.Listed = m.view.TargetsNewerThan(args.RosterMark)
+	return reply
+}
+
+// ApplySnapshot implements mesh.Delegate.
+func (m *meshDelegate) ApplySnapshot(reply mesh.SnapshotReply) {
+	if len(reply.Config) > 0 {
+		m.view.AdoptConfig(reply.Config, "peer")
+	}
+	if reply.Listed {
+		m.view.AdoptTargets(reply.Targets, reply.RosterMark)
+	}
+}
+
+// HeartbeatReceived implements mesh.Delegate.
+func (m *meshDelegate) HeartbeatReceived(heartbeat mesh.Heartbeat, silenceTimeout time.Duration) {
+	if !heartbeat.Relayed {
+		m.view.AdoptDrains(heartbeat.Drains, "peer")
+		m.placer.SetPeer(heartbeat.From.Name, heartbeat.Held)
+	}
+	var levels quota.BucketLevels
+	if heartbeat.TellsLevels {
+		levels = quota.BucketLevels{}
+		maps.Copy(levels, heartbeat.Levels)
+	}
+	m.limiter.ApplyReport(quota.Report{
+		Instance: heartbeat.From.Name, Start: heartbeat.From.Start, Uptime: heartbeat.Uptime, Counts: heartbeat.Admitted, Full: heartbeat.Whole,
+		HasQuotaState: heartbeat.Informed, Levels: levels, SilenceTimeout: silenceTimeout,
+	})
+}
+
+// PeersConfirmedAlive implements mesh.Delegate.
+func (m *meshDelegate) PeersConfirmedAlive(alive []quota.Liveness) { m.limiter.ConfirmAlive(alive) }
+
+// PeerSilent implements mesh.Delegate. The requests that a silent instance runs at
+// targets are no longer known from its heartbeats; the load reports of the targets
+// include them.
+func (m *meshDelegate) PeerSilent(i mesh.Instance) {
+	m.placer.SetPeer(i.Name, nil)
+	m.broker.InstanceSilent(i.Name)
+	m.peerClient.Forget(i.Address)
+}
+
+// PeerDown implements mesh.Delegate.
+func (m *meshDelegate) PeerDown(name string) {
+	m.placer.SetPeer(name, nil)
+	m.broker.InstanceDown(name)
+	m.limiter.MarkDown(name)
+}
+
+// SetDomainSilent implements mesh.Delegate.
+func (m *meshDelegate) SetDomainSilent(domain string, silent bool) {
+	m.placer.SetDomainSilent(domain, silent)
+}
+
+// PeerDiscovered implements mesh.Delegate.
+func (m *meshDelegate) PeerDiscovered(name string) { m.limiter.AddPeer(name) }
--- a/internal/daemon/routed/drain_test.go
+++ b/internal/daemon/routed/drain_test.go
@@ -11,17 +11,21 @@
 	"merlintiller/internal/standin/sharedstore"
 )
 
-// drainBound is how long after its order nothing new may begin in a drained domain.
-const drainBound = 5 * time.Second
+// drainPropagation is the time after which no request or item may start in a domain that
+// operators have drained.
+const drainPropagation = 5 * time.Second
 
-// drain has operators drain a failure domain, undrain takes that back.
-func (w *world) drain(domain string) { w.store.Put("keyed.op", "evacuate/"+domain, []byte("{}")) }
+// drain writes the operators' order to drain a failure domain. undrain deletes it.
+func (fleet *testFleet) drain(domain string) {
+	fleet.store.Put("keyed.op", "evacuate/"+domain, []byte("{}"))
+}
 
-func (w *world) undrain(domain string) { w.store.Put("keyed.op", "evacuate/"+domain, nil) }
+func (fleet *testFleet) undrain(domain string) { fleet.store.Put("keyed.op", "evacuate/"+domain, nil) }
 
-// ranIn counts what began at the targets of a failure domain since a moment.
-func (w *world) ranIn(domain string, since time.Time) (count int) {
-	for _, t := range w.targets {
+// runsInDomain counts the runs that started at the targets of a failure domain after a
+// given time.
+func (fleet *testFleet) runsInDomain(domain string, since time.Time) (count int) {
+	for _, t := range fleet.targets {
 		for _, run := range t.Runs() {
 			if t.domain == domain && run.Began.After(since) {
 				count++
@@ -31,86 +35,86 @@
 	return count
 }
 
-// askAll has each instance serve some requests, all at once.
-func (w *world) askAll(name string, each int) {
-	w.t.Helper()
-	replies := make(chan reply)
-	for _, n := range w.nodes {
-		for i := range each {
+// sendToAll sends requests to each instance concurrently and requires that all succeed.
+func (fleet *testFleet) sendToAll(name string, perInstance int) {
+	fleet.t.Helper()
+	replies := make(chan callerResponse)
+	for _, inst := range fleet.instances {
+		for i := range perInstance {
 			go func() {
-				replies <- n.send(ask{id: fmt.Sprint(name, "-", n.name, "-", i), path: "/once/x/5", key: keyOne})
+				replies <- inst.send(callerRequest{id: fmt.Sprint(name, "-", inst.name, "-", i), path: "/once/x/5", key: keyOne})
 			}()
 		}
 	}
-	for range each * len(w.nodes) {
+	for range perInstance * len(fleet.instances) {
 		got := <-replies
-		require.NoError(w.t, got.err)
-		require.Equal(w.t, 200, got.status)
+		require.NoError(fleet.t, got.err)
+		require.Equal(fleet.t, 200, got.status)
 	}
 }
 
-// Guards against requests and items that begin in a failure domain which operators have
-// drained: at an instance that the store turns away, after the history of what operators
-// wrote is gone, and at an instance that starts meanwhile.
-func TestNothingBeginsInADrainedDomain(t *testing.T) {
+// Guards against requests and items that start in a drained failure domain: through an
+// instance that can't reach the store, after the store has lost the operators' records,
+// and through an instance that starts during the drain.
+func TestNothingStartsInDrainedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 2, targets: 2})
-		w.nodes[0].door.Set(sharedstore.Fault{Refuse: 503})
-		w.askAll("before", 4)
-		require.NotZero(t, w.ranIn("d1", time.Time{}))
-		require.Equal(t, 202, w.nodes[1].send(jobOf("job", 30, 40)).status)
-		w.drain("d1")
-		pass(drainBound)
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 2, targets: 2})
+		fleet.instances[0].storeAccess.Set(sharedstore.Fault{Refuse: 503})
+		fleet.sendToAll("before", 4)
+		require.NotZero(t, fleet.runsInDomain("d1", time.Time{}))
+		require.Equal(t, 202, fleet.instances[1].send(batchJob("job", 30, 40)).status)
+		fleet.drain("d1")
+		sleep(drainPropagation)
 		drained := time.Now()
-		w.store.Forget("keyed.op")
-		w.nodes[3].kill()
-		w.nodes[3].start()
-		pass(2 * time.Second)
-		w.askAll("while", 8)
-		w.requireWhole("job", w.nodes[1].allResults("job", 10*time.Second), 40)
-		require.Zero(t, w.ranIn("d1", drained))
+		fleet.store.Forget("keyed.op")
+		fleet.instances[3].kill()
+		fleet.instances[3].start()
+		sleep(2 * time.Second)
+		fleet.sendToAll("while", 8)
+		fleet.requireComplete("job", fleet.instances[1].allResults("job", 10*time.Second), 40)
+		require.Zero(t, fleet.runsInDomain("d1", drained))
 
-		w.undrain("d1")
-		pass(drainBound)
+		fleet.undrain("d1")
+		sleep(drainPropagation)
 		back := time.Now()
-		w.askAll("after", 8)
-		require.NotZero(t, w.ranIn("d1", back))
+		fleet.sendToAll("after", 8)
+		require.NotZero(t, fleet.runsInDomain("d1", back))
 	})
 }
 
-// Guards against requests that are kept waiting, or sent all the same, while every failure
-// domain is drained: they are refused at once, with when to return.
-func TestRequestIsRefusedAtOnceWhileAllIsDrained(t *testing.T) {
+// Guards against requests that wait, or are sent to a target, while every failure domain
+// is drained. They must be rejected at once with a Retry-After header.
+func TestRequestIsRejectedAtOnceWhileAllDomainsAreDrained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 2, nodes: 1, targets: 1})
-		w.drain("d0")
-		w.drain("d1")
-		pass(drainBound)
-		got := w.nodes[0].send(ask{id: "r", path: "/once/x/5", key: keyOne})
+		fleet := newTestFleet(t, fleetSize{domains: 2, instances: 1, targets: 1})
+		fleet.drain("d0")
+		fleet.drain("d1")
+		sleep(drainPropagation)
+		got := fleet.instances[0].send(callerRequest{id: "r", path: "/once/x/5", key: keyOne})
 		require.Equal(t, 503, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
 		require.Less(t, got.took, 100*time.Millisecond)
-		require.Empty(t, w.runs("r"))
+		require.Empty(t, fleet.runsOf("r"))
 	})
 }
 
-// Guards against a large fleet in which only relays learn of a drain, or of its end.
-func TestDrainReachesALargeFleet(t *testing.T) {
+// Guards against a large fleet in which only relays learn of a drain or of its end.
+func TestDrainReachesLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 7, targets: 1})
-		for _, n := range w.nodes[:12] {
-			n.door.Set(sharedstore.Fault{Silent: true})
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 7, targets: 1})
+		for _, inst := range fleet.instances[:12] {
+			inst.storeAccess.Set(sharedstore.Fault{Silent: true})
 		}
-		w.drain("d2")
-		pass(drainBound)
-		for _, n := range w.nodes {
-			require.Equal(t, []string{"d2"}, n.daemon.view.Drains().Domains, n.name)
+		fleet.drain("d2")
+		sleep(drainPropagation)
+		for _, inst := range fleet.instances {
+			require.Equal(t, []string{"d2"}, inst.daemon.view.Drains().Domains, inst.name)
 		}
-		w.undrain("d2")
-		pass(drainBound)
-		for _, n := range w.nodes {
-			require.Empty(t, n.daemon.view.Drains().Domains, n.name)
-			n.door.Set(sharedstore.Fault{})
+		fleet.undrain("d2")
+		sleep(drainPropagation)
+		for _, inst := range fleet.instances {
+			require.Empty(t, inst.daemon.view.Drains().Domains, inst.name)
+			inst.storeAccess.Set(sharedstore.Fault{})
 		}
 	})
 }
--- a/internal/daemon/routed/follow_test.go
+++ b/internal/daemon/routed/follow_test.go
@@ -10,9 +10,10 @@
 	"merlintiller/internal/standin/sharedstore"
 )
 
-// leavingAt says whether an instance knows that a target leaves.
-func (n *node) leavingAt(id string) bool {
-	list, _, _ := n.daemon.view.TargetsNewerThan(-1)
+// seesLeaving reports whether the instance knows that a target is leaving. A target that
+// is no longer listed counts as leaving.
+func (inst *testInstance) seesLeaving(id string) bool {
+	list, _, _ := inst.daemon.view.TargetsNewerThan(-1)
 	for _, t := range list {
 		if t.ID == id {
 			return t.Leaving
@@ -21,80 +22,81 @@
 	return true
 }
 
-// leave has a target say that it leaves.
-func (t *target) leave() {
+// startLeaving makes the target announce that it is leaving.
+func (t *target) startLeaving() {
 	t.state = "draining"
-	t.enter()
+	t.register()
 }
 
-func (w *world) followers() (found []*node) {
-	for _, n := range w.nodes {
-		if n.daemon.mesh.GetsTargetListFromRelay() {
-			found = append(found, n)
+func (fleet *testFleet) followers() (found []*testInstance) {
+	for _, inst := range fleet.instances {
+		if inst.daemon.mesh.GetsTargetListFromRelay() {
+			found = append(found, inst)
 		}
 	}
 	return found
 }
 
-// In a large fleet the list of targets is read by the relays, and the others learn from
-// them what changes. A leaving target must be left as soon as in a small fleet, also when
-// those who read the list have just died, or requests are cut by its end.
+// In a large fleet only the relays read the list of targets, and the other instances
+// receive its changes from them. All instances must learn that a target is leaving as soon
+// as in a small fleet, also when the relays have just died. Otherwise the exit of the
+// target interrupts requests.
 func TestFollowersLearnOfLeavingTargets(t *testing.T) {
 	const bound = 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 7, targets: 2})
-		pass(time.Second)
-		followers := w.followers()
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 7, targets: 2})
+		sleep(time.Second)
+		followers := fleet.followers()
 		require.Len(t, followers, 15, "two of seven are relays")
-		w.targets[0].leave()
-		pass(bound)
-		for _, n := range w.nodes {
-			require.True(t, n.leavingAt(w.targets[0].id), n.name)
+		fleet.targets[0].startLeaving()
+		sleep(bound)
+		for _, inst := range fleet.instances {
+			require.True(t, inst.seesLeaving(fleet.targets[0].id), inst.name)
 		}
 
-		follows := map[*node]bool{}
-		for _, n := range followers {
-			follows[n] = true
+		isFollower := map[*testInstance]bool{}
+		for _, inst := range followers {
+			isFollower[inst] = true
 		}
-		for _, n := range w.nodes {
-			if !follows[n] {
-				n.kill()
+		for _, inst := range fleet.instances {
+			if !isFollower[inst] {
+				inst.kill()
 			}
 		}
-		w.targets[1].leave()
-		pass(bound)
-		for _, n := range followers {
-			require.True(t, n.leavingAt(w.targets[1].id), n.name)
+		fleet.targets[1].startLeaving()
+		sleep(bound)
+		for _, inst := range followers {
+			require.True(t, inst.seesLeaving(fleet.targets[1].id), inst.name)
 		}
 	})
 }
 
-// The store turns the relays away. The others must not rely on what these know, and read
-// the list themselves.
-func TestNobodyFollowsARelayWithoutTheStore(t *testing.T) {
+// The relays can't reach the store. The other instances must not rely on the list of
+// the relays, and must read the store themselves.
+func TestRelayWithoutStoreIsNotFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 7, targets: 2})
-		pass(time.Second)
-		follows := map[*node]bool{}
-		for _, n := range w.followers() {
-			follows[n] = true
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 7, targets: 2})
+		sleep(time.Second)
+		isFollower := map[*testInstance]bool{}
+		for _, inst := range fleet.followers() {
+			isFollower[inst] = true
 		}
-		for _, n := range w.nodes {
-			if !follows[n] {
-				n.door.Set(sharedstore.Fault{Silent: true})
+		for _, inst := range fleet.instances {
+			if !isFollower[inst] {
+				inst.storeAccess.Set(sharedstore.Fault{Silent: true})
 			}
 		}
-		// A read that is under way is still answered, within a second; an answer counts for
-		// another one; and two messages to a relay may be 0.4 s apart.
-		pass(3 * time.Second)
-		require.Empty(t, w.followers())
-		w.targets[0].leave()
-		pass(2 * time.Second)
-		for _, n := range w.nodes {
-			require.True(t, n.leavingAt(w.targets[0].id), n.name)
+		// A pending read still gets its response within 1 s; a response counts as current for
+		// another 1 s; and two heartbeats to a relay may be 0.4 s apart.
+		sleep(3 * time.Second)
+		require.Empty(t, fleet.followers())
+		fleet.targets[0].startLeaving()
+		sleep(2 * time.Second)
+		for _, inst := range fleet.instances {
+			require.True(t, inst.seesLeaving(fleet.targets[0].id), inst.name)
 		}
-		for _, n := range w.nodes {
-			n.door.Set(sharedstore.Fault{})
+		for _, inst := range fleet.instances {
+			inst.storeAccess.Set(sharedstore.Fault{})
 		}
 	})
 }
--- a/internal/daemon/routed/isolation.go
+++ b/internal/daemon/routed/isolation.go
@@ -9,72 +9,75 @@
 )
 
 const (
-	// isolatedAfter is how long the store must not have answered for an instance that
-	// hears no other failure domain to be cut off. The store answers several times a
-	// second.
-	isolatedAfter = 700 * time.Millisecond
-	// balancerNotice is the time after which the balancer sends new connections of
-	// this failure domain elsewhere: it asks once a second and wants two misses.
-	balancerNotice = 2200 * time.Millisecond
-	// unreadyMost is how long a cut keeps an instance from being ready. It can't tell a
-	// cut from the loss of the store and of all other failure domains; if that lasts,
-	// its callers have nobody else.
-	unreadyMost = 10 * time.Second
-	// leastRetry is told for what can be tried again at once.
-	leastRetry = 300 * time.Millisecond
+	// isolationStoreAge is the time without a response of the store after which an
+	// instance counts as isolated, if it also receives no heartbeat from another failure
+	// domain. The store normally responds several times a second.
+	isolationStoreAge = 700 * time.Millisecond
+	// balancerReaction is the time that the load balancer needs to send new connections
+	// to other failure domains: it polls readiness once a second and requires two
+	// failures.
+	balancerReaction = 2200 * time.Millisecond
+	// maxUnready is the longest time for which isolation makes an instance unready. An
+	// instance can't tell a network partition from the loss of the store and of all other
+	// failure domains. If the loss lasts, callers can't reach any other instance.
+	maxUnready = 10 * time.Second
+	// minRetryAfter is the shortest delay after which callers are told to retry a job.
+	minRetryAfter = 300 * time.Millisecond
 )
 
-// isolation notices that this instance is cut off: neither the store nor another
-// failure domain is heard.
+// isolationDetector detects that this instance is isolated: it reaches neither the
+// store nor another failure domain.
 //
-// The load it answers: a failure domain is cut off for seconds, and callers still
-// reach it. It serves online requests by its own targets, but can keep no job: each
-// one that comes would be lost. So its instances are not ready meanwhile. The
-// balancer sends new connections to other failure domains once all of them say so,
-// and jobs that were refused are taken there.
-type isolation struct {
-	// cutOff says that no other failure domain is heard, storeAge gives the time
-	// since the store answered.
-	cutOff   func() bool
-	storeAge func() time.Duration
-	// takesJobs says that there are routes for batch jobs. Without them the instance
-	// can do all that it is for, and stays ready.
-	takesJobs func() bool
-	logger    log.Logger
+// A failure domain may be isolated for seconds while callers still reach it. Its
+// instances can serve online requests at the targets of the domain, but can't store
+// jobs: each submitted job would be lost. So they report not ready during the
+// isolation. Once all of them do, the balancer sends new connections to other failure
+// domains, which accept the rejected jobs.
+type isolationDetector struct {
+	// otherDomainsUnreachable reports whether no other failure domain is reachable.
+	// storeAge returns the time since the last response of the store.
+	otherDomainsUnreachable func() bool
+	storeAge                func() time.Duration
+	// hasBatchRoutes reports whether there are routes for batch jobs. Without such
+	// routes an isolated instance can do all of its work, and stays ready.
+	hasBatchRoutes func() bool
+	logger         log.Logger
 
-	mu    sync.Mutex
-	since time.Time
+	mu            sync.Mutex
+	isolatedSince time.Time
 }
 
-// look says since when the instance is cut off, zero if it is not.
-func (i *isolation) look(now time.Time) time.Time {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	is := i.storeAge() > isolatedAfter && i.cutOff() && i.takesJobs()
+// check updates the state and returns the time at which the isolation began, or zero
+// if the instance is not isolated.
+func (d *isolationDetector) check(now time.Time) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	isolated := d.storeAge() > isolationStoreAge && d.otherDomainsUnreachable() && d.hasBatchRoutes()
 	switch {
-	case is && i.since.IsZero():
-		i.since = now
-		_ = level.Info(i.logger).Log("event", "isolated", "store_age_ms", i.storeAge().Milliseconds())
-	case !is && !i.since.IsZero():
-		_ = level.Info(i.logger).Log("event", "isolation_ended", "took_ms", now.Sub(i.since).Milliseconds())
-		i.since = time.Time{}
+	case isolated && d.isolatedSince.IsZero():
+		d.isolatedSince = now
+		_ = level.Info(d.logger).Log("event", "isolated", "store_age_ms", d.storeAge().Milliseconds())
+	case !isolated && !d.isolatedSince.IsZero():
+		_ = level.Info(d.logger).Log("event", "isolation_ended", "took_ms", now.Sub(d.isolatedSince).Milliseconds())
+		d.isolatedSince = time.Time{}
 	}
-	return i.since
+	return d.isolatedSince
 }
 
-// ready says whether the balancer may send callers here.
-func (i *isolation) ready() bool {
+// ready reports whether the balancer may send callers to this instance.
+func (d *isolationDetector) ready() bool {
 	now := time.Now()
-	since := i.look(now)
-	return since.IsZero() || now.Sub(since) >= unreadyMost
+	since := d.check(now)
+	return since.IsZero() || now.Sub(since) >= maxUnready
 }
 
-// jobRetry says whether no job can be kept now, and when its caller may come back.
-func (i *isolation) jobRetry() (time.Duration, bool) {
+// jobRetryAfter reports whether this instance can't store jobs now, and after which
+// delay a caller may retry.
+func (d *isolationDetector) jobRetryAfter() (time.Duration, bool) {
 	now := time.Now()
-	since := i.look(now)
+	since := d.check(now)
 	if since.IsZero() {
 		return 0, false
 	}
-	return max(leastRetry, since.Add(balancerNotice).Sub(now)), true
+	return max(minRetryAfter, since.Add(balancerReaction).Sub(now)), true
 }
--- a/internal/daemon/routed/leave.go
+++ b/internal/daemon/routed/leave.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// leaveMargin is left of the grace for the end of the process itself, at most
-	// leaveMarginShare of it.
+	// leaveMargin is the part of the grace period that is reserved for the exit of the
+	// process itself. It is at most leaveMarginShare of the grace period.
 	leaveMargin      = 1200 * time.Millisecond
 	leaveMarginShare = 0.15
-	// storeStep bounds a step that needs the store.
-	storeStep = 500 * time.Millisecond
-	// handOverStep bounds the handing over of items: others take the partitions
-	// up within some hundred milliseconds and tell so.
-	handOverStep = 1500 * time.Millisecond
+	// storeStepTimeout limits a shutdown step that needs the store.
+	storeStepTimeout = 500 * time.Millisecond
+	// handOverTimeout limits the hand-over of items. Peers take over the partitions
+	// within some hundred milliseconds and announce it.
+	handOverTimeout = 1500 * time.Millisecond
 )
 
-// leave ends the duties towards the outside: not ready first, then the jobs to
-// other instances, then the balancer's lag, then the end of the requests in
-// flight. No request is cut.
+// leave shuts the instance down gracefully: it reports not ready, releases the job
+// partitions to other instances, waits until the balancer has reacted, and then waits for
+// the requests in flight. No request is interrupted.
 func (d *Daemon) leave() {
-	began := time.Now()
+	start := time.Now()
 	d.leaving.Store(true)
 	d.front.Leave()
 	_ = level.Info(d.logger).Log("event", "leaving", "in_flight", d.front.InFlight())
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(d.settings.Grace-d.leaveMargin()))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(d.settings.Grace-d.leaveMargin()))
 	defer cancel()
-	d.step(ctx, storeStep, "jobs", d.keeper.Leave)
-	wait(ctx, time.Until(began.Add(d.settings.DrainNotice)))
-	// The balancer sends nobody any more. Callers that have connections would
-	// go on sending until the end, and the last request would be cut by it; so
-	// idle connections are closed now, and the others after their request.
+	d.runStep(ctx, storeStepTimeout, "jobs", d.partitionOwner.Leave)
+	sleepContext(ctx, time.Until(start.Add(d.settings.DrainNotice)))
+	// The balancer no longer sends new connections. Callers with open connections would
+	// keep sending requests until the process exits, and the exit would interrupt the last
+	// one. So idle connections are closed now, and the others after their request.
 	err := d.front.Finish(ctx)
-	d.step(ctx, handOverStep, "items", d.runner.Shutdown)
-	d.step(ctx, storeStep, "withdraw", func(ctx context.Context) {
-		if err := d.withdraw(ctx); err != nil {
+	d.runStep(ctx, handOverTimeout, "items", d.runner.Shutdown)
+	d.runStep(ctx, storeStepTimeout, "withdraw", func(ctx context.Context) {
+		if err := d.removeOwnEntry(ctx); err != nil {
 			_ = level.Warn(d.logger).Log("event", "withdraw_failed", "err", err)
 		}
 	})
-	_ = level.Info(d.logger).Log("event", "left", "in_flight", d.front.InFlight(), "took_ms", time.Since(began).Milliseconds(), "err", err)
+	_ = level.Info(d.logger).Log("event", "left", "in_flight", d.front.InFlight(), "took_ms", time.Since(start).Milliseconds(), "err", err)
 }
 
 func (d *Daemon) leaveMargin() time.Duration {
 	return min(leaveMargin, time.Duration(leaveMarginShare*float64(d.settings.Grace)))
 }
 
-func (d *Daemon) step(ctx context.Context, most time.Duration, name string, run func(context.Context)) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (d *Daemon) runStep(ctx context.Context, timeout time.Duration, name string, run func(context.Context)) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	run(ctx)
-	_ = level.Info(d.logger).Log("event", "drained", "step", name, "took_ms", time.Since(began).Milliseconds())
+	_ = level.Info(d.logger).Log("event", "drained", "step", name, "took_ms", time.Since(start).Milliseconds())
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/daemon/routed/load_test.go
+++ b/internal/daemon/routed/load_test.go
@@ -13,18 +13,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// peak sends requests at random moments to random instances, so many a second for
-// a while, and gives how many were answered and how many of those were late.
-func (w *world) peak(perSecond float64, d time.Duration, events int, objective time.Duration) (answered, late, refused int) {
-	random := rand.New(rand.NewPCG(7, 7))
+// generateLoad sends requests to random instances for a duration d, as a Poisson process
+// with perSecond arrivals per second. It returns how many requests were answered, how many
+// of those got their first byte after the objective, and how many were not answered.
+func (fleet *testFleet) generateLoad(perSecond float64, d time.Duration, events int, objective time.Duration) (answered, late, failed int) {
+	rng := rand.New(rand.NewPCG(7, 7))
 	var mu sync.Mutex
 	var callers sync.WaitGroup
 	until := time.Now().Add(d)
 	for i := 0; time.Now().Before(until); i++ {
-		pass(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
-		n := w.nodes[random.IntN(len(w.nodes))]
+		sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
+		inst := fleet.instances[rng.IntN(len(fleet.instances))]
 		callers.Go(func() {
-			got := n.send(ask{id: fmt.Sprintf("peak-%d", i), path: fmt.Sprintf("/once/a/%d", events), key: keyOne})
+			got := inst.send(callerRequest{id: fmt.Sprintf("peak-%d", i), path: fmt.Sprintf("/once/a/%d", events), key: keyOne})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -34,100 +35,100 @@
 					late++
 				}
 			default:
-				refused++
+				failed++
 			}
 		})
 	}
 	callers.Wait()
-	return answered, late, refused
+	return answered, late, failed
 }
 
-// At the peak of a swing six in seven slots are taken by online requests, and
-// batch items would like to have the rest. Nine instances choose among the same
-// slots. Where each chose by what the others told last, 75 to 84 of 194 requests
-// came behind others at a full target and were late; asked of a broker, none.
-func TestPeakBesideBatchIsOnTime(t *testing.T) {
+// At peak load six in seven slots are occupied by online requests, and batch items
+// compete for the rest. Nine instances share the same slots. When each instance chose
+// targets from the last reports of its peers, 75 to 84 of 194 requests queued at a full
+// target and were late. With slots granted by a broker, none was.
+func TestPeakLoadBesideBatchIsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 3, targets: 3})
-		for i, n := range w.nodes[:6] {
-			require.Equal(t, http.StatusAccepted, n.send(jobOf(fmt.Sprint("job-", i), 12, 250)).status)
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 3, targets: 3})
+		for i, inst := range fleet.instances[:6] {
+			require.Equal(t, http.StatusAccepted, inst.send(batchJob(fmt.Sprint("job-", i), 12, 250)).status)
 		}
-		pass(time.Second)
-		answered, late, refused := w.peak(85, 2400*time.Millisecond, 35, 300*time.Millisecond)
-		require.Zero(t, refused)
+		sleep(time.Second)
+		answered, late, failed := fleet.generateLoad(85, 2400*time.Millisecond, 35, 300*time.Millisecond)
+		require.Zero(t, failed)
 		require.Greater(t, answered, 150)
 		require.LessOrEqual(t, late, answered/100)
 	})
 }
 
-// The instances that act as brokers are killed at the peak. The others ask the
-// next ones, and requests go on being served.
-func TestPeakOutlivesItsBrokers(t *testing.T) {
+// The instances that act as brokers are killed at peak load. The other instances must
+// switch to the next brokers, and requests must still be served.
+func TestPeakLoadSurvivesBrokerFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 2, nodes: 3, targets: 3})
+		fleet := newTestFleet(t, fleetSize{domains: 2, instances: 3, targets: 3})
 		brokers := map[string]bool{}
-		for _, n := range w.nodes {
-			if list := n.daemon.slots.Brokers(n.domain); len(list) > 0 {
+		for _, inst := range fleet.instances {
+			if list := inst.daemon.brokerClient.Brokers(inst.domain); len(list) > 0 {
 				brokers[list[0]] = true
 			}
 		}
-		require.Len(t, brokers, 2, "each domain has one broker, by all instances")
-		var kept []*node
-		for _, n := range w.nodes {
-			if !brokers[n.ip+":82"] {
-				kept = append(kept, n)
+		require.Len(t, brokers, 2, "all instances agree on one broker for each domain")
+		var remaining []*testInstance
+		for _, inst := range fleet.instances {
+			if !brokers[inst.ip+":82"] {
+				remaining = append(remaining, inst)
 			}
 		}
 		time.AfterFunc(500*time.Millisecond, func() {
-			for _, n := range w.nodes {
-				if brokers[n.ip+":82"] {
-					go n.kill()
+			for _, inst := range fleet.instances {
+				if brokers[inst.ip+":82"] {
+					go inst.kill()
 				}
 			}
 		})
-		all := w.nodes
-		w.nodes = kept
-		answered, late, refused := w.peak(45, 2*time.Second, 35, 300*time.Millisecond)
-		w.nodes = all
-		require.Zero(t, refused)
+		all := fleet.instances
+		fleet.instances = remaining
+		answered, late, failed := fleet.generateLoad(45, 2*time.Second, 35, 300*time.Millisecond)
+		fleet.instances = all
+		require.Zero(t, failed)
 		require.LessOrEqual(t, late, answered/50)
 	})
 }
 
-// occupy has a target run requests that no instance of the fleet knows of, such as
-// those of instances that lost their power.
-func (t *target) occupy(runs, events int) {
+// startUnknownRuns starts requests at a target that no instance of the fleet knows of,
+// such as the requests of instances that lost power.
+func (t *target) startUnknownRuns(runs, events int) {
 	for i := range runs {
-		t.world.ended.Go(func() {
-			client := t.world.client()
+		t.fleet.background.Go(func() {
+			client := t.fleet.client()
 			defer client.CloseIdleConnections()
 			id := fmt.Sprintf("unknown-%s-%d", t.id, i)
-			request, err := http.NewRequestWithContext(t.world.ctx, http.MethodPost, fmt.Sprintf("http://%s:8000/once/a/%d", t.ip, events), nil)
-			require.NoError(t.world.t, err)
+			request, err := http.NewRequestWithContext(t.fleet.ctx, http.MethodPost, fmt.Sprintf("http://%s:8000/once/a/%d", t.ip, events), nil)
+			require.NoError(t.fleet.t, err)
 			request.Header.Set("Request-Id", id)
-			answer, err := client.Do(request)
+			response, err := client.Do(request)
 			if err != nil {
 				return
 			}
-			_, _ = io.Copy(io.Discard, answer.Body)
-			_ = answer.Body.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			_ = response.Body.Close()
 		})
 	}
 }
 
-// Instances of a failure domain lost their power. What they had sent to targets
-// goes on running there for seconds, and no instance knows of it any more. If the
-// brokers took those slots for free, a part of all requests would stand in queues of
-// these targets while slots are free at others, and their callers would wait.
-func TestRunsThatNobodyTellsOfAreCounted(t *testing.T) {
+// Instances of a failure domain lost power. Their requests keep running at the targets
+// for seconds, and no instance knows of them any more. If brokers treated those slots as
+// free, some requests would wait in the queues of these targets while other targets have
+// free slots.
+func TestUnreportedRunsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 2, nodes: 3, targets: 3})
-		for _, target := range w.targets[:3] {
-			target.occupy(4, 200)
+		fleet := newTestFleet(t, fleetSize{domains: 2, instances: 3, targets: 3})
+		for _, target := range fleet.targets[:3] {
+			target.startUnknownRuns(4, 200)
 		}
-		pass(100 * time.Millisecond)
-		answered, late, refused := w.peak(38, 3*time.Second, 35, 300*time.Millisecond)
-		require.Zero(t, refused)
+		sleep(100 * time.Millisecond)
+		answered, late, failed := fleet.generateLoad(38, 3*time.Second, 35, 300*time.Millisecond)
+		require.Zero(t, failed)
 		require.Greater(t, answered, 90)
 		require.LessOrEqual(t, late, answered/20, "of %d", answered)
 	})
--- a/internal/daemon/routed/mesh_test.go
+++ b/internal/daemon/routed/mesh_test.go
@@ -10,53 +10,53 @@
 	"merlintiller/internal/coordination/routed/mesh"
 )
 
-// All instances of a fleet start at the same moment, as after an outage. Each
-// must know all others soon: one that knows too few leaves out their requests when
-// it chooses targets, and runs items that they run.
-func TestInstancesThatStartTogetherFindEachOther(t *testing.T) {
+// All instances of a fleet start at the same time, as after an outage. Each must
+// discover all others soon. An instance that knows too few peers ignores their requests
+// when it selects targets, and runs items that they already run.
+func TestInstancesThatStartTogetherDiscoverEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 3, targets: 1})
-		requireAllUp(t, w)
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 3, targets: 1})
+		requireAllUp(t, fleet)
 	})
 }
 
-// An instance is gone for good. It must leave the list, or each instance that
-// starts keeps a part of every rate for it.
-func TestLostInstanceLeavesTheList(t *testing.T) {
+// An instance is killed for good. Its entry must be removed from the list. Otherwise each
+// instance that starts would reserve a share of every rate for it.
+func TestDeadInstanceIsRemovedFromList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 1, nodes: 3, targets: 1})
-		w.nodes[2].kill()
-		pass(25 * time.Second)
-		_, listed := w.store.Newest(instancesTopic, 0, w.nodes[2].name)
+		fleet := newTestFleet(t, fleetSize{domains: 1, instances: 3, targets: 1})
+		fleet.instances[2].kill()
+		sleep(25 * time.Second)
+		_, listed := fleet.store.Newest(instancesTopic, 0, fleet.instances[2].name)
 		require.False(t, listed)
-		_, listed = w.store.Newest(instancesTopic, 0, w.nodes[1].name)
+		_, listed = fleet.store.Newest(instancesTopic, 0, fleet.instances[1].name)
 		require.True(t, listed)
-		w.nodes[2].start()
-		pass(2 * time.Second)
-		_, listed = w.store.Newest(instancesTopic, 0, w.nodes[2].name)
+		fleet.instances[2].start()
+		sleep(2 * time.Second)
+		_, listed = fleet.store.Newest(instancesTopic, 0, fleet.instances[2].name)
 		require.True(t, listed)
 	})
 }
 
-// A fleet that speaks through relays starts together, and again after all of it was
-// killed. Nobody has a relay yet that knows anybody.
-func TestLargeFleetThatStartsTogetherFindsItself(t *testing.T) {
+// A fleet that is large enough to use relays starts at once, and again after all instances
+// were killed. At the start no relay knows any instance yet.
+func TestLargeFleetThatStartsTogetherIsDiscovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 3, nodes: 7, targets: 1})
-		requireAllUp(t, w)
-		w.killAll()
-		w.startAll()
-		w.awaitReady()
-		requireAllUp(t, w)
+		fleet := newTestFleet(t, fleetSize{domains: 3, instances: 7, targets: 1})
+		requireAllUp(t, fleet)
+		fleet.killAll()
+		fleet.startAll()
+		fleet.awaitReady()
+		requireAllUp(t, fleet)
 	})
 }
 
-func requireAllUp(t *testing.T, w *world) {
+func requireAllUp(t *testing.T, fleet *testFleet) {
 	t.Helper()
-	for _, n := range w.nodes {
-		for _, p := range n.daemon.mesh.Peers() {
-			require.Equal(t, mesh.Up, p.State, "%s at %s", p.Name, n.name)
+	for _, inst := range fleet.instances {
+		for _, p := range inst.daemon.mesh.Peers() {
+			require.Equal(t, mesh.Up, p.State, "%s at %s", p.Name, inst.name)
 		}
-		require.Len(t, n.daemon.mesh.Peers(), len(w.nodes)-1, n.name)
+		require.Len(t, inst.daemon.mesh.Peers(), len(fleet.instances)-1, inst.name)
 	}
 }
--- a/internal/daemon/routed/rates_test.go
+++ b/internal/daemon/routed/rates_test.go
@@ -12,27 +12,28 @@
 	"merlintiller/internal/state/route"
 )
 
-// Guards against a restarted instance that takes all rates for unused: another one, which
-// still has its former life in mind, leaves the buckets out of what it tells.
-func TestMessageWithoutBucketsInformsNobody(t *testing.T) {
+// Guards against a restarted instance that treats all rates as unused. A peer that still
+// remembers the previous incarnation of the instance sends heartbeats without bucket
+// levels, and such a heartbeat must not count as quota state.
+func TestHeartbeatWithoutBucketLevelsGivesNoQuotaState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 1, nodes: 1, targets: 1})
-		n := w.nodes[0]
-		n.kill()
-		s := n.settings
-		fresh, err := New(&s, w.net.Host(n.ip), n.daemon.logger)
+		fleet := newTestFleet(t, fleetSize{domains: 1, instances: 1, targets: 1})
+		inst := fleet.instances[0]
+		inst.kill()
+		s := inst.settings
+		fresh, err := New(&s, fleet.net.Host(inst.ip), inst.daemon.logger)
 		require.NoError(t, err)
 		defer fresh.closeConnections()
-		fresh.meter.SetOrganisations([]route.Organisation{{Name: "two", Rate: 10, Burst: 10}})
-		beat := mesh.Heartbeat{
+		fresh.limiter.SetOrganisations([]route.Organisation{{Name: "two", Rate: 10, Burst: 10}})
+		heartbeat := mesh.Heartbeat{
 			From: mesh.Instance{Name: "other", Domain: "d0", Address: "10.0.1.9:82", Start: 1},
 			Seq:  1, Informed: true, Whole: true, Uptime: time.Hour,
 		}
-		knows := &local{fresh}
-		knows.HeartbeatReceived(beat, time.Second)
-		require.Nil(t, fresh.meter.BucketLevels())
-		beat.Seq, beat.TellsLevels, beat.Levels = 2, true, quota.BucketLevels{"two": -3}
-		knows.HeartbeatReceived(beat, time.Second)
-		require.NotNil(t, fresh.meter.BucketLevels())
+		delegate := &meshDelegate{fresh}
+		delegate.HeartbeatReceived(heartbeat, time.Second)
+		require.Nil(t, fresh.limiter.BucketLevels())
+		heartbeat.Seq, heartbeat.TellsLevels, heartbeat.Levels = 2, true, quota.BucketLevels{"two": -3}
+		delegate.HeartbeatReceived(heartbeat, time.Second)
+		require.NotNil(t, fresh.limiter.BucketLevels())
 	})
 }
--- a/internal/daemon/routed/registration.go
+++ b/internal/daemon/routed/registration.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// relistEvery is how often the list of instances is read. Instances that
-	// start together find each other by asking one that they both know; reading
-	// again mends only what that missed.
-	relistEvery = 10 * time.Second
-	// relistFirst is the same after the start, when the others start too.
-	relistFirst = time.Second
-	// registerRetry is the wait after a failed try.
-	registerRetry = 500 * time.Millisecond
+	// listInterval is the interval between two reads of the list of instances. Instances
+	// that start together discover each other through an instance that both know; further
+	// reads only find instances that this missed.
+	listInterval = 10 * time.Second
+	// secondReadDelay is the delay between the first and the second read, when other
+	// instances may be starting too.
+	secondReadDelay = time.Second
+	// retryDelay is the delay after a failed read or write.
+	retryDelay = 500 * time.Millisecond
 )
 
-var instances = external.Partition{Topic: instancesTopic}
+var instancesPartition = external.Partition{Topic: instancesTopic}
 
-// registration is the duty that enters this instance in the store's list, reads
-// who else is there, and takes off those that are lost.
+// registration is the background service that adds this instance to the list of
+// instances in the store, reads the other entries, and removes dead instances.
 type registration struct {
 	daemon *Daemon
-	// rounds counts the looks at the list.
-	rounds int
+	// reads counts the successful reads of the list.
+	reads int
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (r *registration) String() string { return "registration" }
 
-// Serve looks at the list now and then until ctx ends.
+// Serve reads the list every listInterval until ctx ends.
 func (r *registration) Serve(ctx context.Context) error {
 	for {
-		pause := relistEvery
-		err := r.round(ctx)
+		pause := listInterval
+		err := r.refresh(ctx)
 		switch {
 		case err != nil:
 			_ = level.Warn(r.daemon.logger).Log("event", "registration_failed", "err", err)
-			pause = registerRetry
-		case r.rounds == 1:
-			pause = relistFirst
+			pause = retryDelay
+		case r.reads == 1:
+			pause = secondReadDelay
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -57,49 +58,50 @@
 	}
 }
 
-// round enters this instance, if it is not listed, and then reads the list, so
-// that of two that start together at least one finds the other.
-func (r *registration) round(ctx context.Context) error {
+// refresh adds this instance if it is not listed, and reads the list. The first call
+// writes before it reads, so that of two instances that start together at least one
+// finds the other.
+func (r *registration) refresh(ctx context.Context) error {
 	d := r.daemon
-	if r.rounds == 0 {
-		if err := r.enter(ctx); err != nil {
+	if r.reads == 0 {
+		if err := r.addOwnEntry(ctx); err != nil {
 			return err
 		}
 	}
-	page, err := d.store.Newest(ctx, instances)
+	page, err := d.store.Newest(ctx, instancesPartition)
 	if err != nil {
 		return err
 	}
 	d.view.StoreAnswered()
-	list := r.decode(page)
+	list := r.decodeInstances(page)
 	d.mesh.AddInstances(list)
-	r.rounds++
+	r.reads++
 	listed := map[string]int64{}
 	for _, i := range list {
 		listed[i.Name] = i.Start
 	}
 	if listed[d.self.Name] != d.mesh.Self().Start && !d.leaving.Load() {
-		if err := r.enter(ctx); err != nil {
+		if err := r.addOwnEntry(ctx); err != nil {
 			return err
 		}
 	}
-	return r.remove(ctx, listed)
+	return r.removeDead(ctx, listed)
 }
 
-func (r *registration) enter(ctx context.Context) error {
+func (r *registration) addOwnEntry(ctx context.Context) error {
 	value, err := cbor.Marshal(r.daemon.mesh.Self())
 	if err != nil {
 		return err
 	}
-	return r.daemon.writeInstances(ctx, external.KeyedRecord{Key: r.daemon.self.Name, Value: value})
+	return r.daemon.writeInstanceRecords(ctx, external.KeyedRecord{Key: r.daemon.self.Name, Value: value})
 }
 
-// remove takes instances off the list that are lost. One that is only cut off
-// enters itself again.
+// removeDead removes the entries of instances that are presumed dead. An instance that
+// was only isolated adds itself again.
 //
-// What goes wrong without it: machines that were replaced stay on the list for
-// good, and each instance that starts leaves them a part of the rates.
-func (r *registration) remove(ctx context.Context, listed map[string]int64) error {
+// Without the removal, replaced machines would stay on the list for good, and each
+// instance that starts would reserve a share of the rates for them.
+func (r *registration) removeDead(ctx context.Context, listed map[string]int64) error {
 	var records []external.KeyedRecord
 	for _, i := range r.daemon.mesh.PresumedDead() {
 		if start, ok := listed[i.Name]; ok && start == i.Start {
@@ -110,10 +112,10 @@
 		return nil
 	}
 	_ = level.Info(r.daemon.logger).Log("event", "instances_removed", "instances", len(records))
-	return r.daemon.writeInstances(ctx, records...)
+	return r.daemon.writeInstanceRecords(ctx, records...)
 }
 
-func (r *registration) decode(page external.KeyedPage) []mesh.Instance {
+func (r *registration) decodeInstances(page external.KeyedPage) []mesh.Instance {
 	var list []mesh.Instance
 	for _, record := range page.Records {
 		var i mesh.Instance
@@ -126,12 +128,12 @@
 	return list
 }
 
-func (d *Daemon) writeInstances(ctx context.Context, records ...external.KeyedRecord) error {
-	_, err := d.store.Append(ctx, instances, records, external.AnyEnd)
+func (d *Daemon) writeInstanceRecords(ctx context.Context, records ...external.KeyedRecord) error {
+	_, err := d.store.Append(ctx, instancesPartition, records, external.AnyEnd)
 	return err
 }
 
-// withdraw takes this instance off the list.
-func (d *Daemon) withdraw(ctx context.Context) error {
-	return d.writeInstances(ctx, external.KeyedRecord{Key: d.self.Name})
+// removeOwnEntry removes this instance from the list.
+func (d *Daemon) removeOwnEntry(ctx context.Context) error {
+	return d.writeInstanceRecords(ctx, external.KeyedRecord{Key: d.self.Name})
 }
--- a/internal/daemon/routed/reload.go
+++ b/internal/daemon/routed/reload.go
@@ -10,13 +10,13 @@
 	"merlintiller/internal/settings"
 )
 
-// Reload reads the settings anew whenever asked, until ctx ends. Seeds are taken
-// over at once; other changes count from the next start, and a file that can't be
-// read changes nothing.
-func (d *Daemon) Reload(ctx context.Context, asked <-chan os.Signal, load func() (*settings.Routed, error)) {
+// Reload reads the settings again on each signal until ctx ends. Seeds are applied at
+// once; other changes take effect at the next start. A file that can't be read changes
+// nothing.
+func (d *Daemon) Reload(ctx context.Context, requests <-chan os.Signal, load func() (*settings.Routed, error)) {
 	for {
 		select {
-		case <-asked:
+		case <-requests:
 			d.reload(load)
 		case <-ctx.Done():
 			return
--- a/internal/daemon/routed/servers.go
+++ b/internal/daemon/routed/servers.go
@@ -14,24 +14,25 @@
 	"merlintiller/internal/closing"
 )
 
-// smallServerTimeout bounds the head of a request to the small servers.
-const smallServerTimeout = 2 * time.Second
+// headerTimeout limits the time to read the request headers at the readiness and
+// metrics servers.
+const headerTimeout = 2 * time.Second
 
-// readiness answers the balancer.
-type readiness struct {
+// readinessServer serves the readiness checks of the load balancer.
+type readinessServer struct {
 	daemon *Daemon
 	listen func() (net.Listener, error)
 }
 
-// String names the duty.
-func (r *readiness) String() string { return "readiness" }
+// String returns the name of the service for the supervisor.
+func (r *readinessServer) String() string { return "readiness" }
 
 // Serve implements suture.Service.
-func (r *readiness) Serve(ctx context.Context) error {
-	return serveHTTP(ctx, r.listen, http.HandlerFunc(r.answer))
+func (r *readinessServer) Serve(ctx context.Context) error {
+	return serveHTTP(ctx, r.listen, http.HandlerFunc(r.handle))
 }
 
-func (r *readiness) answer(w http.ResponseWriter, _ *http.Request) {
+func (r *readinessServer) handle(w http.ResponseWriter, _ *http.Request) {
 	if r.daemon.leaving.Load() || !r.daemon.view.Ready() || !r.daemon.isolation.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -39,12 +40,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// metricsServer shows the counters.
+// metricsServer exposes the metrics of the process.
 type metricsServer struct {
 	listen func() (net.Listener, error)
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (m *metricsServer) String() string { return "metrics" }
 
 // Serve implements suture.Service.
@@ -62,7 +63,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: smallServerTimeout}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	wait := closing.When(ctx, func() { _ = server.Close() })
 	defer wait()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/daemon/routed/store_test.go
+++ b/internal/daemon/routed/store_test.go
@@ -11,52 +11,52 @@
 	"merlintiller/internal/standin/sharedstore"
 )
 
-// The store turns one instance away, by an answer or by none, and serves the
-// others. Callers of that instance must have their jobs accepted all the same,
-// and soon: a job that is accepted late counts as late.
-func TestJobIsAcceptedWhereTheStoreTurnsTheInstanceAway(t *testing.T) {
+// The store rejects the requests of one instance or does not respond to it, and serves the
+// others. Jobs that are submitted to that instance must still be accepted, and without
+// delay: a job that is accepted late counts as late.
+func TestJobIsAcceptedAtInstanceWithoutStore(t *testing.T) {
 	for name, fault := range map[string]sharedstore.Fault{
 		"busy": {Refuse: http.StatusServiceUnavailable}, "many": {Refuse: http.StatusTooManyRequests},
 		"reset": {Reset: true}, "silent": {Silent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, size{domains: 2, nodes: 2, targets: 1})
-				n := w.nodes[0]
-				n.door.Set(fault)
+				fleet := newTestFleet(t, fleetSize{domains: 2, instances: 2, targets: 1})
+				inst := fleet.instances[0]
+				inst.storeAccess.Set(fault)
 				for _, wait := range []time.Duration{100 * time.Millisecond, 3 * time.Second} {
-					pass(wait)
+					sleep(wait)
 					id := "job-" + wait.String()
-					got := n.send(jobOf(id, 2, 5))
-					require.Equal(t, http.StatusAccepted, got.status, "%s", n.logs)
+					got := inst.send(batchJob(id, 2, 5))
+					require.Equal(t, http.StatusAccepted, got.status, "%s", inst.logs)
 					require.Less(t, got.took, 250*time.Millisecond)
-					w.requireWhole(id, w.nodes[3].allResults(id, 6*time.Second), 5)
+					fleet.requireComplete(id, fleet.instances[3].allResults(id, 6*time.Second), 5)
 				}
-				n.door.Set(sharedstore.Fault{})
+				inst.storeAccess.Set(sharedstore.Fault{})
 			})
 		})
 	}
 }
 
-// The whole store is away. Nothing can be accepted, and a refusal must say that
-// nothing ran and come at once, so that the caller can come back.
-func TestJobIsRefusedAtOnceWhileTheStoreIsAway(t *testing.T) {
+// No instance can reach the store, so no job can be accepted. The rejection must arrive at
+// once and say that nothing ran, so that the caller can retry.
+func TestJobIsRejectedAtOnceDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, size{domains: 1, nodes: 2, targets: 1})
-		for _, n := range w.nodes {
-			n.door.Set(sharedstore.Fault{Refuse: http.StatusServiceUnavailable})
+		fleet := newTestFleet(t, fleetSize{domains: 1, instances: 2, targets: 1})
+		for _, inst := range fleet.instances {
+			inst.storeAccess.Set(sharedstore.Fault{Refuse: http.StatusServiceUnavailable})
 		}
-		pass(3 * time.Second)
-		got := w.nodes[0].send(jobOf("job", 2, 5))
+		sleep(3 * time.Second)
+		got := fleet.instances[0].send(batchJob("job", 2, 5))
 		require.Equal(t, http.StatusServiceUnavailable, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
 		require.Less(t, got.took, 1500*time.Millisecond)
-		for _, n := range w.nodes {
-			n.door.Set(sharedstore.Fault{})
+		for _, inst := range fleet.instances {
+			inst.storeAccess.Set(sharedstore.Fault{})
 		}
-		pass(3 * time.Second)
-		require.Empty(t, w.runs(itemOf("job", 0)))
-		require.Equal(t, http.StatusAccepted, w.nodes[0].send(jobOf("job", 2, 5)).status)
-		w.requireWhole("job", w.nodes[1].allResults("job", 5*time.Second), 5)
+		sleep(3 * time.Second)
+		require.Empty(t, fleet.runsOf(itemID("job", 0)))
+		require.Equal(t, http.StatusAccepted, fleet.instances[0].send(batchJob("job", 2, 5)).status)
+		fleet.requireComplete("job", fleet.instances[1].allResults("job", 5*time.Second), 5)
 	})
 }
--- a/internal/daemon/routed/warmup_test.go
+++ b/internal/daemon/routed/warmup_test.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// warmsFor is how long targets warm up after a start.
-	warmsFor = 3 * time.Second
-	// coldMost is how many requests may begin at a target in any second meanwhile: half as
-	// many again as it bears, and five.
-	coldMost = coldPerSecond*1.5 + 5
+	// warmUpTime is the duration of a target's warm-up after its start.
+	warmUpTime = 3 * time.Second
+	// maxColdStarts is the largest number of requests that may start at a target within any
+	// second of its warm-up: one and a half times its warm-up rate, and five.
+	maxColdStarts = coldPerSecond*1.5 + 5
 )
 
-// crash ends a target's process. comeBack starts it anew under the same id; its entry
-// follows with the next heartbeat.
+// crash stops a target's process. restart starts it again under the same id; the target
+// updates its entry in the list with the next heartbeat.
 func (t *target) crash() {
-	t.quiet = true
-	t.world.net.Kill(t.ip)
+	t.silent = true
+	t.fleet.net.Kill(t.ip)
 	_ = t.server.Close()
 }
 
-func (t *target) comeBack() {
+func (t *target) restart() {
 	t.started = time.Now().UnixMilli()
-	t.Start(time.Now().Add(warmsFor))
-	t.quiet = false
+	t.Start(time.Now().Add(warmUpTime))
+	t.silent = false
 	t.listen()
 }
 
-// mostBegun is the largest number of requests that began at a target within any second of
-// a span.
-func (t *target) mostBegun(from, to time.Time) (most int) {
-	var at []time.Time
+// maxStartsPerSecond returns the largest number of requests that started at a target within
+// any second between two times.
+func (t *target) maxStartsPerSecond(from, to time.Time) (most int) {
+	var starts []time.Time
 	for _, run := range t.Runs() {
 		if !run.Began.Before(from) && run.Began.Before(to) {
-			at = append(at, run.Began)
+			starts = append(starts, run.Began)
 		}
 	}
-	slices.SortFunc(at, time.Time.Compare)
+	slices.SortFunc(starts, time.Time.Compare)
 	first := 0
-	for i := range at {
-		for at[i].Sub(at[first]) >= time.Second {
+	for i := range starts {
+		for starts[i].Sub(starts[first]) >= time.Second {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -56,11 +56,12 @@
 	return most
 }
 
-// load has callers come to all instances in turn until it is ended.
-func (w *world) load(every time.Duration) (end func() (refused int)) {
+// startLoad sends requests to all instances in turn until stopLoad is called. stopLoad
+// returns the number of requests that were not answered with 200.
+func (fleet *testFleet) startLoad(every time.Duration) (stopLoad func() (failed int)) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	refused := 0
+	failed := 0
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -72,11 +73,11 @@
 				return
 			case <-ticker.C:
 			}
-			n := w.nodes[i%len(w.nodes)]
+			inst := fleet.instances[i%len(fleet.instances)]
 			callers.Go(func() {
-				if got := n.send(ask{id: fmt.Sprint("load-", i), path: "/again/x/10", key: keyOne}); got.status != 200 {
+				if got := inst.send(callerRequest{id: fmt.Sprint("load-", i), path: "/again/x/10", key: keyOne}); got.status != 200 {
 					mu.Lock()
-					refused++
+					failed++
 					mu.Unlock()
 				}
 			})
@@ -86,95 +87,96 @@
 		close(stop)
 		<-stopped
 		callers.Wait()
-		return refused
+		return failed
 	}
 }
 
-// warmWorld is a fleet under a load of 200 requests a second before targets that serve 40
-// each.
-func warmWorld(t *testing.T, nodes int) *world {
-	return newWorld(t, size{
-		domains: 2, nodes: nodes, targets: 4,
-		target: engine.Options{Slots: 8, Queue: 24, Step: 20 * time.Millisecond},
+// newWarmUpFleet starts a fleet for a load of 200 requests a second. Each of its eight
+// targets serves 40 a second.
+func newWarmUpFleet(t *testing.T, instances int) *testFleet {
+	return newTestFleet(t, fleetSize{
+		domains: 2, instances: instances, targets: 4,
+		engine: engine.Options{Slots: 8, Queue: 24, Step: 20 * time.Millisecond},
 	})
 }
 
-// Guards against a target that comes back within moments, under its old id and with its old
-// entry still listed, and gets more requests than it bears while it warms up.
-func TestTargetThatRestartsGetsFewRequests(t *testing.T) {
+// A target restarts within a second under its old id, while its old entry is still listed.
+// Guards against sending it more requests than it can serve during its warm-up.
+func TestRestartedTargetGetsFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := warmWorld(t, 3)
-		end := w.load(5 * time.Millisecond)
-		pass(2 * time.Second)
-		back := w.targets[0]
-		back.crash()
-		pass(700 * time.Millisecond)
-		back.comeBack()
-		began := time.Now()
-		pass(warmsFor + 2*time.Second)
-		end()
-		require.LessOrEqual(t, float64(back.mostBegun(began, began.Add(warmsFor))), coldMost)
-		require.NotZero(t, back.mostBegun(began, began.Add(warmsFor)), "it bears some")
-		require.Greater(t, float64(back.mostBegun(began.Add(warmsFor), time.Now())), coldMost, "and all afterwards")
+		fleet := newWarmUpFleet(t, 3)
+		stopLoad := fleet.startLoad(5 * time.Millisecond)
+		sleep(2 * time.Second)
+		restarted := fleet.targets[0]
+		restarted.crash()
+		sleep(700 * time.Millisecond)
+		restarted.restart()
+		start := time.Now()
+		sleep(warmUpTime + 2*time.Second)
+		stopLoad()
+		require.LessOrEqual(t, float64(restarted.maxStartsPerSecond(start, start.Add(warmUpTime))), maxColdStarts)
+		require.NotZero(t, restarted.maxStartsPerSecond(start, start.Add(warmUpTime)), "some requests during the warm-up")
+		require.Greater(t, float64(restarted.maxStartsPerSecond(start.Add(warmUpTime), time.Now())), maxColdStarts, "the full rate after the warm-up")
 	})
 }
 
-// Guards against the rush to the targets of a failure domain whose drain has ended. They may
-// be cold, whatever their last entries say; those that say that they are warm get all.
-func TestDomainThatIsNoLongerDrainedGetsFewRequests(t *testing.T) {
+// Guards against overloading the targets of a failure domain after the end of its drain.
+// They may have to warm up again, whatever their last entries say. Targets that report that
+// they are warm must get the full rate.
+func TestUndrainedDomainGetsFewRequests(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := warmWorld(t, 3)
-			end := w.load(5 * time.Millisecond)
-			w.drain("d0")
-			pass(6 * time.Second)
-			began := time.Now()
-			w.undrain("d0")
+			fleet := newWarmUpFleet(t, 3)
+			stopLoad := fleet.startLoad(5 * time.Millisecond)
+			fleet.drain("d0")
+			sleep(6 * time.Second)
+			start := time.Now()
+			fleet.undrain("d0")
 			if cold {
-				for _, target := range w.targets[:4] {
-					target.Start(began.Add(warmsFor))
+				for _, target := range fleet.targets[:4] {
+					target.Start(start.Add(warmUpTime))
 				}
 			}
-			pass(warmsFor)
-			for _, target := range w.targets[:4] {
-				most := float64(target.mostBegun(began, began.Add(warmsFor)))
+			sleep(warmUpTime)
+			for _, target := range fleet.targets[:4] {
+				most := float64(target.maxStartsPerSecond(start, start.Add(warmUpTime)))
 				if cold {
-					require.LessOrEqual(t, most, coldMost, target.id)
+					require.LessOrEqual(t, most, maxColdStarts, target.id)
 				} else {
-					require.Greater(t, most, coldMost, target.id)
+					require.Greater(t, most, maxColdStarts, target.id)
 				}
 				require.NotZero(t, most, target.id)
 			}
-			end()
+			stopLoad()
 		})
 	}
 }
 
-// Guards against two brokers that each let as many requests begin at a cold target as it
-// bears from all: the instances of its domain are cut off from each other.
-func TestColdTargetGetsFewRequestsOnBothSidesOfACut(t *testing.T) {
+// Two groups of instances in each failure domain can't reach each other, so a cold target
+// has two brokers. Guards against each broker granting the full warm-up rate of the target.
+func TestColdTargetGetsFewRequestsDuringNetworkPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := warmWorld(t, 4)
-		end := w.load(3500 * time.Microsecond)
-		pass(2 * time.Second)
-		var one, other []string
-		for i, n := range w.nodes {
+		fleet := newWarmUpFleet(t, 4)
+		stopLoad := fleet.startLoad(3500 * time.Microsecond)
+		sleep(2 * time.Second)
+		var groupA, groupB []string
+		for i, inst := range fleet.instances {
 			if i%2 == 0 {
-				one = append(one, n.ip)
+				groupA = append(groupA, inst.ip)
 			} else {
-				other = append(other, n.ip)
+				groupB = append(groupB, inst.ip)
 			}
 		}
-		w.net.Part(one, other)
-		pass(300 * time.Millisecond)
-		back := w.targets[0]
-		back.crash()
-		pass(1200 * time.Millisecond)
-		back.comeBack()
-		began := time.Now()
-		pass(warmsFor)
-		require.LessOrEqual(t, float64(back.mostBegun(began, began.Add(warmsFor))), coldMost)
-		w.net.Join(one, other)
-		end()
+		fleet.net.Part(groupA, groupB)
+		sleep(300 * time.Millisecond)
+		restarted := fleet.targets[0]
+		restarted.crash()
+		sleep(1200 * time.Millisecond)
+		restarted.restart()
+		start := time.Now()
+		sleep(warmUpTime)
+		require.LessOrEqual(t, float64(restarted.maxStartsPerSecond(start, start.Add(warmUpTime))), maxColdStarts)
+		fleet.net.Join(groupA, groupB)
+		stopLoad()
 	})
 }
