--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -10,41 +10,41 @@
 	"merlintiller/internal/coordination/oncecall"
 )
 
-// batchWork is the batch jobs: accepting them, running their items, and keeping
-// what they need.
-type batchWork struct {
-	service  *batch.Service
-	executor *batch.Executor
-	keeper   *batch.JobReaper
-	carrier  *batch.DataRefresher
-	once     *oncecall.Caller
-	notices  *batch.CancelNotifier
+// batchJobs holds the components that accept batch jobs, run their items and retain their
+// data.
+type batchJobs struct {
+	service        *batch.Service
+	executor       *batch.Executor
+	reaper         *batch.JobReaper
+	refresher      *batch.DataRefresher
+	atMostOnce     *oncecall.Caller
+	cancelNotifier *batch.CancelNotifier
 }
 
-func (b *batchWork) services() []suture.Service {
+func (b *batchJobs) services() []suture.Service {
 	out := append([]suture.Service{}, b.executor.Services()...)
-	return append(out, b.keeper, b.carrier, b.once.Recorder(), b.once.Pruner(), b.notices)
+	return append(out, b.reaper, b.refresher, b.atMostOnce.Recorder(), b.atMostOnce.Pruner(), b.cancelNotifier)
 }
 
-func (b *batchWork) drain(ctx context.Context) error {
+func (b *batchJobs) drain(ctx context.Context) error {
 	b.executor.Drain(ctx)
 	return ctx.Err()
 }
 
-func (d *Daemon) joinBatch() {
-	j := d.agreement.journal
+func (d *Daemon) setupBatch() {
+	j := d.cluster.journal
 	opts := batchOptions(d.settings)
-	runner := itemrun.New(itemrun.Options{Target: d.outside.batch})
-	d.batch = batchWork{
-		service:  batch.NewService(j, opts, d.logger),
-		executor: batch.NewExecutor("batch.results", j, d.fleet.headroom, runner, opts, d.logger),
-		keeper:   batch.NewJobReaper(j, opts, d.logger),
-		carrier:  batch.NewDataRefresher(j, opts, d.logger),
-		once: oncecall.New("once.outcomes", j, oncecall.Options{
+	runner := itemrun.New(itemrun.Options{Target: d.adapters.batch})
+	d.batch = batchJobs{
+		service:   batch.NewService(j, opts, d.logger),
+		executor:  batch.NewExecutor("batch.results", j, d.fleet.headroom, runner, opts, d.logger),
+		reaper:    batch.NewJobReaper(j, opts, d.logger),
+		refresher: batch.NewDataRefresher(j, opts, d.logger),
+		atMostOnce: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
 			Retention:      d.settings.Calls.Remember,
 		}, d.logger),
-		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
+		cancelNotifier: batch.NewCancelNotifier("batch.cancel_notices", d.cluster.heartbeats, d.settings.Timings.PeerTimeout),
 	}
-	d.batch.service.OnCancel = d.batch.notices.Notify
+	d.batch.service.OnCancel = d.batch.cancelNotifier.Notify
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -14,39 +14,39 @@
 	"merlintiller/internal/transport/edge"
 )
 
-// callers is the way of online calls, and the callers' HTTP server.
-type callers struct {
-	path *online.Handler
-	edge *edge.Edge
+// callerAPI holds the handler of online calls and the HTTP server for callers.
+type callerAPI struct {
+	online *online.Handler
+	edge   *edge.Edge
 }
 
-func (c *callers) services() []suture.Service {
-	return append(c.path.Services(), c.edge.Services()...)
+func (c *callerAPI) services() []suture.Service {
+	return append(c.online.Services(), c.edge.Services()...)
 }
 
-func (d *Daemon) joinCallers() {
-	d.operators.recorder = newRecorder(d.agreement.journal.Fleet)
-	d.callers.path = online.New(online.Options{
-		Fleet:            d.agreement.journal.Fleet,
+func (d *Daemon) setupCallers() {
+	d.operators.recorder = newRecorder(d.cluster.journal.Fleet)
+	d.callers.online = online.New(online.Options{
+		Fleet:            d.cluster.journal.Fleet,
 		Keys:             d.keys,
 		Limits:           d.fleet.limits,
 		Admission:        d.fleet.admission,
 		Router:           d.fleet.headroom.WrapRouter(d.fleet.router),
-		Target:           d.outside.online,
-		AtMostOnceTarget: d.outside.once,
-		AtMostOnce:       d.batch.once,
-		Loads:            d.outside.control,
-		ConfigCurrent:    d.agreement.journal.ConfigCurrent,
-		Observe:          d.operators.observe,
+		Target:           d.adapters.online,
+		AtMostOnceTarget: d.adapters.atMostOnce,
+		AtMostOnce:       d.batch.atMostOnce,
+		Loads:            d.adapters.control,
+		ConfigCurrent:    d.cluster.journal.ConfigCurrent,
+		Observe:          d.operators.recordCall,
 		Logger:           d.logger,
 		Policy:           onlinePolicy(d.settings.Calls),
 	})
-	batchAPI := batchapi.New(d.batch.service, organisationOf, d.logger)
+	batchAPI := batchapi.New(d.batch.service, requestOrganisation, d.logger)
 	d.callers.edge = edge.New(edge.Options{
-		Listen: secured(d.settings.Listen.Callers, d.tls.Callers.Server()),
-		Fleet:  d.agreement.journal.Fleet,
+		Listen: listenOptionalTLS(d.settings.Listen.Callers, d.tls.Callers.Server()),
+		Fleet:  d.cluster.journal.Fleet,
 		Keys:   d.keys,
-		Online: d.callers.path,
+		Online: d.callers.online,
 		Batch:  batchAPI.Handler(),
 		Ready:  d.ready,
 		Logger: d.logger,
@@ -54,22 +54,22 @@
 	})
 }
 
-// ready says that the instance knows a state to serve by. Before, it would
-// refuse every key; and after a pause of the process it would let in callers
-// whose keys were withdrawn meanwhile.
-func (d *Daemon) ready() bool { return d.agreement.journal.ConfigCurrent() }
+// ready reports whether the instance has a current configuration. Without one it would
+// reject every key, and after a pause of the process it would admit callers whose keys
+// were withdrawn during the pause.
+func (d *Daemon) ready() bool { return d.cluster.journal.ConfigCurrent() }
 
-// organisationOf names the organisation whose key came with the request.
-func organisationOf(r *http.Request) protocol.OrganisationID {
+// requestOrganisation returns the organisation whose key authenticated the request.
+func requestOrganisation(r *http.Request) protocol.OrganisationID {
 	caller, _ := access.FromContext(r.Context())
 	return caller.Organisation
 }
 
-// secured opens a listener with TLS, or a plain one where settings give no
-// certificate.
-func secured(address string, config *tls.Config) func() (net.Listener, error) {
+// listenOptionalTLS returns a function that opens a TLS listener, or a plain TCP listener
+// if the settings contain no certificate.
+func listenOptionalTLS(address string, config *tls.Config) func() (net.Listener, error) {
 	if config == nil {
-		return listen(address)
+		return listenTCP(address)
 	}
 	return func() (net.Listener, error) { return tls.Listen("tcp", address, config) }
 }
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/cluster.go
@@ -15,32 +15,32 @@
 	"merlintiller/internal/transport/peer"
 )
 
-// agreement is what is agreed and kept, and the way to the other instances.
-type agreement struct {
+// clusterState holds the replicated journal and the connections to the other instances.
+type clusterState struct {
 	journal    *journal.Journal
 	heartbeats *member.Heartbeats
-	peers      *peer.Server
-	client     *peer.Client
+	peerServer *peer.Server
+	peerClient *peer.Client
 }
 
-func (a *agreement) services() []suture.Service {
-	return append(a.journal.Services(), a.heartbeats, a.peers)
+func (a *clusterState) services() []suture.Service {
+	return append(a.journal.Services(), a.heartbeats, a.peerServer)
 }
 
-func (d *Daemon) joinAgreement() error {
+func (d *Daemon) setupCluster() error {
 	s := d.settings
 	listener, err := net.Listen("tcp", s.Listen.Peers)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	a := &d.agreement
-	a.peers = peer.NewServer(listener, d.tls.Peers.Server(), d.logger)
-	a.client = peer.NewClient(d.tls.Peers.Client())
+	a := &d.cluster
+	a.peerServer = peer.NewServer(listener, d.tls.Peers.Server(), d.logger)
+	a.peerClient = peer.NewClient(d.tls.Peers.Client())
 	a.heartbeats = member.NewHeartbeats(member.Options{
 		Instance: s.Instance,
 		Domain:   s.Domain,
 		Address:  s.Listen.Peers,
-		Caller:   a.client,
+		Caller:   a.peerClient,
 		Logger:   d.logger,
 		Seeds:    s.Seeds,
 		Every:    s.Timings.Heartbeat,
@@ -48,14 +48,14 @@
 		Limits:   viewLimits(s.Timings),
 	})
 	a.journal = journal.New(journal.Options{
-		Log:           d.outside.log,
+		Log:           d.adapters.log,
 		Instance:      s.Instance,
 		Domain:        s.Domain,
 		PeerAddress:   s.Listen.Peers,
 		CallerAddress: s.Listen.Callers,
 		Snapshots:     a.heartbeats,
 		Logger:        d.logger,
-		Seed:          seedOf(s.Instance),
+		Seed:          randomSeed(s.Instance),
 		RingName:      "journal",
 		Timings:       journalTimings(s.Timings),
 	})
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// registerReceivers offers what other instances may call.
+// registerReceivers registers the services that other instances may call.
 func (d *Daemon) registerReceivers() error {
 	receivers := map[string]any{
-		member.ServiceName:      d.agreement.heartbeats.Receiver(),
-		withdrawal.ServiceName:  &withdrawal.Receiver{Local: d.agreement.journal},
+		member.ServiceName:      d.cluster.heartbeats.Receiver(),
+		withdrawal.ServiceName:  &withdrawal.Receiver{Local: d.cluster.journal},
 		batch.ReceiverName:      &batch.Receiver{Executor: d.batch.executor},
 		limiterName:             d.fleet.limits.Endpoint(),
 		headroomName:            d.fleet.headroom.Endpoint(),
@@ -75,7 +75,7 @@
 		fleetstatus.ServiceName: &fleetstatus.Receiver{Source: d.operators.source},
 	}
 	for name, receiver := range receivers {
-		if err := d.agreement.peers.Register(name, receiver); err != nil {
+		if err := d.cluster.peerServer.Register(name, receiver); err != nil {
 			return trace.Wrap(err, "receiver %s", name)
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,107 +16,110 @@
 	"merlintiller/internal/transport/tlsconfig"
 )
 
-// Daemon is one entry instance.
+// Daemon is one instance of the fleet.
 type Daemon struct {
 	settings *settings.Settings
 	logger   log.Logger
 	tls      tlsconfig.Set
 
-	outside   outside
-	agreement agreement
+	adapters  adapters
+	cluster   clusterState
 	fleet     fleetPolicy
-	batch     batchWork
-	callers   callers
-	operators operators
+	batch     batchJobs
+	callers   callerAPI
+	operators operatorAPI
 	keys      *access.Keys
 
-	tree *suture.Supervisor
+	supervisor *suture.Supervisor
 }
 
-// New wires an instance. Nothing runs before Run.
+// New creates an instance. Background services start only in Run.
 func New(s *settings.Settings, logger log.Logger) (*Daemon, error) {
 	certificates, err := tlsconfig.OpenAll(s, logger)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	d := &Daemon{settings: s, logger: logger, tls: certificates}
-	d.outside = newOutside(s)
-	if err := d.joinAgreement(); err != nil {
+	d.adapters = newAdapters(s)
+	if err := d.setupCluster(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d.keys = access.New(d.agreement.journal.Fleet)
-	d.joinFleetPolicy()
-	d.joinBatch()
-	d.joinCallers()
-	d.joinOperators()
+	d.keys = access.New(d.cluster.journal.Fleet)
+	d.setupFleetPolicy()
+	d.setupBatch()
+	d.setupCallers()
+	d.setupOperators()
 	if err := d.registerReceivers(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d.plant()
+	d.buildSupervisor()
 	return d, nil
 }
 
-// plant puts every duty into the supervisor's tree, a branch for each concern,
-// so that one that keeps failing backs off without its neighbours.
-func (d *Daemon) plant() {
-	d.tree = suture.New("tillerd", d.spec())
-	d.branch("agreement", d.agreement.services())
-	d.branch("fleet policy", d.fleet.services())
-	d.branch("batch", d.batch.services())
-	d.branch("callers", d.callers.services())
-	d.branch("operators", d.operators.services())
+// buildSupervisor adds every background service to the supervisor. Each concern has its
+// own branch, so that the back-off of a failing service does not stop those of other
+// concerns.
+func (d *Daemon) buildSupervisor() {
+	d.supervisor = suture.New("tillerd", d.supervisorSpec())
+	d.addBranch("agreement", d.cluster.services())
+	d.addBranch("fleet policy", d.fleet.services())
+	d.addBranch("batch", d.batch.services())
+	d.addBranch("callers", d.callers.services())
+	d.addBranch("operators", d.operators.services())
 	for _, source := range d.tls.Services() {
-		d.tree.Add(source)
+		d.supervisor.Add(source)
 	}
 }
 
-// spec lets a panic stop the process. A panic is a broken invariant: a duty that
-// was started again after it would go on with a state that parts from that of
-// the other instances, or serve with its neighbours' channels closed. A new
-// process starts from what is agreed.
-func (d *Daemon) spec() suture.Spec {
-	return suture.Spec{EventHook: d.event, PassThroughPanics: true}
+// supervisorSpec returns a specification that lets a panic stop the process. A panic means
+// a broken invariant: a service that was restarted after it could continue with a state
+// that diverges from that of the other instances, or run while channels of other services
+// are closed. A new process starts from the replicated state.
+func (d *Daemon) supervisorSpec() suture.Spec {
+	return suture.Spec{EventHook: d.logSupervisorEvent, PassThroughPanics: true}
 }
 
-func (d *Daemon) branch(name string, services []suture.Service) {
-	branch := suture.New(name, d.spec())
+func (d *Daemon) addBranch(name string, services []suture.Service) {
+	branch := suture.New(name, d.supervisorSpec())
 	for _, service := range services {
 		branch.Add(service)
 	}
-	d.tree.Add(branch)
+	d.supervisor.Add(branch)
 }
 
-// event logs what the supervisor reports, such as a duty that failed.
-func (d *Daemon) event(e suture.Event) {
+// logSupervisorEvent logs an event of the supervisor, such as the failure of a background
+// service.
+func (d *Daemon) logSupervisorEvent(e suture.Event) {
 	_ = level.Warn(d.logger).Log("event", "duty_failed", "detail", e.String())
 }
 
-// Run serves until ctx ends, and then leaves gracefully: no call is cut, and
-// what the instance held is handed over.
+// Run serves until ctx ends or an operator drains the instance, and then shuts down
+// gracefully: no call is interrupted, and the resources that the instance held are handed
+// over.
 func (d *Daemon) Run(ctx context.Context) error {
-	treeCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	servicesCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	ended := d.tree.ServeBackground(treeCtx)
+	done := d.supervisor.ServeBackground(servicesCtx)
 	_ = level.Info(d.logger).Log("event", "started", "instance", d.settings.Instance, "domain", d.settings.Domain,
 		"callers", d.settings.Listen.Callers, "operators", d.settings.Listen.Operators)
 	select {
 	case <-ctx.Done():
-	case <-d.operators.drainAsked:
+	case <-d.operators.drainRequested:
 		_ = level.Info(d.logger).Log("event", "drain_ordered")
-	case err := <-ended:
+	case err := <-done:
 		return trace.Wrap(err)
 	}
 	d.leave()
 	stop()
-	if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
+	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
 		return trace.Wrap(err)
 	}
 	_ = level.Info(d.logger).Log("event", "stopped")
 	return nil
 }
 
-// leave ends the duties towards the outside in an order in which each still
-// has what it needs: calls need targets and limits, results need the session.
+// leave stops the externally visible services in the order of their dependencies: calls
+// need targets and limits, and results need the session.
 func (d *Daemon) leave() {
 	d.operators.leaving.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Timings.DrainLimit)
@@ -128,16 +131,16 @@
 		{"callers", d.callers.edge.Drain},
 		{"batch", d.batch.drain},
 		{"fleet policy", d.fleet.leave},
-		{"session", d.agreement.journal.Close},
+		{"session", d.cluster.journal.Close},
 	}
 	for _, step := range steps {
-		began := time.Now()
+		start := time.Now()
 		err := step.run(ctx)
-		_ = level.Info(d.logger).Log("event", "drained", "step", step.name, "took", time.Since(began), "err", err)
+		_ = level.Info(d.logger).Log("event", "drained", "step", step.name, "took", time.Since(start), "err", err)
 	}
 }
 
-// listen opens a TCP listener as the duties want it.
-func listen(address string) func() (net.Listener, error) {
+// listenTCP returns a function that opens a TCP listener.
+func listenTCP(address string) func() (net.Listener, error) {
 	return func() (net.Listener, error) { return net.Listen("tcp", address) }
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,4 +1,5 @@
-// Package daemon wires the duties of an entry instance into one supervised
-// process. It decides nothing itself: each file joins the packages of one
-// concern, and daemon.go gives the order of start and of a graceful shutdown.
+// Package daemon wires the components of an instance that serves callers into one
+// supervised process. The package contains no decision logic of its own: each file
+// connects the packages of one concern, and daemon.go defines the order of the start and
+// of a graceful shutdown.
 package daemon
--- a/internal/daemon/fleetpolicy.go
+++ b/internal/daemon/fleetpolicy.go
@@ -20,7 +20,7 @@
 	headroomName = headroom.ReceiverName
 )
 
-// fleetPolicy is who may use the fleet's targets, when and which.
+// fleetPolicy holds the components that limit, admit and route requests.
 type fleetPolicy struct {
 	router    *routing.Router
 	limits    *limiter.Limiter
@@ -39,59 +39,59 @@
 	return append(out, f.orders.Services()...)
 }
 
-func (d *Daemon) joinFleetPolicy() {
+func (d *Daemon) setupFleetPolicy() {
 	s := d.settings
-	j := d.agreement.journal
+	j := d.cluster.journal
 	f := &d.fleet
 	options := routingOptions(s)
-	options.PeerBatchItems = f.batchElsewhere
+	options.PeerBatchItems = f.peerBatchItems
 	f.router = routing.NewRouter(options)
 	f.orders = orders.New(orders.Options{
 		Instance: s.Instance,
 		Domain:   s.Domain,
 		Journal:  j,
-		Peers:    d.agreement.heartbeats,
-		Orders:   d.outside.control,
+		Peers:    d.cluster.heartbeats,
+		Orders:   d.adapters.control,
 		Logger:   d.logger,
 		Policy:   orders.Policy{HoldTime: s.Timings.Hold},
 	})
 	polls := pollOptions(s)
 	polls.Router = f.router
-	polls.List = d.outside.list
-	polls.Loads = d.outside.control
+	polls.List = d.adapters.list
+	polls.Loads = d.adapters.control
 	polls.Fleet = j.Fleet
 	polls.Logger = d.logger
 	polls.OnListing = f.orders.SetListing
 	f.pollers = routing.Pollers(polls)
 	f.limits = limiter.New(limiter.Config{
 		Self: s.Instance, Domain: s.Domain, Address: s.Listen.Peers,
-		Journal: j, Peers: d.agreement.heartbeats,
+		Journal: j, Peers: d.cluster.heartbeats,
 		Settings: s.Limiter, Logger: d.logger,
 	})
-	shown := &view{router: f.router, journal: j}
-	f.admission = admission.New(admission.Config{Fleet: j.Fleet, Capacities: shown, Settings: s.Admission})
-	f.headroom = headroom.New(headroom.Config{Self: s.Instance, Source: shown, Settings: s.Headroom,
-		Peers:          d.agreement.heartbeats,
+	view := &fleetView{router: f.router, journal: j}
+	f.admission = admission.New(admission.Config{Fleet: j.Fleet, Capacities: view, Settings: s.Admission})
+	f.headroom = headroom.New(headroom.Config{Self: s.Instance, Source: view, Settings: s.Headroom,
+		Peers:          d.cluster.heartbeats,
 		OnBatchStarted: f.router.BatchStarted, OnBatchDone: f.router.BatchDone,
 	})
 }
 
-// batchElsewhere is the number of batch items that other instances had at a
-// target.
-func (f *fleetPolicy) batchElsewhere(target protocol.TargetID, at time.Time) int {
+// peerBatchItems returns the number of batch items that other instances ran at a target
+// at a given time.
+func (f *fleetPolicy) peerBatchItems(target protocol.TargetID, at time.Time) int {
 	return f.headroom.PeerBatchItems(target, at)
 }
 
-// leave gives up the duties and hands the rate's tokens to others. No call runs
-// any more.
+// leave releases the leases of the order controllers and hands the tokens of the rate
+// limits over to other instances. It must be called when no call is in flight any more.
 func (f *fleetPolicy) leave(ctx context.Context) error {
 	f.orders.Release(ctx)
 	f.limits.Leave(ctx)
 	return ctx.Err()
 }
 
-// seedOf makes the random choices of instances differ and those of a restart
-// the same.
-func seedOf(instance protocol.InstanceID) uint64 {
+// randomSeed returns a seed for random choices. It differs between instances and is the
+// same after a restart.
+func randomSeed(instance protocol.InstanceID) uint64 {
 	return xxhash.Sum64String(string(instance))
 }
--- a/internal/daemon/view.go
+++ b/internal/daemon/fleetview.go
@@ -13,13 +13,12 @@
 	"merlintiller/internal/state/replica"
 )
 
-// defaultSlots is used for a service whose configuration names none. It is the
-// router's own default.
+// defaultSlots is the number of slots of a service whose configuration gives none. It
+// equals the default of the router.
 const defaultSlots = 16
 
-// view shows what the router and the journal know to the parts that decide how
-// much of the targets may be used.
-type view struct {
+// fleetView provides the state of the router and the journal to admission and headroom.
+type fleetView struct {
 	router  *routing.Router
 	journal *journal.Journal
 
@@ -28,40 +27,40 @@
 	membersAt time.Time
 }
 
-// membersFresh is how long the members are kept. They change when an instance
-// comes or goes, are asked for many times a second, and decide only who feeds
-// which target and how a target's slots are divided.
-const membersFresh = time.Second
+// membersTTL is the time for which the list of members is cached. The list is read many
+// times a second but changes only when an instance joins or leaves. It only decides which
+// instance sends batch items to which target and how the slots of a target are divided.
+const membersTTL = time.Second
 
 var (
-	_ admission.CapacitySource = (*view)(nil)
-	_ headroom.Source          = (*view)(nil)
+	_ admission.CapacitySource = (*fleetView)(nil)
+	_ headroom.Source          = (*fleetView)(nil)
 )
 
-func (v *view) slots(service protocol.ServiceName) int {
+func (v *fleetView) slotsOf(service protocol.ServiceName) int {
 	if slots := v.journal.Fleet().Services[service].Slots; slots > 0 {
 		return slots
 	}
 	return defaultSlots
 }
 
-// Capacity implements admission.Capacities.
-func (v *view) Capacity(service protocol.ServiceName) admission.Capacity {
-	slots, others := v.router.Capacity(service)
+// Capacity implements admission.CapacitySource.
+func (v *fleetView) Capacity(service protocol.ServiceName) admission.Capacity {
+	slots, otherLoad := v.router.Capacity(service)
 	return admission.Capacity{
 		Slots:     slots,
-		OtherLoad: int(math.Round(others)),
+		OtherLoad: int(math.Round(otherLoad)),
 		Instances: max(1, len(v.Members())),
 	}
 }
 
 // Targets implements headroom.Source.
-func (v *view) Targets() []headroom.Target {
+func (v *fleetView) Targets() []headroom.Target {
 	statuses := v.router.Targets()
 	targets := make([]headroom.Target, 0, len(statuses))
 	for _, status := range statuses {
-		// Shared out too, a plain service's targets would leave an instance
-		// that feeds only those without any batch work.
+		// The targets of plain services run no batch items. If they were assigned too, an
+		// instance that is assigned only such targets would have no batch work.
 		if v.journal.Fleet().Services[status.Service].Kind == protocol.KindPlain {
 			continue
 		}
@@ -70,7 +69,7 @@
 			Service:    status.Service,
 			Domain:     status.Domain,
 			Address:    status.Address,
-			Slots:      v.slots(status.Service),
+			Slots:      v.slotsOf(status.Service),
 			Usable:     !status.Ejected && !status.Leaving,
 			Reported:   status.Reported,
 			ReportedAt: status.ReportedAt,
@@ -80,11 +79,11 @@
 }
 
 // Members implements headroom.Source.
-func (v *view) Members() []headroom.Member {
+func (v *fleetView) Members() []headroom.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	if v.members != nil && now.Sub(v.membersAt) < membersFresh {
+	if v.members != nil && now.Sub(v.membersAt) < membersTTL {
 		return v.members
 	}
 	var members []headroom.Member
--- a/internal/daemon/view_test.go
+++ b/internal/daemon/fleetview_test.go
@@ -12,11 +12,11 @@
 	"merlintiller/internal/standin/memlog"
 )
 
-// BenchmarkLooks gives the cost of what an instance looks at many times a
-// second, over the targets and services of the target size.
-func BenchmarkLooks(b *testing.B) {
+// BenchmarkFleetView measures the queries that an instance makes many times a second, at
+// several numbers of targets.
+func BenchmarkFleetView(b *testing.B) {
 	for _, targets := range []int{10, 100, 850} {
-		v := viewOf(targets)
+		v := newFleetView(targets)
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
 			for b.Loop() {
 				v.Targets()
@@ -38,7 +38,7 @@
 	return protocol.ServiceName(fmt.Sprintf("service-%d", n))
 }
 
-func viewOf(targets int) *view {
+func newFleetView(targets int) *fleetView {
 	router := routing.NewRouter(routing.Options{Domain: "d"})
 	var listing external.Listing
 	for i := range targets {
@@ -51,5 +51,5 @@
 	for _, target := range listing.Targets {
 		router.ApplyReport(external.Load{Target: target.ID, Running: 3, AgeMS: time.Second.Milliseconds()})
 	}
-	return &view{router: router, journal: journal.New(journal.Options{Log: memlog.New(memlog.Options{})})}
+	return &fleetView{router: router, journal: journal.New(journal.Options{Log: memlog.New(memlog.Options{})})}
 }
--- a/internal/daemon/instance_test.go
+++ b/internal/daemon/instance_test.go
@@ -24,7 +24,7 @@
 
 const operatorSecret = "operators-own-secret-4711"
 
-// syncBuffer keeps what many goroutines log.
+// syncBuffer is a buffer to which several goroutines may log.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -42,7 +42,7 @@
 	return b.text.String()
 }
 
-// instance is a whole daemon beside a stand-in of the platform.
+// instance is a complete daemon that uses a stand-in of the platform.
 type instance struct {
 	t        *testing.T
 	daemon   *Daemon
@@ -51,7 +51,7 @@
 	platform *platformhttp.Client
 }
 
-// startPlatform gives the address of a stand-in of the platform.
+// startPlatform starts a stand-in of the platform and returns its address.
 func startPlatform(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(platformsrv.New(platformsrv.Options{Log: memlog.Options{}, WeightsPerSecond: 100}).Handler("all"))
@@ -88,7 +88,7 @@
 }
 
 func (i *instance) awaitSession() {
-	j := i.daemon.agreement.journal
+	j := i.daemon.cluster.journal
 	<-j.Loaded()
 	for {
 		changed := j.Changed()
@@ -108,15 +108,15 @@
 	return out.String()
 }
 
-// call sends a request and gives the status of its answer.
-func (i *instance) call(address, method, path, secret, body string) int {
+// callStatus sends a request and returns the status of the response.
+func (i *instance) callStatus(address, method, path, secret, body string) int {
 	i.t.Helper()
 	request, err := http.NewRequestWithContext(i.t.Context(), method, "http://"+address+path, strings.NewReader(body))
 	require.NoError(i.t, err)
 	request.Header.Set("Authorization", "Bearer "+secret)
 	request.Header.Set("Content-Type", "application/json")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	require.NoError(i.t, err)
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
--- a/internal/daemon/leak_test.go
+++ b/internal/daemon/leak_test.go
@@ -9,12 +9,12 @@
 	"go.uber.org/goleak"
 )
 
-// A duty that does not end holds up a graceful shutdown until the machine kills
-// the process, and calls in flight are cut. Whatever the tests of this package
-// start has ended when they have.
+// TestMain checks that no goroutine is left after the tests of this package. A background
+// service that does not end delays a graceful shutdown until the process is killed, which
+// interrupts the calls in flight.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	// Connections that the tests themselves keep are no duty.
+	// The idle connections of the tests themselves are not leaks.
 	http.DefaultClient.CloseIdleConnections()
 	if err := goleak.Find(); code == 0 && err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -18,8 +18,8 @@
 	settings.LevelError: level.AllowError(),
 }
 
-// NewLogger writes one line of key=value pairs for each event, within the budget of
-// package logline.
+// NewLogger returns a logger that writes one line for each event, as key=value pairs or
+// JSON, within the rate budget of package logline.
 func NewLogger(w io.Writer, s settings.Log) log.Logger {
 	w = log.NewSyncWriter(w)
 	logger := log.NewLogfmtLogger(w)
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -22,43 +22,43 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// lateWithin is the time left to its deadline at which status lists a job that
-// is not done: an operator can still do something about it.
-const lateWithin = time.Hour
+// lateJobMargin is the time before its deadline from which the status lists an unfinished
+// job: an operator still has time to react.
+const lateJobMargin = time.Hour
 
-// burnTimeout bounds one instance's part in a burn report. A full recorder was
-// measured to take a quarter of a second to encode.
-const burnTimeout = 5 * time.Second
+// burnReportTimeout limits the request for one instance's part of a burn report. Encoding
+// a full recorder took a quarter of a second in a measurement.
+const burnReportTimeout = 5 * time.Second
 
-// operators is what operators see and order at this instance.
-type operators struct {
+// operatorAPI holds the components behind the operator API of this instance.
+type operatorAPI struct {
 	recorder *burn.Recorder
 	jobs     *burn.JobWatcher
 	source   *fleetstatus.Source
 	server   *operatorServer
-	// drainAsked is closed once an operator has ordered the instance to leave.
-	drainAsked chan struct{}
-	drainOnce  sync.Once
-	// leaving says that the instance has begun to leave, for whatever reason.
+	// drainRequested is closed when an operator drains the instance.
+	drainRequested chan struct{}
+	drainOnce      sync.Once
+	// leaving reports whether a graceful shutdown has started, for any reason.
 	leaving atomic.Bool
 }
 
-func (o *operators) services() []suture.Service { return []suture.Service{o.server, o.jobs} }
+func (o *operatorAPI) services() []suture.Service { return []suture.Service{o.server, o.jobs} }
 
-// drain makes the daemon leave. It returns at once.
-func (o *operators) drain() { o.drainOnce.Do(func() { close(o.drainAsked) }) }
+// requestDrain starts a graceful shutdown of the daemon and returns at once.
+func (o *operatorAPI) requestDrain() { o.drainOnce.Do(func() { close(o.drainRequested) }) }
 
-// observe records a finished call for the burn report. Only a stream shows when
-// its first token came.
-func (o *operators) observe(seen online.Observation) {
-	if !burn.Measured(seen.Result.Refusal) {
+// recordCall records a finished call for the burn report. The time to the first token is
+// known only for streams.
+func (o *operatorAPI) recordCall(call online.Observation) {
+	if !burn.Measured(call.Result.Refusal) {
 		return
 	}
-	var firstToken, between time.Duration
-	if seen.Result.Events > 0 {
-		firstToken, between = seen.Result.TimeToFirstByte, seen.Result.MeanEventGap
+	var firstToken, meanGap time.Duration
+	if call.Result.Events > 0 {
+		firstToken, meanGap = call.Result.TimeToFirstByte, call.Result.MeanEventGap
 	}
-	o.recorder.Record(seen.Organisation, seen.Service, firstToken, between, seen.Result.Refusal == nil)
+	o.recorder.Record(call.Organisation, call.Service, firstToken, meanGap, call.Result.Refusal == nil)
 }
 
 func newRecorder(fleet func() *protocol.Fleet) *burn.Recorder {
@@ -68,12 +68,12 @@
 	return burn.NewRecorder(objectives, time.Now)
 }
 
-func (d *Daemon) joinOperators() {
+func (d *Daemon) setupOperators() {
 	o := &d.operators
-	j := d.agreement.journal
-	peers := d.agreement.heartbeats
+	j := d.cluster.journal
+	peers := d.cluster.heartbeats
 	timeout := d.settings.Timings.PeerTimeout
-	o.drainAsked = make(chan struct{})
+	o.drainRequested = make(chan struct{})
 	o.jobs = &burn.JobWatcher{Journal: j, Recorder: o.recorder}
 	o.source = &fleetstatus.Source{
 		Instance: d.settings.Instance,
@@ -90,33 +90,33 @@
 		Journal:  j,
 		Peers:    peers,
 		Withdraw: &withdrawal.Service{Journal: j, Peers: peers, Local: j, PeerTimeout: timeout},
-		Status:   &fleetstatus.Collector{Source: o.source, Peers: peers, PeerTimeout: timeout, LateWithin: lateWithin},
+		Status:   &fleetstatus.Collector{Source: o.source, Peers: peers, PeerTimeout: timeout, LateWithin: lateJobMargin},
 		Burn: &burn.Collector{
 			Instance: d.settings.Instance, Recorder: o.recorder, Peers: peers,
-			Fleet: j.Fleet, Now: time.Now, PeerTimeout: burnTimeout,
+			Fleet: j.Fleet, Now: time.Now, PeerTimeout: burnReportTimeout,
 		},
 		Targets: d.fleet.router.Targets,
-		Drain:   o.drain,
+		Drain:   o.requestDrain,
 		Logger:  d.logger,
 	})
 	mux := http.NewServeMux()
 	mux.Handle("/operator/", handler)
 	mux.Handle("GET /debug/vars", expvar.Handler())
 	d.operators.server = &operatorServer{
-		listen:  secured(d.settings.Listen.Operators, d.tls.Operators.Server()),
+		listen:  listenOptionalTLS(d.settings.Listen.Operators, d.tls.Operators.Server()),
 		handler: mux,
 		timeout: d.settings.Limits.HeaderTimeout,
 	}
 }
 
-// operatorServer serves operators, a suture service.
+// operatorServer is the HTTP server for operators. It implements suture.Service.
 type operatorServer struct {
 	listen  func() (net.Listener, error)
 	handler http.Handler
 	timeout time.Duration
 }
 
-// String names the duty.
+// String returns the name of the service for the supervisor.
 func (o *operatorServer) String() string { return "operators" }
 
 // Serve implements suture.Service.
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/transport/edge"
 )
 
-// journalTimings are the journal's constants.
+// journalTimings returns the timings of the journal.
 func journalTimings(t settings.Timings) journal.Timings {
 	return journal.Timings{
 		Session: member.Timings{
@@ -30,7 +30,7 @@
 	}
 }
 
-// viewLimits bound what heartbeats know of other instances.
+// viewLimits returns the limits of the view of other instances that heartbeats maintain.
 func viewLimits(t settings.Timings) member.ViewLimits {
 	limits := member.DefaultViewLimits()
 	limits.Reachable = t.PeerSilent
@@ -74,7 +74,7 @@
 func routingOptions(s *settings.Settings) routing.Options {
 	return routing.Options{
 		Domain:          s.Domain,
-		Seed:            seedOf(s.Instance),
+		Seed:            randomSeed(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
 		SpillMargin:     s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
@@ -104,7 +104,8 @@
 	}
 }
 
-// pollOptions are the periods of looking at the list and at load reports.
+// pollOptions returns the intervals at which the list of targets and load reports are
+// polled.
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
--- a/internal/daemon/options_test.go
+++ b/internal/daemon/options_test.go
@@ -9,26 +9,27 @@
 	"merlintiller/internal/settings"
 )
 
-// wired are the settings that the duties get without a mapping of their own.
-var wired = map[string]bool{
+// directSettings are the settings that components receive without one of the mapping
+// functions.
+var directSettings = map[string]bool{
 	"Instance": true, "Domain": true, "Listen": true, "Seeds": true, "Platform": true, "TLS": true,
 	"OperatorKeys": true, "Limiter": true, "Admission": true, "Headroom": true, "Log": true,
 	"Timings.Heartbeat": true, "Timings.PeerTimeout": true,
 	"Timings.DrainLimit": true, "Calls.ReserveTimeout": true, "Calls.Remember": true,
 }
 
-func mapped(s *settings.Settings) []any {
+func mappedOptions(s *settings.Settings) []any {
 	return []any{journalTimings(s.Timings), viewLimits(s.Timings), batchOptions(s), onlinePolicy(s.Calls), routingOptions(s), pollOptions(s), edgeLimits(s)}
 }
 
-// A setting is added and documented, and nobody passes it on. An operator
-// changes it under pressure and nothing happens. Each setting that is changed
-// here must change what some duty is given.
-func TestEverySettingReachesADuty(t *testing.T) {
-	before := mapped(settings.Default())
+// Guards against a setting that is documented but not passed to any component, so that an
+// operator changes it without effect. A change of any setting must change the options of
+// some component.
+func TestEverySettingIsUsed(t *testing.T) {
+	before := mappedOptions(settings.Default())
 	var visit func(path string, of func(*settings.Settings) reflect.Value)
 	visit = func(path string, of func(*settings.Settings) reflect.Value) {
-		if wired[path] {
+		if directSettings[path] {
 			return
 		}
 		s := settings.Default()
@@ -36,24 +37,24 @@
 		if value.Kind() == reflect.Struct {
 			for i := range value.NumField() {
 				name := value.Type().Field(i).Name
-				visit(joined(path, name), func(s *settings.Settings) reflect.Value { return of(s).Field(i) })
+				visit(joinPath(path, name), func(s *settings.Settings) reflect.Value { return of(s).Field(i) })
 			}
 			return
 		}
-		change(value)
-		require.NotEqual(t, before, mapped(s), "nobody reads %s", path)
+		changeValue(value)
+		require.NotEqual(t, before, mappedOptions(s), "setting %s is not used", path)
 	}
 	visit("", func(s *settings.Settings) reflect.Value { return reflect.ValueOf(s).Elem() })
 }
 
-func joined(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func change(value reflect.Value) {
+func changeValue(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Int, reflect.Int64:
 		value.SetInt(value.Int() + 1)
--- a/internal/daemon/secret_test.go
+++ b/internal/daemon/secret_test.go
@@ -15,8 +15,8 @@
 	"merlintiller/internal/protocol"
 )
 
-// stored is all that stands in the platform's log.
-func (i *instance) stored() string {
+// storedRecords returns the contents of the platform's log.
+func (i *instance) storedRecords() string {
 	i.t.Helper()
 	var all strings.Builder
 	for _, stream := range []string{protocol.ControlStream, protocol.DataStream, protocol.SnapshotStream} {
@@ -39,18 +39,18 @@
 
 func (i *instance) expvar() string {
 	i.t.Helper()
-	answer, err := http.Get("http://" + i.settings.Listen.Operators + "/debug/vars")
+	response, err := http.Get("http://" + i.settings.Listen.Operators + "/debug/vars")
 	require.NoError(i.t, err)
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	require.NoError(i.t, err)
 	return string(data)
 }
 
-// Somebody reads a log file, the metrics or the platform's log and finds a
-// caller's or an operator's secret there. From then on they can act for that
-// organisation, or change the fleet. The secrets are used here in every way,
-// right and wrong, and must stand nowhere.
+// Guards against the secret of a caller or an operator in a log file, the metrics or the
+// platform's log. Anyone who reads it there could act for that organisation or change the
+// fleet. The test uses the secrets in valid and invalid requests, and none may be written
+// to any of these places.
 func TestNoSecretIsWrittenAnywhere(t *testing.T) {
 	i := startInstance(t, startPlatform(t), nil)
 	i.ctl("config", "apply", "../../examples/cascadia")
@@ -70,30 +70,30 @@
 		{"GET", "/operator/v1/fleet", operatorSecret, ""},
 	}
 	for _, c := range calls {
-		i.call(i.settings.Listen.Callers, c.method, c.path, c.secret, c.body)
+		i.callStatus(i.settings.Listen.Callers, c.method, c.path, c.secret, c.body)
 	}
-	// Metrics tell how much each of the others asks; they are for operators.
-	require.NotEqual(t, http.StatusOK, i.call(i.settings.Listen.Callers, "GET", "/debug/vars", "", ""))
+	// Metrics show how many requests each organisation sends, so they are for operators only.
+	require.NotEqual(t, http.StatusOK, i.callStatus(i.settings.Listen.Callers, "GET", "/debug/vars", "", ""))
 	operators := i.settings.Listen.Operators
-	require.Equal(t, http.StatusUnauthorized, i.call(operators, "GET", "/operator/v1/"+key.Secret+"?key="+key.Secret, key.Secret, ""))
-	// An operator takes the secret for the id of the key.
-	mistaken := "/operator/v1/keys/" + key.Secret + "/withdraw"
-	require.Equal(t, http.StatusUnauthorized, i.call(operators, "POST", mistaken, key.Secret, ""))
-	require.Equal(t, http.StatusBadRequest, i.call(operators, "POST", mistaken, operatorSecret, ""))
-	require.Equal(t, http.StatusNotFound, i.call(operators, "POST", "/operator/v1/"+key.Secret, operatorSecret, ""))
+	require.Equal(t, http.StatusUnauthorized, i.callStatus(operators, "GET", "/operator/v1/"+key.Secret+"?key="+key.Secret, key.Secret, ""))
+	// An operator uses the secret in place of the id of the key.
+	withdrawPath := "/operator/v1/keys/" + key.Secret + "/withdraw"
+	require.Equal(t, http.StatusUnauthorized, i.callStatus(operators, "POST", withdrawPath, key.Secret, ""))
+	require.Equal(t, http.StatusBadRequest, i.callStatus(operators, "POST", withdrawPath, operatorSecret, ""))
+	require.Equal(t, http.StatusNotFound, i.callStatus(operators, "POST", "/operator/v1/"+key.Secret, operatorSecret, ""))
 	shown := i.ctl("config", "show", "-o", "json") + i.ctl("key", "list") + i.ctl("config", "history") + i.ctl("status")
 	i.ctl("key", "withdraw", key.ID)
-	require.Equal(t, http.StatusUnauthorized, i.call(i.settings.Listen.Callers, "GET", "/v1/models", key.Secret, ""))
+	require.Equal(t, http.StatusUnauthorized, i.callStatus(i.settings.Listen.Callers, "GET", "/v1/models", key.Secret, ""))
 
 	places := map[string]string{
-		"log events": i.logs.String(), "expvar": i.expvar(), "platform's log": i.stored(),
+		"log events": i.logs.String(), "expvar": i.expvar(), "platform's log": i.storedRecords(),
 		"operators' views": shown,
 	}
 	for place, text := range places {
 		require.NotContains(t, text, key.Secret, place)
 		require.NotContains(t, text, operatorSecret, place)
 	}
-	// The places were looked at for real: each holds what it should.
+	// Each place must contain its expected content, or the checks above would prove nothing.
 	hash := sha256.Sum256([]byte(key.Secret))
 	require.Contains(t, places["platform's log"], hex.EncodeToString(hash[:]))
 	require.Contains(t, places["log events"], "event=operator_refused")
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -18,7 +18,7 @@
 	"merlintiller/internal/settings"
 )
 
-// tlsFleet has an authority for instances and another one for operators.
+// tlsFleet holds a certificate authority for instances and another one for operators.
 type tlsFleet struct {
 	t                *testing.T
 	peers, operators *harness.Authority
@@ -50,7 +50,7 @@
 	}
 }
 
-// ctl runs the tool with the certificates and gives the exit code and output.
+// ctl runs the command-line tool with the certificates and returns its exit code and output.
 func (f *tlsFleet) ctl(i *instance, files harness.CertFiles, args ...string) (ctl.ExitCode, string) {
 	var out, errs bytes.Buffer
 	args = append(args, "--operator-secret", operatorSecret, "--instance", i.settings.Listen.Operators, "--ca", files.CA)
@@ -61,9 +61,9 @@
 	return code, out.String()
 }
 
-// Two instances stand on a network that others share. Whoever reaches their
-// ports without a certificate of the fleet gets nothing, and operators who have
-// one see the whole fleet through either.
+// Two instances run on a shared network. A client without a certificate of the fleet must
+// get no access, and an operator with a certificate must see the whole fleet through one
+// instance.
 func TestFleetWithMutualTLS(t *testing.T) {
 	fleet := newTLSFleet(t)
 	platform := startPlatform(t)
@@ -72,31 +72,31 @@
 	operator := fleet.issue(fleet.operators)
 
 	require.Equal(t, 2, len(awaitStatus(t, fleet, one, operator).Instances))
-	bare := harness.CertFiles{CA: operator.CA}
-	code, _ := fleet.ctl(one, bare, "config", "show")
+	withoutCert := harness.CertFiles{CA: operator.CA}
+	code, _ := fleet.ctl(one, withoutCert, "config", "show")
 	require.NotEqual(t, ctl.ExitOK, code)
-	stranger := fleet.issue(fleet.peers)
-	stranger.CA = operator.CA
-	code, _ = fleet.ctl(one, stranger, "config", "show")
-	require.NotEqual(t, ctl.ExitOK, code, "a certificate of a peer is none of an operator")
+	peerCert := fleet.issue(fleet.peers)
+	peerCert.CA = operator.CA
+	code, _ = fleet.ctl(one, peerCert, "config", "show")
+	require.NotEqual(t, ctl.ExitOK, code, "a peer certificate is not valid for operators")
 
-	authorities, err := os.ReadFile(operator.CA)
+	caCert, err := os.ReadFile(operator.CA)
 	require.NoError(t, err)
 	pool := x509.NewCertPool()
-	require.True(t, pool.AppendCertsFromPEM(authorities))
+	require.True(t, pool.AppendCertsFromPEM(caCert))
 	caller := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	answer, err := caller.Get("https://" + one.settings.Listen.Callers + "/healthz")
+	response, err := caller.Get("https://" + one.settings.Listen.Callers + "/healthz")
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, answer.StatusCode)
-	_ = answer.Body.Close()
+	require.Equal(t, http.StatusOK, response.StatusCode)
+	_ = response.Body.Close()
 }
 
-// awaitStatus asks until both instances know each other, which the first
-// heartbeats bring about.
+// awaitStatus polls the status until it lists both instances, which know each other after
+// the first heartbeats.
 func awaitStatus(t *testing.T, fleet *tlsFleet, i *instance, operator harness.CertFiles) fleetstatus.Status {
 	t.Helper()
 	for {
-		changed := i.daemon.agreement.journal.Changed()
+		changed := i.daemon.cluster.journal.Changed()
 		_, out := fleet.ctl(i, operator, "status", "-o", "json")
 		var status fleetstatus.Status
 		require.NoError(t, json.Unmarshal([]byte(out), &status), out)
