--- a/internal/standin/memnet/conn.go
+++ b/internal/standin/memnet/conn.go
@@ -12,10 +12,11 @@
 // window is the maximum number of unread bytes in one direction of a connection.
 const window = 64 << 10
 
-// segment is the data of one write.
+// segment is data that is sent at once, or the end of the stream.
 type segment struct {
 	data []byte
-	at   time.Time
+	// at is the arrival time.
+	at time.Time
 	// fin marks that the sender closed the connection.
 	fin bool
 }
@@ -26,7 +27,8 @@
 	cond          *sync.Cond
 	local, remote endpoint
 	peer          *conn
-	// inbox holds the received segments, inboxBytes their total size.
+	// inbox holds the segments to this end that are in flight or unread,
+	// inboxBytes their total size.
 	inbox      []segment
 	inboxBytes int
 	eof        bool
