--- a/internal/configdoc/configdoc_test.go
+++ b/internal/configdoc/configdoc_test.go
@@ -48,7 +48,7 @@
 	}
 	files := []table{
 		{name: "settings", value: reflect.ValueOf(*settings.Default()), required: requiredSettings(t, settings.Parse)},
-		{name: "routed", value: reflect.ValueOf(*settings.RoutedDefault()), required: requiredSettings(t, settings.ParseRouted)},
+		{name: "routed", value: reflect.ValueOf(*settings.DefaultRouted()), required: requiredSettings(t, settings.ParseRouted)},
 	}
 	return append(files, fleet...)
 }
--- a/internal/daemon/routed/world_test.go
+++ b/internal/daemon/routed/world_test.go
@@ -229,7 +229,7 @@
 	server := &http.Server{Handler: n.door}
 	w.ended.Go(func() { _ = server.Serve(listener) })
 	context.AfterFunc(w.ctx, func() { _ = server.Close() })
-	n.settings = *settings.RoutedDefault()
+	n.settings = *settings.DefaultRouted()
 	n.settings.Instance, n.settings.Domain = protocol.InstanceID(name), protocol.Domain(domain)
 	n.settings.Listen = settings.RoutedListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82"}
 	n.settings.Store.Address = address
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -72,8 +72,8 @@
 	Timeout time.Duration `yaml:"timeout"`
 }
 
-// RoutedDefault gives the value of every field that a file may leave out.
-func RoutedDefault() *Routed {
+// DefaultRouted gives the value of every field that a file may leave out.
+func DefaultRouted() *Routed {
 	return &Routed{
 		Store: Store{
 			Partitions:  12,
@@ -104,7 +104,7 @@
 
 // ParseRouted checks the content of a settings file. The name stands in errors.
 func ParseRouted(name string, data []byte) (*Routed, error) {
-	s := RoutedDefault()
+	s := DefaultRouted()
 	doc := strictyaml.Decode(name, data, s)
 	if !doc.Has("drain_notice") {
 		s.DrainNotice = min(s.DrainNotice, time.Duration(noticeShare*float64(s.Grace)))
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -26,8 +26,8 @@
 func TestRoutedFileKeepsDefaults(t *testing.T) {
 	s, err := ParseRouted("s.yaml", []byte(wholeRouted))
 	require.NoError(t, err)
-	require.Equal(t, RoutedDefault().DrainNotice, s.DrainNotice)
-	require.Equal(t, RoutedDefault().Store.Timeout, s.Store.Timeout)
+	require.Equal(t, DefaultRouted().DrainNotice, s.DrainNotice)
+	require.Equal(t, DefaultRouted().Store.Timeout, s.Store.Timeout)
 }
 
 // A place gives processes less time to stop than usual. If the usual notice did
