--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -45,7 +45,7 @@
 		MaxFileItems:   s.Batch.FileItems,
 		MaxResultBytes: s.Batch.ResultBytes,
 		FileTTL:        s.Batch.FileKept,
-		MaxWindow:      s.Batch.LongestWindow,
+		MaxWindow:      s.Batch.MaxCompletionWindow,
 		ResultTTL:      s.Batch.ResultsReadable,
 		MaxHeldChunks:  s.Batch.HeldChunks,
 		MaxInFlight:    s.Batch.InFlight,
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -134,7 +134,7 @@
 		// is not carried forward.
 		FileKept: day,
 		// A job that is not done in a week will never be.
-		LongestWindow: 7 * day,
+		MaxCompletionWindow: 7 * day,
 		// A week lets an office fetch Friday's results on Monday.
 		ResultsReadable: 7 * day,
 		// Two thousand items keep an instance busy while a claim is on its way.
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -13,8 +13,8 @@
 	ResultBytes int `yaml:"result_bytes"`
 	// FileKept is how long after its upload a file can be used for a job.
 	FileKept time.Duration `yaml:"file_kept"`
-	// LongestWindow is the longest completion window of a job.
-	LongestWindow time.Duration `yaml:"longest_window"`
+	// MaxCompletionWindow is the longest completion window of a job.
+	MaxCompletionWindow time.Duration `yaml:"longest_window"`
 	// ResultsReadable is how long results stay readable after a job ended.
 	ResultsReadable time.Duration `yaml:"results_readable"`
 	// HeldChunks is the number of chunks that an instance holds at once.
