--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -52,7 +52,7 @@
 		UrgentLaxity:   s.Batch.UrgentLaxity,
 		MaxAttempts:    s.Batch.Attempts,
 		BackoffFirst:   s.Batch.FirstBackoff,
-		BackoffMax:     s.Batch.LongestBackoff,
+		BackoffMax:     s.Batch.MaxBackoff,
 		FlushAfter:     s.Batch.ResultFlush,
 		BufferBytes:    s.Batch.ResultBufferBytes,
 		RefreshAge:     s.Batch.CarryAge,
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -149,7 +149,7 @@
 		// A target that was busy is free again after a second.
 		FirstBackoff: time.Second,
 		// Longer waits would show as lateness of the whole job.
-		LongestBackoff: time.Minute,
+		MaxBackoff: time.Minute,
 		// At two items a second 360 results share an append, and a crash makes
 		// as many run again. At the end of a job whole chunks go at once.
 		ResultFlush: 3 * time.Minute,
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -29,8 +29,8 @@
 	// FirstBackoff is the wait before the second attempt. It doubles after
 	// each further one.
 	FirstBackoff time.Duration `yaml:"first_backoff"`
-	// LongestBackoff bounds the wait between attempts.
-	LongestBackoff time.Duration `yaml:"longest_backoff"`
+	// MaxBackoff bounds the wait between attempts.
+	MaxBackoff time.Duration `yaml:"longest_backoff"`
 	// ResultFlush is the longest time a result waits for a group commit.
 	ResultFlush time.Duration `yaml:"result_flush"`
 	// ResultBufferBytes bounds the results kept while the log is down.
