--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -81,7 +81,7 @@
 		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
 		InitialEjection: s.Routing.EjectFor,
-		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjection:     s.Routing.MaxEjection,
 		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -201,7 +201,7 @@
 		// A restarting target is back after some seconds.
 		EjectFor: 2 * time.Second,
 		// A target that stays dead costs one call a minute.
-		LongestEjection: time.Minute,
+		MaxEjection: time.Minute,
 		// Beyond a half the cause is more likely shared, and the rest could
 		// not carry the load.
 		EjectShare: 0.5,
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -80,8 +80,8 @@
 	FailuresToEject int `yaml:"failures_to_eject"`
 	// EjectFor is the time of a first ejection. It doubles with each further.
 	EjectFor time.Duration `yaml:"eject_for"`
-	// LongestEjection bounds the time of an ejection.
-	LongestEjection time.Duration `yaml:"longest_ejection"`
+	// MaxEjection bounds the time of an ejection.
+	MaxEjection time.Duration `yaml:"longest_ejection"`
 	// LoadsPerSecond bounds the load reports that an instance reads a second.
 	LoadsPerSecond float64 `yaml:"loads_per_second"`
 	// EjectShare bounds the part of a service that is ejected at once.
