--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -44,7 +44,7 @@
 		MaxFileBytes:   s.Limits.FileBytes,
 		MaxFileItems:   s.Batch.FileItems,
 		MaxResultBytes: s.Batch.ResultBytes,
-		FileTTL:        s.Batch.FileKept,
+		FileTTL:        s.Batch.FileRetention,
 		MaxWindow:      s.Batch.MaxCompletionWindow,
 		ResultTTL:      s.Batch.ResultsReadable,
 		MaxHeldChunks:  s.Batch.HeldChunks,
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -132,7 +132,7 @@
 		ResultBytes: 512 << 10,
 		// Less than the platform's retention, since a file that no job uses
 		// is not carried forward.
-		FileKept: day,
+		FileRetention: day,
 		// A job that is not done in a week will never be.
 		MaxCompletionWindow: 7 * day,
 		// A week lets an office fetch Friday's results on Monday.
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -11,8 +11,8 @@
 	// ResultBytes is the longest result of an item, in bytes. A longer one
 	// ends as a failed result.
 	ResultBytes int `yaml:"result_bytes"`
-	// FileKept is how long after its upload a file can be used for a job.
-	FileKept time.Duration `yaml:"file_kept"`
+	// FileRetention is how long after its upload a file can be used for a job.
+	FileRetention time.Duration `yaml:"file_kept"`
 	// MaxCompletionWindow is the longest completion window of a job.
 	MaxCompletionWindow time.Duration `yaml:"longest_window"`
 	// ResultsReadable is how long results stay readable after a job ended.
