--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -42,7 +42,7 @@
 		carrier:  batch.NewDataRefresher(j, opts, d.logger),
 		once: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
-			Retention:      d.settings.Calls.Remember,
+			Retention:      d.settings.Calls.OutcomeRetention,
 		}, d.logger),
 		notices: batch.NewCancelNotifier("batch.cancel_notices", d.agreement.heartbeats, d.settings.Timings.PeerTimeout),
 	}
--- a/internal/daemon/options_test.go
+++ b/internal/daemon/options_test.go
@@ -14,7 +14,7 @@
 	"Instance": true, "Domain": true, "Listen": true, "Seeds": true, "Platform": true, "TLS": true,
 	"OperatorKeys": true, "Limiter": true, "Admission": true, "Headroom": true, "Log": true,
 	"Timings.Heartbeat": true, "Timings.PeerTimeout": true,
-	"Timings.DrainLimit": true, "Calls.ReserveTimeout": true, "Calls.Remember": true,
+	"Timings.DrainLimit": true, "Calls.ReserveTimeout": true, "Calls.OutcomeRetention": true,
 }
 
 func mapped(s *settings.Settings) []any {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -179,7 +179,7 @@
 		// A caller is better told to come back than kept.
 		ReserveTimeout: 3 * time.Second,
 		// Longer than any client goes on resending.
-		Remember: day,
+		OutcomeRetention: day,
 	}
 }
 
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -59,9 +59,9 @@
 	AllowHeaders []string `yaml:"allow_headers"`
 	// ReserveTimeout is the limit on reserving a call that may not be repeated.
 	ReserveTimeout time.Duration `yaml:"reserve_timeout"`
-	// Remember is how long the outcome of a call that may not be repeated is
+	// OutcomeRetention is how long the outcome of a call that may not be repeated is
 	// remembered.
-	Remember time.Duration `yaml:"remember"`
+	OutcomeRetention time.Duration `yaml:"remember"`
 }
 
 // Routing holds the constants of choosing targets.
