--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -33,7 +33,7 @@
 // viewLimits bound what heartbeats know of other instances.
 func viewLimits(t settings.Timings) member.ViewLimits {
 	limits := member.DefaultViewLimits()
-	limits.Reachable = t.PeerSilent
+	limits.Reachable = t.PeerSilenceTimeout
 	limits.Forget = t.PeerForget
 	return limits
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -202,8 +202,8 @@
 	if longest := t.DrainNotice + s.Calls.Deadline; t.DrainLimit < longest {
 		doc.Report("timings.drain_limit", "%s must be at least timings.drain_notice and calls.deadline together (%s), or a shutdown cuts calls", t.DrainLimit, longest)
 	}
-	if t.PeerSilent < 2*t.Heartbeat {
-		doc.Report("timings.peer_silent", "%s must be at least twice timings.heartbeat (%s)", t.PeerSilent, t.Heartbeat)
+	if t.PeerSilenceTimeout < 2*t.Heartbeat {
+		doc.Report("timings.peer_silent", "%s must be at least twice timings.heartbeat (%s)", t.PeerSilenceTimeout, t.Heartbeat)
 	}
 	if t.LogDownAfter <= t.LogWait {
 		doc.Report("timings.log_down_after", "%s must be longer than timings.log_wait (%s)", t.LogDownAfter, t.LogWait)
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -88,7 +88,7 @@
 		// partners inside the budget for control.
 		Heartbeat: time.Second,
 		// Three heartbeats, so that a single lost one changes nothing.
-		PeerSilent: 3 * time.Second,
+		PeerSilenceTimeout: 3 * time.Second,
 		// An instance that is replaced is back within this.
 		PeerForget: time.Minute,
 		// Hundreds of round trips; longer would hold up the call that asks.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -161,8 +161,8 @@
 	ClockDrift float64 `yaml:"clock_drift"`
 	// Heartbeat is the period of the direct messages between instances.
 	Heartbeat time.Duration `yaml:"heartbeat"`
-	// PeerSilent is the silence after which a peer counts as unreachable.
-	PeerSilent time.Duration `yaml:"peer_silent"`
+	// PeerSilenceTimeout is the silence after which a peer counts as unreachable.
+	PeerSilenceTimeout time.Duration `yaml:"peer_silent"`
 	// PeerForget is the silence after which a peer without an open session is
 	// dropped from memory.
 	PeerForget time.Duration `yaml:"peer_forget"`
