--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -34,7 +34,7 @@
 func viewLimits(t settings.Timings) member.ViewLimits {
 	limits := member.DefaultViewLimits()
 	limits.Reachable = t.PeerSilenceTimeout
-	limits.Forget = t.PeerForget
+	limits.Forget = t.PeerRetention
 	return limits
 }
 
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -90,7 +90,7 @@
 		// Three heartbeats, so that a single lost one changes nothing.
 		PeerSilenceTimeout: 3 * time.Second,
 		// An instance that is replaced is back within this.
-		PeerForget: time.Minute,
+		PeerRetention: time.Minute,
 		// Hundreds of round trips; longer would hold up the call that asks.
 		PeerTimeout: 500 * time.Millisecond,
 		// Longer than LogWait, so that a waiting read is not taken for a
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,9 +163,9 @@
 	Heartbeat time.Duration `yaml:"heartbeat"`
 	// PeerSilenceTimeout is the silence after which a peer counts as unreachable.
 	PeerSilenceTimeout time.Duration `yaml:"peer_silent"`
-	// PeerForget is the silence after which a peer without an open session is
+	// PeerRetention is the silence after which a peer without an open session is
 	// dropped from memory.
-	PeerForget time.Duration `yaml:"peer_forget"`
+	PeerRetention time.Duration `yaml:"peer_forget"`
 	// PeerTimeout is the limit on one call to another instance.
 	PeerTimeout time.Duration `yaml:"peer_timeout"`
 	// PlatformTimeout is the limit on one call to the platform.
