--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -79,7 +79,7 @@
 		settings: s, network: network, logger: logger,
 		self: mesh.Instance{
 			Name: string(s.Instance), Domain: string(s.Domain),
-			Address: s.Listen.Peers, Start: time.Now().UnixMilli(), Strength: mesh.StrengthOf(s.Processor),
+			Address: s.Listen.Peers, Start: time.Now().UnixMilli(), Strength: mesh.StrengthOf(s.CPUCores),
 		},
 		store: platform.NewStore(network, s.Store.Address, s.Store.Timeout),
 		targets: targetconn.New(network, targetconn.Codec{
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -33,9 +33,9 @@
 	ResultsReadable time.Duration `yaml:"results_readable"`
 	// MemoryMB is the memory that the process may use, in megabytes.
 	MemoryMB int `yaml:"memory_mb"`
-	// Processor is the part of a core that the process may use, 2 for two cores.
+	// CPUCores is the part of a core that the process may use, 2 for two cores.
 	// Instances that have more of it do more for the others.
-	Processor float64 `yaml:"processor"`
+	CPUCores float64 `yaml:"processor"`
 	// Grace is the time from the order to stop to the end of the process.
 	Grace time.Duration `yaml:"grace"`
 	// DrainNotice is how long a leaving instance goes on taking requests after
@@ -85,7 +85,7 @@
 		// The morning after, and a day to ask about it.
 		ResultsReadable: 36 * time.Hour,
 		MemoryMB:        256,
-		Processor:       1,
+		CPUCores:       1,
 		Grace:           8 * time.Second,
 		// Two misses a second apart, and some time for the second to be seen.
 		DrainNotice: 2500 * time.Millisecond,
