--- a/internal/burn/jobs_test.go
+++ b/internal/burn/jobs_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestOnlyTheServicesOwnFailuresBurn(t *testing.T) {
-	require.True(t, Measured(nil))
-	require.True(t, Measured(protocol.Refuse(protocol.CodeOverloaded, 0, "")))
-	require.False(t, Measured(protocol.Refuse(protocol.CodeRateLimited, 0, "")))
+	require.True(t, CountsTowardObjectives(nil))
+	require.True(t, CountsTowardObjectives(protocol.Refuse(protocol.CodeOverloaded, 0, "")))
+	require.False(t, CountsTowardObjectives(protocol.Refuse(protocol.CodeRateLimited, 0, "")))
 }
--- a/internal/burn/online.go
+++ b/internal/burn/online.go
@@ -17,9 +17,9 @@
 	protocol.CodeGone:         true,
 }
 
-// Measured reports whether a call with this refusal, nil if it had none, is one
+// CountsTowardObjectives reports whether a call with this refusal, nil if it had none, is one
 // that the objectives are about. An organisation that sends five times its
 // rate would otherwise burn its own allowance.
-func Measured(refusal *protocol.Refusal) bool {
+func CountsTowardObjectives(refusal *protocol.Refusal) bool {
 	return refusal == nil || !callersOwn[refusal.Code]
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -51,7 +51,7 @@
 // observe records a finished call for the burn report. Only a stream shows when
 // its first token came.
 func (o *operators) observe(seen online.Observation) {
-	if !burn.Measured(seen.Result.Refusal) {
+	if !burn.CountsTowardObjectives(seen.Result.Refusal) {
 		return
 	}
 	var firstToken, between time.Duration
