--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,9 +14,9 @@
 	"merlintiller/internal/strictyaml"
 )
 
-// mostDrift is the largest clock error that settings may name. A larger one is
-// a broken clock.
-const mostDrift = 0.5
+// maxClockDrift is the largest accepted timings.clock_drift. A clock with a larger
+// relative error is broken.
+const maxClockDrift = 0.5
 
 var (
 	namePattern   = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
@@ -36,7 +36,7 @@
 	checkAddress(doc, "platform.weights", s.Platform.Weights)
 	checkTLS(s, doc)
 	checkOperatorKeys(s, doc)
-	checkPositive(doc, "", reflect.ValueOf(s).Elem())
+	checkNumbers(doc, "", reflect.ValueOf(s).Elem())
 	checkTimings(s, doc)
 	checkBatch(s, doc)
 	checkShares(s, doc)
@@ -55,17 +55,17 @@
 }
 
 func checkListen(s *Settings, doc *strictyaml.Document) {
-	checkDistinct(doc, []namedAddress{
+	checkDistinctAddresses(doc, []addressField{
 		{"listen.callers", s.Listen.Callers},
 		{"listen.peers", s.Listen.Peers},
 		{"listen.operators", s.Listen.Operators},
 	})
 }
 
-type namedAddress struct{ name, value string }
+type addressField struct{ name, value string }
 
-// checkDistinct wants whole addresses, each of them once.
-func checkDistinct(doc *strictyaml.Document, fields []namedAddress) {
+// checkDistinctAddresses reports incomplete addresses and addresses that are used twice.
+func checkDistinctAddresses(doc *strictyaml.Document, fields []addressField) {
 	used := map[string]string{}
 	for _, field := range fields {
 		if !checkAddress(doc, field.name, field.value) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// checkAddress reports whether an address is whole. Names are refused: a name
-// service is one more thing that can be cut off, and instances are told their
-// addresses by IP number.
+// checkAddress reports whether a value is an IP address with a port. It rejects
+// host names: a name service is one more dependency that a network partition can
+// make unreachable, and instances exchange their addresses as IP addresses.
 func checkAddress(doc *strictyaml.Document, field, value string) bool {
 	if value == "" {
 		doc.Report(field, "is missing; give an address such as 10.0.0.1:8080")
@@ -88,30 +88,31 @@
 	}
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Port() == 0 {
-		doc.Report(field, "%q must be an IP number with a port, such as 10.0.0.1:8080", value)
+		doc.Report(field, "%q must be an IP address with a port, such as 10.0.0.1:8080", value)
 		return false
 	}
 	if address.Addr().IsUnspecified() {
-		doc.Report(field, "%q can't be told to others; give the IP number that they reach", value)
+		doc.Report(field, "%q is an unspecified address; give the IP address under which other processes reach this one", value)
 		return false
 	}
 	return true
 }
 
 func checkTLS(s *Settings, doc *strictyaml.Document) {
-	checkFiles(doc, "tls.callers", s.Listen.Callers, s.TLS.AllowPlaintext,
-		file{"cert", s.TLS.Callers.Cert}, file{"key", s.TLS.Callers.Key})
-	checkFiles(doc, "tls.peers", s.Listen.Peers, s.TLS.AllowPlaintext,
-		file{"cert", s.TLS.Peers.Cert}, file{"key", s.TLS.Peers.Key}, file{"ca", s.TLS.Peers.CA})
-	checkFiles(doc, "tls.operators", s.Listen.Operators, s.TLS.AllowPlaintext,
-		file{"cert", s.TLS.Operators.Cert}, file{"key", s.TLS.Operators.Key}, file{"ca", s.TLS.Operators.CA})
+	checkTLSFiles(doc, "tls.callers", s.Listen.Callers, s.TLS.AllowPlaintext,
+		tlsFile{"cert", s.TLS.Callers.Cert}, tlsFile{"key", s.TLS.Callers.Key})
+	checkTLSFiles(doc, "tls.peers", s.Listen.Peers, s.TLS.AllowPlaintext,
+		tlsFile{"cert", s.TLS.Peers.Cert}, tlsFile{"key", s.TLS.Peers.Key}, tlsFile{"ca", s.TLS.Peers.CA})
+	checkTLSFiles(doc, "tls.operators", s.Listen.Operators, s.TLS.AllowPlaintext,
+		tlsFile{"cert", s.TLS.Operators.Cert}, tlsFile{"key", s.TLS.Operators.Key}, tlsFile{"ca", s.TLS.Operators.CA})
 }
 
-type file struct{ name, path string }
+// tlsFile is one file of a listener's TLS settings, with the name of its field.
+type tlsFile struct{ name, path string }
 
-// checkFiles wants all files of a listener or none, and none only where
-// plaintext is allowed.
-func checkFiles(doc *strictyaml.Document, field, address string, plaintext bool, files ...file) {
+// checkTLSFiles requires either all TLS files of a listener or none. A listener
+// without files is accepted only if plaintext is allowed or its address is loopback.
+func checkTLSFiles(doc *strictyaml.Document, field, address string, allowPlaintext bool, files ...tlsFile) {
 	given := 0
 	for _, f := range files {
 		if f.path != "" {
@@ -119,8 +120,8 @@
 		}
 	}
 	if given == 0 {
-		if !plaintext && !isLoopback(address) {
-			doc.Report(field, "is missing, and %s is not loopback; give the files or set tls.allow_plaintext", address)
+		if !allowPlaintext && !isLoopback(address) {
+			doc.Report(field, "is missing, and %s is not a loopback address; give the files or set tls.allow_plaintext", address)
 		}
 		return
 	}
@@ -145,30 +146,31 @@
 		field := indexed("operator_keys", i)
 		checkName(doc, field+".id", key.ID)
 		if seen[key.ID] {
-			doc.Report(field+".id", "%q stands twice", key.ID)
+			doc.Report(field+".id", "%q is a duplicate", key.ID)
 		}
 		seen[key.ID] = true
 		if !hashPattern.MatchString(key.SHA256) {
-			// The value is not shown: it may be the secret itself.
+			// The message omits the value, which may be the secret itself.
 			doc.Report(field+".sha256", "must be the 64 hexadecimal digits of a SHA-256 hash")
 		}
 	}
 }
 
-// mayBeZero are the numbers that have a use for 0.
-var mayBeZero = map[string]bool{
+// zeroAllowed lists the number fields for which 0 is a valid value.
+var zeroAllowed = map[string]bool{
 	"routing.affinity_load": true,
 	"headroom.spare":        true,
 }
 
-// checkPositive refuses negative numbers and times anywhere, and zero where it
-// has no use: a period of 0 would spin, a limit of 0 refuse everything.
-func checkPositive(doc *strictyaml.Document, field string, value reflect.Value) {
+// checkNumbers rejects negative numbers and durations in all fields, and zero except
+// in the fields of zeroAllowed. A period of 0 would make a loop spin, and a limit of
+// 0 would reject everything.
+func checkNumbers(doc *strictyaml.Document, field string, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
 			name := value.Type().Field(i).Tag.Get("yaml")
-			checkPositive(doc, strings.TrimPrefix(field+"."+name, "."), value.Field(i))
+			checkNumbers(doc, strings.TrimPrefix(field+"."+name, "."), value.Field(i))
 		}
 	case reflect.Int, reflect.Int64:
 		if value.Int() <= 0 {
@@ -176,7 +178,7 @@
 		}
 	case reflect.Float64:
 		number := value.Float()
-		allowed := number > 0 || number == 0 && mayBeZero[field]
+		allowed := number > 0 || number == 0 && zeroAllowed[field]
 		if !allowed || math.IsInf(number, 0) {
 			doc.Report(field, "must be a number above 0")
 		}
@@ -188,19 +190,19 @@
 	if 2*t.Renew > t.Hold {
 		doc.Report("timings.renew", "%s must be at most half of timings.hold (%s), or one lost renewal stops work", t.Renew, t.Hold)
 	}
-	if t.ClockDrift >= mostDrift {
-		doc.Report("timings.clock_drift", "%g must be below %g", t.ClockDrift, mostDrift)
+	if t.ClockDrift >= maxClockDrift {
+		doc.Report("timings.clock_drift", "%g must be below %g", t.ClockDrift, maxClockDrift)
 	}
-	slowest := time.Duration(float64(t.Hold) * (1 + t.ClockDrift) / (1 - t.ClockDrift))
-	if t.Expire <= slowest {
+	holdOnSlowestClock := time.Duration(float64(t.Hold) * (1 + t.ClockDrift) / (1 - t.ClockDrift))
+	if t.Expire <= holdOnSlowestClock {
 		doc.Report("timings.expire", "%s must be larger than timings.hold (%s on the slowest clock), or two instances hold the same work",
-			t.Expire, slowest)
+			t.Expire, holdOnSlowestClock)
 	}
 	if s.Limiter.MaxRenewalAge >= t.Hold {
-		doc.Report("limiter.renewal_late", "%s must be below timings.hold (%s), or promises are asked for too late", s.Limiter.MaxRenewalAge, t.Hold)
+		doc.Report("limiter.renewal_late", "%s must be below timings.hold (%s), or promises are requested too late", s.Limiter.MaxRenewalAge, t.Hold)
 	}
-	if longest := t.DrainNotice + s.Calls.Deadline; t.DrainLimit < longest {
-		doc.Report("timings.drain_limit", "%s must be at least timings.drain_notice and calls.deadline together (%s), or a shutdown cuts calls", t.DrainLimit, longest)
+	if drainTime := t.DrainNotice + s.Calls.Deadline; t.DrainLimit < drainTime {
+		doc.Report("timings.drain_limit", "%s must be at least timings.drain_notice and calls.deadline together (%s), or a shutdown interrupts calls", t.DrainLimit, drainTime)
 	}
 	if t.PeerSilenceTimeout < 2*t.Heartbeat {
 		doc.Report("timings.peer_silent", "%s must be at least twice timings.heartbeat (%s)", t.PeerSilenceTimeout, t.Heartbeat)
@@ -225,7 +227,7 @@
 	}
 }
 
-// checkShares wants parts of a whole to be at most the whole.
+// checkShares requires that fractions are at most 1.
 func checkShares(s *Settings, doc *strictyaml.Document) {
 	shares := []struct {
 		field string
@@ -244,8 +246,9 @@
 	}
 }
 
-// credentialHeaders may hold the caller's key. Passed to a target, it would let
-// whoever runs that target act for the organisation.
+// credentialHeaders are the request headers that may hold the caller's key. With
+// the key, the operator of a target could act for the caller's organisation, so these
+// headers are never forwarded.
 var credentialHeaders = map[string]bool{
 	"Authorization":       true,
 	"Proxy-Authorization": true,
@@ -259,9 +262,9 @@
 		field := indexed("calls.allow_headers", i)
 		switch {
 		case credentialHeaders[http.CanonicalHeaderKey(name)]:
-			doc.Report(field, "%q may hold the caller's key, which no target may see", name)
+			doc.Report(field, "%q may hold the caller's key, which must not be sent to a target", name)
 		case !headerPattern.MatchString(name):
-			doc.Report(field, "%q is no name of a header", name)
+			doc.Report(field, "%q is not a valid header name", name)
 		}
 	}
 }
@@ -279,6 +282,7 @@
 	}
 }
 
+// indexed returns the path of a list element, such as "seeds[0]".
 func indexed(field string, i int) string {
 	return field + "[" + strconv.Itoa(i) + "]"
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,8 +8,8 @@
 	"merlintiller/internal/strictyaml"
 )
 
-// Load reads and checks a settings file. Its error lists every mistake with
-// file, line and field (strictyaml.Problems); the caller exits with status 2.
+// Load reads and checks a settings file. The error lists every mistake with
+// file, line and field (strictyaml.Problems). The command exits with status 2.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return Parse(path, data)
 }
 
-// Parse checks the content of a settings file. The name stands in errors.
+// Parse decodes and checks the content of a settings file. Errors contain name.
 func Parse(name string, data []byte) (*Settings, error) {
 	s := Default()
 	doc := strictyaml.Decode(name, data, s)
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -13,7 +13,7 @@
 	"merlintiller/internal/strictyaml"
 )
 
-const wholeRouted = `instance: sea-1
+const validRouted = `instance: sea-1
 domain: pnw-sea
 listen:
   callers: 10.0.0.1:8001
@@ -24,18 +24,18 @@
 `
 
 func TestRoutedFileKeepsDefaults(t *testing.T) {
-	s, err := ParseRouted("s.yaml", []byte(wholeRouted))
+	s, err := ParseRouted("s.yaml", []byte(validRouted))
 	require.NoError(t, err)
 	require.Equal(t, DefaultRouted().DrainNotice, s.DrainNotice)
 	require.Equal(t, DefaultRouted().Store.Timeout, s.Store.Timeout)
 }
 
-// A place gives processes less time to stop than usual. If the usual notice did
-// not fit and the file were refused, the process would not start at all; if the
-// notice took all the time, requests would be cut at each stop.
+// Some deployments give a process a shorter grace time than usual. If the default
+// drain notice did not fit and the file were rejected, the process would not start.
+// If the notice took the whole grace time, each shutdown would interrupt requests.
 func TestShortGraceShortensTheNotice(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 30 * time.Second} {
-		s, err := ParseRouted("s.yaml", []byte(wholeRouted+"grace: "+grace.String()+"\n"))
+		s, err := ParseRouted("s.yaml", []byte(validRouted+"grace: "+grace.String()+"\n"))
 		require.NoError(t, err, grace)
 		require.LessOrEqual(t, s.DrainNotice, grace/2)
 		require.Positive(t, s.DrainNotice)
@@ -44,20 +44,20 @@
 
 func TestMistakesInRoutedFiles(t *testing.T) {
 	cases := map[string]struct{ old, new, want string }{
-		"unknown field":   {"domain: pnw-sea", "domian: pnw-sea", "s.yaml:2: domian: unknown field; did you mean domain?"},
-		"missing store":   {"store:\n  address: 10.0.9.1:9000\n", "", "store.address: is missing"},
-		"same address":    {"peers: 10.0.0.1:8003", "peers: 10.0.0.1:8001", "s.yaml:6: listen.peers: 10.0.0.1:8001 is the address of listen.callers"},
-		"name of a store": {"address: 10.0.9.1:9000", "address: store:9000", "s.yaml:8: store.address: \"store:9000\" must be an IP number"},
-		"long notice":     {"store:", "grace: 4s\ndrain_notice: 4s\nstore:", "s.yaml:8: drain_notice: 4s must be shorter than grace (4s)"},
-		"small records":   {"store:", "store:\n  record_bytes: 100", "s.yaml:8: store.record_bytes: 100 must be at least 4096"},
-		"no seeds":        {"store:", "seeds: [nobody]\nstore:", "s.yaml:7: seeds[0]: \"nobody\" must be an IP number"},
-		"spaces":          {"instance: sea-1", "instance: sea 1", "s.yaml:1: instance: \"sea 1\" must not hold spaces"},
-		"empty":           {wholeRouted, "", "is empty"},
+		"unknown field":        {"domain: pnw-sea", "domian: pnw-sea", "s.yaml:2: domian: unknown field; did you mean domain?"},
+		"missing store":        {"store:\n  address: 10.0.9.1:9000\n", "", "store.address: is missing"},
+		"same address":         {"peers: 10.0.0.1:8003", "peers: 10.0.0.1:8001", "s.yaml:6: listen.peers: 10.0.0.1:8001 is the address of listen.callers"},
+		"host name of a store": {"address: 10.0.9.1:9000", "address: store:9000", "s.yaml:8: store.address: \"store:9000\" must be an IP address"},
+		"long notice":          {"store:", "grace: 4s\ndrain_notice: 4s\nstore:", "s.yaml:8: drain_notice: 4s must be shorter than grace (4s)"},
+		"small records":        {"store:", "store:\n  record_bytes: 100", "s.yaml:8: store.record_bytes: 100 must be at least 4096"},
+		"no seeds":             {"store:", "seeds: [nobody]\nstore:", "s.yaml:7: seeds[0]: \"nobody\" must be an IP address"},
+		"spaces":               {"instance: sea-1", "instance: sea 1", "s.yaml:1: instance: \"sea 1\" must not contain spaces"},
+		"empty":                {validRouted, "", "is empty"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(wholeRouted, c.old, c.new, 1)
-			require.NotEqual(t, wholeRouted, text)
+			text := strings.Replace(validRouted, c.old, c.new, 1)
+			require.NotEqual(t, validRouted, text)
 			_, err := ParseRouted("s.yaml", []byte(text))
 			require.ErrorContains(t, err, c.want)
 			var problems strictyaml.Problems
@@ -67,13 +67,13 @@
 }
 
 var (
-	listSection = regexp.MustCompile(`\{\{#seeds\}\}.*\{\{/seeds\}\}`)
-	readable    = regexp.MustCompile(`\{\{#bounds.status_s\}\}(.*)\{\{\.\}\}(.*)\{\{/bounds.status_s\}\}`)
-	placeholder = regexp.MustCompile(`\{\{([a-z_.]+)\}\}`)
+	seedsSection           = regexp.MustCompile(`\{\{#seeds\}\}.*\{\{/seeds\}\}`)
+	resultsReadableSection = regexp.MustCompile(`\{\{#bounds.status_s\}\}(.*)\{\{\.\}\}(.*)\{\{/bounds.status_s\}\}`)
+	placeholder            = regexp.MustCompile(`\{\{([a-z_.]+)\}\}`)
 )
 
-// The platform fills the template in at every start. A mistake in it would keep
-// every instance from starting. Fields that a place does not have come out empty.
+// The platform fills in the template at every start, so a mistake in it would keep
+// every instance from starting. Fields that a deployment does not provide are empty.
 func TestDeployedTemplateGivesSettings(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.yaml")
 	require.NoError(t, err)
@@ -83,8 +83,8 @@
 		"platform.record_bytes": "262144", "platform.call_bytes": "2097152", "limits.memory_mb": "184", "limits.cpu_share": "0.192", "bounds.grace_s": "2.5",
 	}
 	for seeds, bound := range map[string]string{"": "", `"10.1.0.3:8683","10.1.0.4:8683"`: "${1}120${2}"} {
-		text := listSection.ReplaceAllString(string(template), seeds)
-		text = readable.ReplaceAllString(text, bound)
+		text := seedsSection.ReplaceAllString(string(template), seeds)
+		text = resultsReadableSection.ReplaceAllString(text, bound)
 		text = placeholder.ReplaceAllStringFunc(text, func(found string) string {
 			value, ok := values[placeholder.FindStringSubmatch(found)[1]]
 			require.True(t, ok, found)
