--- a/internal/fleetdir/fleetdir_test.go
+++ b/internal/fleetdir/fleetdir_test.go
@@ -49,7 +49,7 @@
 		"no rate":         {"organisations: [{id: ana, burst: 1}]\n", "organisations[0].rate: is missing or not above 0"},
 		"not a number":    {"organisations: [{id: ana, rate: .nan, burst: 1}]\n", "organisations[0].rate: NaN must be between"},
 		"burst below one": {"organisations: [{id: ana, rate: 1, burst: 0.5}]\n", "organisations[0].burst: 0.5 must be between 1"},
-		"objective unit":  {"organisations:\n  - id: ana\n    rate: 1\n    burst: 1\n    objectives:\n      first_token: 2\n", "a.yaml:6: organisations[0].objectives.first_token: \"2\" must be a time with its unit"},
+		"objective unit":  {"organisations:\n  - id: ana\n    rate: 1\n    burst: 1\n    objectives:\n      first_token: 2\n", "a.yaml:6: organisations[0].objectives.first_token: \"2\" must be a duration with a unit"},
 		"objective of 1":  {"organisations: [{id: ana, rate: 1, burst: 1, objectives: {target: 1}}]\n", "objectives.target: 1 must be at least 0 and below 1"},
 		"orphan key":      {"keys:\n  - {id: k1, organisation: ana, sha256: " + hash + "}\n", "a.yaml:2: keys[0].organisation: \"ana\" is no organisation"},
 		"secret for hash": {"keys: [{id: k1, organisation: ana, sha256: hunter2}]\n", "keys[0].sha256: must be the 64"},
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -13,34 +13,34 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxBytes bounds a file, so that a wrong path can't fill the memory.
-const maxBytes = 16 << 20
+// maxFileBytes bounds the size of a file, so that a wrong path cannot exhaust the memory.
+const maxFileBytes = 16 << 20
 
-// Document is a decoded file that remembers where each field stands.
+// Document is a decoded file with the line of each field and the mistakes found in it.
 type Document struct {
 	file     string
 	lines    map[string]int
 	problems Problems
 }
 
-// Decode reads one YAML document into out, a pointer to a struct whose fields
-// have yaml tags. Fields that the file leaves out keep their value. Mistakes
-// are collected in the document, see Problems.
+// Decode decodes one YAML document into out, a pointer to a struct whose fields
+// have yaml tags. Fields that are not in the file keep their value. The returned
+// document collects all mistakes; see Problems.
 func Decode(file string, data []byte, out any) *Document {
 	doc := &Document{file: file, lines: map[string]int{}}
-	if len(data) > maxBytes {
-		doc.add(0, "", fmt.Sprintf("larger than %d bytes", maxBytes))
+	if len(data) > maxFileBytes {
+		doc.add(0, "", fmt.Sprintf("larger than %d bytes", maxFileBytes))
 		return doc
 	}
 	root, ok := doc.parse(data)
 	if !ok {
 		return doc
 	}
-	doc.value(root, "", reflect.ValueOf(out).Elem())
+	doc.decodeValue(root, "", reflect.ValueOf(out).Elem())
 	return doc
 }
 
-// parse gives the root node. It is not ok if the file is empty or malformed.
+// parse returns the root node. It returns false if the file is empty or malformed.
 func (d *Document) parse(data []byte) (*yaml.Node, bool) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var node yaml.Node
@@ -55,7 +55,7 @@
 	}
 	var second yaml.Node
 	if err := decoder.Decode(&second); !errors.Is(err, io.EOF) {
-		d.add(second.Line, "", "holds more than one document")
+		d.add(second.Line, "", "contains more than one document")
 		return nil, false
 	}
 	if node.Kind != yaml.DocumentNode || len(node.Content) != 1 {
@@ -65,22 +65,22 @@
 	return node.Content[0], true
 }
 
-// Problems gives the mistakes found so far.
+// Problems returns the mistakes found so far.
 func (d *Document) Problems() Problems { return d.problems }
 
-// Report adds a mistake in a field, on the line where the field stands or, if
-// the file leaves it out, where the nearest field around it stands.
+// Report records a mistake in a field, with the line that Line returns.
 func (d *Document) Report(field, format string, args ...any) {
 	d.add(d.Line(field), field, fmt.Sprintf(format, args...))
 }
 
-// Has reports whether the file gives a field.
+// Has reports whether the file contains a field.
 func (d *Document) Has(field string) bool {
 	_, ok := d.lines[field]
 	return ok
 }
 
-// Line is the line of a field or of the nearest field around it.
+// Line returns the line of a field or, if the file does not contain it, the line of the
+// innermost enclosing field.
 func (d *Document) Line(field string) int {
 	for {
 		if line, ok := d.lines[field]; ok {
@@ -93,42 +93,43 @@
 	}
 }
 
+// parent returns the path of the enclosing field, such as "listen" for "listen.callers".
 func parent(field string) string {
-	cut := strings.LastIndexAny(field, ".[")
-	if cut < 0 {
+	end := strings.LastIndexAny(field, ".[")
+	if end < 0 {
 		return ""
 	}
-	return field[:cut]
+	return field[:end]
 }
 
 func (d *Document) add(line int, field, message string) {
 	d.problems = append(d.problems, Problem{File: d.file, Line: line, Field: field, Message: message})
 }
 
-// value decodes one node of any kind.
-func (d *Document) value(node *yaml.Node, field string, out reflect.Value) {
+// decodeValue decodes one node of any kind.
+func (d *Document) decodeValue(node *yaml.Node, field string, out reflect.Value) {
 	d.lines[field] = node.Line
 	if node.Kind == yaml.AliasNode || node.Anchor != "" {
-		// Nested aliases grow without bound while they are resolved.
+		// Nested aliases can expand to an unbounded size when they are resolved.
 		d.add(node.Line, field, "anchors and aliases are not allowed")
 		return
 	}
 	switch {
 	case out.Kind() == reflect.Struct:
-		d.mapping(node, field, out)
+		d.decodeMapping(node, field, out)
 	case out.Kind() == reflect.Slice:
-		d.sequence(node, field, out)
+		d.decodeSequence(node, field, out)
 	default:
-		d.scalar(node, field, out)
+		d.decodeScalar(node, field, out)
 	}
 }
 
-func (d *Document) mapping(node *yaml.Node, field string, out reflect.Value) {
+func (d *Document) decodeMapping(node *yaml.Node, field string, out reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		d.add(node.Line, field, "must hold named fields")
+		d.add(node.Line, field, "must be a mapping")
 		return
 	}
-	known := fieldsOf(out.Type())
+	known := fieldIndexes(out.Type())
 	seen := map[string]bool{}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		key := node.Content[i]
@@ -136,32 +137,32 @@
 		index, ok := known[key.Value]
 		switch {
 		case key.Kind != yaml.ScalarNode || !ok:
-			d.add(key.Line, path, unknownField(key.Value, known))
+			d.add(key.Line, path, unknownFieldMessage(key.Value, known))
 		case seen[key.Value]:
-			d.add(key.Line, path, "stands twice")
+			d.add(key.Line, path, "is a duplicate")
 		default:
 			seen[key.Value] = true
-			d.value(node.Content[i+1], path, out.Field(index))
+			d.decodeValue(node.Content[i+1], path, out.Field(index))
 			d.lines[path] = key.Line
 		}
 	}
 }
 
-func (d *Document) sequence(node *yaml.Node, field string, out reflect.Value) {
+func (d *Document) decodeSequence(node *yaml.Node, field string, out reflect.Value) {
 	if node.Kind != yaml.SequenceNode {
 		d.add(node.Line, field, "must be a list")
 		return
 	}
 	list := reflect.MakeSlice(out.Type(), len(node.Content), len(node.Content))
 	for i, item := range node.Content {
-		d.value(item, field+"["+strconv.Itoa(i)+"]", list.Index(i))
+		d.decodeValue(item, field+"["+strconv.Itoa(i)+"]", list.Index(i))
 	}
 	out.Set(list)
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func (d *Document) scalar(node *yaml.Node, field string, out reflect.Value) {
+func (d *Document) decodeScalar(node *yaml.Node, field string, out reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
 		d.add(node.Line, field, "must be "+describe(out.Type()))
 		return
@@ -171,44 +172,45 @@
 		return
 	}
 	if out.Type() == durationType {
-		d.duration(node, field, out)
+		d.decodeDuration(node, field, out)
 		return
 	}
-	fresh := reflect.New(out.Type())
-	if err := node.Decode(fresh.Interface()); err != nil {
+	decoded := reflect.New(out.Type())
+	if err := node.Decode(decoded.Interface()); err != nil {
 		d.add(node.Line, field, fmt.Sprintf("%q must be %s", node.Value, describe(out.Type())))
 		return
 	}
-	out.Set(fresh.Elem())
+	out.Set(decoded.Elem())
 }
 
-func (d *Document) duration(node *yaml.Node, field string, out reflect.Value) {
+func (d *Document) decodeDuration(node *yaml.Node, field string, out reflect.Value) {
 	value, err := time.ParseDuration(node.Value)
 	if err != nil || node.Value == "0" {
-		d.add(node.Line, field, fmt.Sprintf("%q must be a time with its unit, such as 500ms, 2s or 24h", node.Value))
+		d.add(node.Line, field, fmt.Sprintf("%q must be a duration with a unit, such as 500ms, 2s or 24h", node.Value))
 		return
 	}
 	out.SetInt(int64(value))
 }
 
+// describe names the expected type in a message.
 func describe(t reflect.Type) string {
 	if t == durationType {
-		return "a time with its unit, such as 500ms, 2s or 24h"
+		return "a duration with a unit, such as 500ms, 2s or 24h"
 	}
 	switch t.Kind() {
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Int, reflect.Int64:
-		return "a whole number"
+		return "an integer"
 	case reflect.Float64:
 		return "a number"
 	default:
-		return "a text"
+		return "a string"
 	}
 }
 
-// fieldsOf maps the names of a struct's fields in YAML to their index.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes maps the YAML names of a struct's fields to their indexes.
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := map[string]int{}
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("yaml"), ",")
@@ -219,6 +221,7 @@
 	return fields
 }
 
+// join returns the path of a field inside another field.
 func join(field, name string) string {
 	if field == "" {
 		return name
--- a/internal/strictyaml/problem.go
+++ b/internal/strictyaml/problem.go
@@ -1,9 +1,10 @@
-// Package strictyaml decodes YAML files that people write, and says for every
-// mistake in which file, on which line and in which field it stands.
+// Package strictyaml decodes hand-written YAML files and reports the file, line and
+// field of every mistake.
 //
-// The YAML library drops unknown fields or names no field in its errors. An
-// operator who mistypes "burst" would then publish an organisation with the
-// burst of 0 and see it refused everywhere. Decode refuses such a file whole.
+// The YAML library either ignores unknown fields or does not name the field in its
+// errors. An operator who mistypes "burst" would publish an organisation with a burst
+// of 0, and all of its requests would be rejected. Decode reports such a mistake
+// instead, and callers reject the complete file.
 package strictyaml
 
 import (
@@ -14,33 +15,33 @@
 
 // Problem is one mistake in a file.
 type Problem struct {
-	// File is the path as it was given.
+	// File is the path of the file as it was passed to Decode.
 	File string
-	// Line counts from 1; 0 means the file as a whole.
+	// Line is the line number, counted from 1; 0 stands for the complete file.
 	Line int
 	// Field is the path of the field, such as "listen.callers". It is empty
 	// for the document itself.
 	Field string
-	// Message says what is wrong.
+	// Message describes the mistake.
 	Message string
 }
 
-// String gives "file:line: field: message".
+// String returns "file:line: field: message".
 func (p Problem) String() string {
-	place := p.File
+	location := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d", p.File, p.Line)
+		location = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Field == "" {
-		return place + ": " + p.Message
+		return location + ": " + p.Message
 	}
-	return place + ": " + p.Field + ": " + p.Message
+	return location + ": " + p.Field + ": " + p.Message
 }
 
-// Problems are all mistakes that were found. An empty list is no error.
+// Problems is a list of mistakes. Err returns nil for an empty list.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -49,8 +50,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in the order of file and line, or nil if there are
-// none.
+// Err returns the problems sorted by file and line, or nil if there are none.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
--- a/internal/strictyaml/suggest.go
+++ b/internal/strictyaml/suggest.go
@@ -2,17 +2,19 @@
 
 import "sort"
 
-// furthestSuggestion is the largest edit distance of a name that is suggested
-// for a mistyped one.
-const furthestSuggestion = 2
+// maxSuggestionDistance is the largest edit distance between an unknown field name and
+// a suggested one.
+const maxSuggestionDistance = 2
 
-func unknownField(name string, known map[string]int) string {
+// unknownFieldMessage returns the message for an unknown field, with the most similar
+// known name if there is one.
+func unknownFieldMessage(name string, known map[string]int) string {
 	names := make([]string, 0, len(known))
 	for candidate := range known {
 		names = append(names, candidate)
 	}
 	sort.Strings(names)
-	best, distance := "", furthestSuggestion+1
+	best, distance := "", maxSuggestionDistance+1
 	for _, candidate := range names {
 		if d := editDistance(name, candidate); d < distance {
 			best, distance = candidate, d
@@ -24,7 +26,7 @@
 	return "unknown field; did you mean " + best + "?"
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance between two strings, in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
