--- a/internal/fleetdir/file.go
+++ b/internal/fleetdir/file.go
@@ -1,11 +1,10 @@
-// Package fleetdir reads the fleet configuration that operators keep as a
-// folder of small YAML files, and works out what must change in the
-// configuration in force.
+// Package fleetdir reads the fleet configuration, which operators keep as a folder of
+// small YAML files, and computes the change to the configuration in force.
 //
-// The files are merged in the order of their names: an object in a later file
-// replaces the object of the same kind and id in an earlier one, whole. So
-// "10-organisations.yaml" may hold what is usual and "90-tonight.yaml" what is
-// different tonight. The same id twice in one file is a mistake.
+// The files are merged in the order of their names. An object in a later file replaces
+// the complete object of the same kind and id in an earlier file. For example,
+// "10-organisations.yaml" can hold the usual values and "90-tonight.yaml" temporary
+// exceptions. A duplicate id in one file is a mistake.
 package fleetdir
 
 import "merlintiller/internal/protocol"
@@ -28,7 +27,7 @@
 	Domains       map[protocol.Domain]protocol.DomainShare
 }
 
-// Count is the number of objects.
+// Count returns the number of objects.
 func (o Objects) Count() int {
 	return len(o.Organisations) + len(o.Keys) + len(o.Models) + len(o.Services) + len(o.Domains)
 }
--- a/internal/fleetdir/load.go
+++ b/internal/fleetdir/load.go
@@ -13,12 +13,13 @@
 
 // Source is one file of the folder.
 type Source struct {
-	// Name is the path that errors show.
+	// Name is the path that appears in errors.
 	Name string
+	// Data is the content of the file.
 	Data []byte
 }
 
-// Load reads, merges and checks a folder. Its error lists every mistake with
+// Load reads, merges and checks a folder. The error lists every mistake with
 // file, line and field (strictyaml.Problems).
 func Load(dir string) (Objects, error) {
 	entries, err := os.ReadDir(dir)
@@ -29,11 +30,12 @@
 	var problems strictyaml.Problems
 	for _, entry := range entries {
 		path := filepath.Join(dir, entry.Name())
-		if ignored(entry.Name()) {
+		if isIgnored(entry.Name()) {
 			continue
 		}
 		if entry.IsDir() || filepath.Ext(path) != ".yaml" {
-			// A file "90-tonight.yml" left out in silence would look applied.
+			// If a file such as "90-tonight.yml" were ignored without a message, the
+			// operator would assume that it is applied.
 			problems = append(problems, strictyaml.Problem{File: path, Message: "is not a .yaml file; move it out of the folder"})
 			continue
 		}
@@ -44,7 +46,7 @@
 		sources = append(sources, Source{Name: path, Data: data})
 	}
 	if len(sources) == 0 && len(problems) == 0 {
-		problems = append(problems, strictyaml.Problem{File: dir, Message: "holds no .yaml file"})
+		problems = append(problems, strictyaml.Problem{File: dir, Message: "contains no .yaml file"})
 	}
 	if len(problems) > 0 {
 		return Objects{}, problems.Err()
@@ -52,8 +54,9 @@
 	return Merge(sources)
 }
 
-// ignored: hidden files of editors and version control, and pages for people.
-func ignored(name string) bool {
+// isIgnored reports whether a file is skipped: hidden files of editors and of version
+// control, and Markdown pages.
+func isIgnored(name string) bool {
 	return strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".md")
 }
 
@@ -71,7 +74,7 @@
 		}
 		m.docs = append(m.docs, doc)
 	}
-	if !m.failed() {
+	if !m.hasProblems() {
 		m.check()
 	}
 	for _, doc := range m.docs {
--- a/internal/fleetdir/merge.go
+++ b/internal/fleetdir/merge.go
@@ -7,37 +7,38 @@
 	"merlintiller/internal/strictyaml"
 )
 
-// placed is an object with the place in the folder where it stands.
-type placed[T any] struct {
+// located is an object with its location in the folder.
+type located[T any] struct {
 	value T
 	doc   *strictyaml.Document
 	field string
 }
 
-func (p placed[T]) report(field, format string, args ...any) {
+func (p located[T]) report(field, format string, args ...any) {
 	p.doc.Report(p.field+"."+field, format, args...)
 }
 
+// merger collects the objects of all files, with their locations.
 type merger struct {
 	docs          []*strictyaml.Document
-	organisations map[protocol.OrganisationID]placed[protocol.Organisation]
-	keys          map[protocol.KeyID]placed[protocol.Key]
-	models        map[protocol.ModelName]placed[protocol.Model]
-	services      map[protocol.ServiceName]placed[protocol.Service]
-	domains       map[protocol.Domain]placed[protocol.DomainShare]
+	organisations map[protocol.OrganisationID]located[protocol.Organisation]
+	keys          map[protocol.KeyID]located[protocol.Key]
+	models        map[protocol.ModelName]located[protocol.Model]
+	services      map[protocol.ServiceName]located[protocol.Service]
+	domains       map[protocol.Domain]located[protocol.DomainShare]
 }
 
 func newMerger() *merger {
 	return &merger{
-		organisations: map[protocol.OrganisationID]placed[protocol.Organisation]{},
-		keys:          map[protocol.KeyID]placed[protocol.Key]{},
-		models:        map[protocol.ModelName]placed[protocol.Model]{},
-		services:      map[protocol.ServiceName]placed[protocol.Service]{},
-		domains:       map[protocol.Domain]placed[protocol.DomainShare]{},
+		organisations: map[protocol.OrganisationID]located[protocol.Organisation]{},
+		keys:          map[protocol.KeyID]located[protocol.Key]{},
+		models:        map[protocol.ModelName]located[protocol.Model]{},
+		services:      map[protocol.ServiceName]located[protocol.Service]{},
+		domains:       map[protocol.Domain]located[protocol.DomainShare]{},
 	}
 }
 
-// add merges one file over what earlier files gave.
+// add merges the content of one file. Its objects replace those of earlier files.
 func (m *merger) add(doc *strictyaml.Document, content file) {
 	merge(m.organisations, doc, "organisations", "id", content.Organisations,
 		func(o protocol.Organisation) protocol.OrganisationID { return o.ID })
@@ -51,16 +52,17 @@
 		func(d protocol.DomainShare) protocol.Domain { return d.Domain })
 }
 
-func merge[K ~string, T any](into map[K]placed[T], doc *strictyaml.Document, list, idField string, values []T, id func(T) K) {
+// merge adds the objects of one list of a file to a map.
+func merge[K ~string, T any](into map[K]located[T], doc *strictyaml.Document, list, idField string, values []T, id func(T) K) {
 	seen := map[K]bool{}
 	for i, value := range values {
-		object := placed[T]{value: value, doc: doc, field: fmt.Sprintf("%s[%d]", list, i)}
+		object := located[T]{value: value, doc: doc, field: fmt.Sprintf("%s[%d]", list, i)}
 		key := id(value)
 		switch {
 		case key == "":
 			object.report(idField, "is missing")
 		case seen[key]:
-			object.report(idField, "%q stands twice in this file", string(key))
+			object.report(idField, "%q is a duplicate in this file", string(key))
 		default:
 			seen[key] = true
 			into[key] = object
@@ -68,7 +70,8 @@
 	}
 }
 
-func (m *merger) failed() bool {
+// hasProblems reports whether a file has mistakes.
+func (m *merger) hasProblems() bool {
 	for _, doc := range m.docs {
 		if len(doc.Problems()) > 0 {
 			return true
@@ -79,15 +82,16 @@
 
 func (m *merger) objects() Objects {
 	return Objects{
-		Organisations: bare(m.organisations),
-		Keys:          bare(m.keys),
-		Models:        bare(m.models),
-		Services:      bare(m.services),
-		Domains:       bare(m.domains),
+		Organisations: valuesOf(m.organisations),
+		Keys:          valuesOf(m.keys),
+		Models:        valuesOf(m.models),
+		Services:      valuesOf(m.services),
+		Domains:       valuesOf(m.domains),
 	}
 }
 
-func bare[K comparable, T any](objects map[K]placed[T]) map[K]T {
+// valuesOf returns the objects without their locations.
+func valuesOf[K comparable, T any](objects map[K]located[T]) map[K]T {
 	out := make(map[K]T, len(objects))
 	for key, object := range objects {
 		out[key] = object.value
