--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,9 +1,9 @@
-// Package defaults fills in what options leave out.
+// Package defaults sets the default values of unset options.
 package defaults
 
 import "cmp"
 
-// Set gives a field its default if it is zero.
+// Set sets a field to a default value if the field has the zero value.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -11,7 +11,7 @@
 	}
 }
 
-// SetPositive gives a field its default unless it is positive.
+// SetPositive sets a field to a default value if the field is not positive.
 func SetPositive[T cmp.Ordered](field *T, value T) {
 	var zero T
 	if *field <= zero {
