--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -14,20 +14,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lines keeps what was logged.
-type lines struct {
+// capturedLines keeps the logged lines.
+type capturedLines struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *capturedLines) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, strings.TrimSpace(string(p)))
 	return len(p), nil
 }
 
-func (l *lines) with(part string) (found []string) {
+func (l *capturedLines) containing(part string) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range l.all {
@@ -38,10 +38,9 @@
 	return found
 }
 
-// Whoever reads the output has stopped, and the pipe is full. A request that
-// waited for its line would wait for good; callers would see an instance that
-// hangs because of its log.
-func TestStoppedReaderDelaysNobody(t *testing.T) {
+// The reader of the output has stopped, and the pipe is full. If a request waited until
+// its log line is written, it would wait forever, and the instance would stop responding.
+func TestStoppedReaderDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, pipe := io.Pipe()
 		w := NewWriter(pipe)
@@ -52,29 +51,29 @@
 			_ = w.Serve(ctx)
 		}()
 		began := time.Now()
-		for range 3 * capacity {
+		for range 3 * queueCapacity {
 			n, err := w.Write([]byte("event=request\n"))
 			require.NoError(t, err)
 			require.Equal(t, len("event=request\n"), n)
 		}
-		require.Equal(t, began, time.Now(), "virtual time passes only if somebody waits")
-		// The reader comes back and is told what it missed.
+		require.Equal(t, began, time.Now(), "virtual time passes only while a goroutine waits")
+		// The reader continues and receives the number of dropped lines.
 		data := make([]byte, 1<<10)
 		_, err := reader.Read(data)
 		require.NoError(t, err)
 		n, err := reader.Read(data)
 		require.NoError(t, err)
 		require.Contains(t, string(data[:n]), "event=log_dropped lines=")
-		require.NoError(t, reader.CloseWithError(errors.New("gone")))
+		require.NoError(t, reader.CloseWithError(errors.New("reader closed")))
 		cancel()
 		<-ended
 	})
 }
 
-// Every request fails at once, thousands a second. Its lines must not take the
-// processor, nor hide the single line that tells why.
-func TestFloodOfOneKindIsBoundedAndHidesNoOther(t *testing.T) {
-	var got lines
+// Thousands of requests a second fail. Their lines must neither use up the processor
+// time nor displace the single line that shows the cause.
+func TestManyLinesOfOneKindAreLimitedAndDisplaceNoOther(t *testing.T) {
+	var got capturedLines
 	now := time.Unix(1_000, 0)
 	b := NewBudget(log.NewLogfmtLogger(&got), func() time.Time { return now })
 	const seconds, perSecond = 10, 5000
@@ -85,27 +84,27 @@
 			require.NoError(t, b.Log("event", "config_in_force", "version", n))
 		}
 	}
-	require.LessOrEqual(t, len(got.with("event=request ")), seconds*linesEach+burstEach)
-	require.Greater(t, len(got.with("event=request ")), seconds*linesEach/2)
-	require.Len(t, got.with("event=config_in_force"), seconds)
-	require.Len(t, got.with("event=lines_left_out of=request/failed"), seconds-1)
+	require.LessOrEqual(t, len(got.containing("event=request ")), seconds*kindLinesPerSecond+kindBurst)
+	require.Greater(t, len(got.containing("event=request ")), seconds*kindLinesPerSecond/2)
+	require.Len(t, got.containing("event=config_in_force"), seconds)
+	require.Len(t, got.containing("event=lines_left_out of=request/failed"), seconds-1)
 }
 
-// Many kinds of trouble come together. Each is within its own bound, and all of
-// them would still be too much.
-func TestAllKindsTogetherAreBounded(t *testing.T) {
-	var got lines
+// Many kinds of faults occur at the same time. The lines of each kind are within its
+// limit, but all kinds together would be too many.
+func TestAllKindsTogetherAreLimited(t *testing.T) {
+	var got capturedLines
 	now := time.Unix(1_000, 0)
 	b := NewBudget(log.NewLogfmtLogger(&got), func() time.Time { return now })
 	for n := range 20_000 {
 		now = now.Add(time.Millisecond / 4)
 		require.NoError(t, b.Log("event", "request", "outcome", n%40))
 	}
-	require.LessOrEqual(t, len(got.with("event=request ")), 5*linesAll+burstAll)
+	require.LessOrEqual(t, len(got.containing("event=request ")), 5*totalLinesPerSecond+totalBurst)
 }
 
-func TestOrdinaryLinesPassAsTheyAre(t *testing.T) {
-	var got lines
+func TestLinesWithinTheLimitsAreUnchanged(t *testing.T) {
+	var got capturedLines
 	b := NewBudget(log.NewLogfmtLogger(&got), time.Now)
 	require.NoError(t, b.Log("level", "info", "event", "started", "instance", "a"))
 	require.Equal(t, []string{"level=info event=started instance=a"}, got.all)
--- a/internal/logline/writer.go
+++ b/internal/logline/writer.go
@@ -1,5 +1,5 @@
-// Package logline keeps the writing of log lines away from the work that they
-// tell of.
+// Package logline writes log lines asynchronously and limits their rate, so that logging
+// does not delay the work that is logged.
 package logline
 
 import (
@@ -13,29 +13,30 @@
 	"merlintiller/internal/ring"
 )
 
-// capacity is the number of lines that wait at most. At the heaviest load an
-// instance writes some hundred lines a second, so that a reader may stop for
-// several seconds before lines are dropped.
-const capacity = 2048
+// queueCapacity is the largest number of queued lines. At the highest load an instance
+// writes a few hundred lines a second, so the reader of the output can stop for several
+// seconds before lines are dropped.
+const queueCapacity = 2048
 
 var droppedLines = metrics.NewCounter("log_lines_dropped_total")
 
-// Writer takes whole lines and never waits. It is a duty: Serve writes them.
+// Writer queues complete lines without blocking. Its background service Serve writes
+// them.
 //
-// What goes wrong without it: whoever reads the output stops, the pipe fills,
-// and each request waits for the writing of its line.
+// Without the queue, if the reader of the output stopped, the pipe would fill and each
+// request would block until its line is written.
 type Writer struct {
 	to      io.Writer
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer in front of another one.
+// NewWriter returns a writer that passes lines on to another writer.
 func NewWriter(to io.Writer) *Writer {
-	return &Writer{to: to, lines: ring.New[[]byte]("log", capacity)}
+	return &Writer{to: to, lines: ring.New[[]byte]("log", queueCapacity)}
 }
 
-// Write implements io.Writer for one line. A line that finds no room is dropped
+// Write implements io.Writer for one line. If the queue is full, the line is dropped
 // and counted.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.lines.Offer(append([]byte(nil), line...)) {
@@ -45,10 +46,10 @@
 	return len(line), nil
 }
 
-// String names the duty.
+// String returns the name of the background service.
 func (w *Writer) String() string { return "log" }
 
-// Serve writes lines until ctx ends.
+// Serve writes lines until ctx is done.
 func (w *Writer) Serve(ctx context.Context) error {
 	for {
 		line, err := w.lines.Take(ctx)
@@ -59,15 +60,16 @@
 	}
 }
 
+// emit writes one line, preceded by the number of dropped lines if there are any.
 func (w *Writer) emit(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		line = append(fmt.Appendf(nil, "event=log_dropped lines=%d\n", n), line...)
 	}
-	// There is no place left to tell that telling failed.
+	// An error is ignored, because there is no other output to log it to.
 	_, _ = w.to.Write(line)
 }
 
-// Flush writes what still waits, at the end of the process.
+// Flush writes the queued lines at the end of the process.
 func (w *Writer) Flush() {
 	for {
 		line, ok := w.lines.TryTake()
