--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -16,19 +16,21 @@
 	"merlintiller/internal/protocol"
 )
 
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func (c *clock) read() time.Time { return c.now }
 
 func newClock() *clock { return &clock{time.Unix(1_800_000_000, 0)} }
 
-var levels = protocol.Objectives{FirstToken: time.Second, BetweenTokens: 36 * time.Millisecond, Target: 0.95, BatchOnTime: 0.99}
+var testObjectives = protocol.Objectives{FirstToken: time.Second, BetweenTokens: 36 * time.Millisecond, Target: 0.95, BatchOnTime: 0.99}
 
 func newTestRecorder(c *clock) *Recorder {
-	return NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return levels }, c.read)
+	return NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return testObjectives }, c.read)
 }
 
-// peers answers from the recorders of other instances; a nil one is cut off.
+// peers returns snapshots of the recorders of other instances; an instance with a nil
+// recorder is unreachable.
 type peers map[protocol.InstanceID]*Recorder
 
 func (p peers) List() []coordination.Peer {
@@ -48,7 +50,7 @@
 
 func collect(t *testing.T, c *clock, own *Recorder, others peers) Report {
 	t.Helper()
-	fleet := &protocol.Fleet{Organisations: map[protocol.OrganisationID]protocol.Organisation{"ana": {ID: "ana", Objectives: levels}}}
+	fleet := &protocol.Fleet{Organisations: map[protocol.OrganisationID]protocol.Organisation{"ana": {ID: "ana", Objectives: testObjectives}}}
 	collector := &Collector{Instance: "a", Recorder: own, Peers: others, Fleet: func() *protocol.Fleet { return fleet },
 		Now: c.read, PeerTimeout: time.Second}
 	report, err := collector.Report(t.Context(), Request{})
@@ -67,9 +69,9 @@
 	return Line{}
 }
 
-// One of three instances is cut off. A report that added up the other two in
-// silence would look better than the truth, so it names the missing one.
-func TestReportMergesInstancesAndNamesTheMissing(t *testing.T) {
+// One of three instances is unreachable. A report of the other two alone could look better
+// than the actual state, so the report names the missing instance.
+func TestReportMergesInstancesAndNamesUnreachableOnes(t *testing.T) {
 	c := newClock()
 	own, other := newTestRecorder(c), newTestRecorder(c)
 	for range 90 {
@@ -112,9 +114,9 @@
 	require.Empty(t, collect(t, c, recorder, nil).Lines)
 }
 
-// The counts of a window are those of a plain list of calls, to within one
-// span at its far end, whatever the order and the gaps.
-func TestWindowsAgreeWithAPlainList(t *testing.T) {
+// The counts of a window equal those of a list of calls, accurate to one span at the
+// oldest end, for any gaps between the calls.
+func TestWindowsAgreeWithListOfCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_800_000_000, 0)
 		counted := newWindows()
@@ -147,9 +149,9 @@
 	})
 }
 
-// Callers of a great many organisations each make a call. An instance that
-// kept a series for all of them would run out of memory; it counts the ones
-// past its limit together and comes back when the others have gone quiet.
+// Callers of 3,400 organisations make calls to 38 services. An instance that kept a series
+// for each pair would run out of memory. Beyond its limit it counts organisations together,
+// and it counts separately again when the old series have expired.
 func TestMemoryIsBounded(t *testing.T) {
 	c := newClock()
 	recorder := newTestRecorder(c)
@@ -163,7 +165,7 @@
 	t.Logf("%d series, %d bytes", len(recorder.series), grown)
 	require.LessOrEqual(t, len(recorder.series), maxSeries+38)
 	require.Less(t, grown, int64(12<<20))
-	c.now = c.now.Add(longest + time.Minute)
+	c.now = c.now.Add(seriesRetention + time.Minute)
 	recorder.Record("new", "lm", time.Second, 0, true)
 	require.Len(t, recorder.series, 1)
 	require.Equal(t, 1, recorder.histograms)
@@ -176,7 +178,7 @@
 	return stats.HeapAlloc
 }
 
-func TestMalformedHistogramIsRefusedWhole(t *testing.T) {
+func TestSnapshotWithMalformedHistogramIsRejected(t *testing.T) {
 	m := newMerger()
 	bad := Snapshot{Series: []SeriesSnapshot{{Series: Series{"ana", "lm"}, Latency: [latencySignals][]byte{[]byte("no histogram")}}}}
 	require.Error(t, m.add(bad))
@@ -192,36 +194,36 @@
 	}
 }
 
-// An operator asks for the report while callers are served. If the recorder
-// were locked while it encodes, calls that end meanwhile would wait a tenth of
-// a second, and the report of the online tail would harm the online tail. The
-// clock is read once for each series; a call is recorded at each such moment.
+// An operator requests the report while calls are served. If the recorder were locked
+// while it encodes, calls that end meanwhile would wait a tenth of a second, and the report
+// on tail latency would increase the tail latency. The recorder reads the clock once for
+// each series, and the test records a call at each of these points.
 func TestReportDoesNotHoldUpCalls(t *testing.T) {
 	c := newClock()
 	var recorder *Recorder
-	inside := 0
-	recorder = NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return levels }, func() time.Time {
-		if inside == 1 {
-			inside = 2
+	phase := 0 // 0 = before the snapshot, 1 = during it, 2 = inside a recorded call
+	recorder = NewRecorder(func(protocol.OrganisationID) protocol.Objectives { return testObjectives }, func() time.Time {
+		if phase == 1 {
+			phase = 2
 			recorder.Record("ana", "lm", time.Second, 0, true)
-			inside = 1
+			phase = 1
 		}
 		return c.now
 	})
 	for i := range 10 {
 		recorder.Record(protocol.OrganisationID(fmt.Sprint(i)), "lm", time.Second, 0, true)
 	}
-	inside = 1
+	phase = 1
 	snapshot, err := recorder.Snapshot(Request{})
 	require.NoError(t, err)
 	require.Len(t, snapshot.Series, 10)
-	inside = 0
+	phase = 0
 	seen, err := recorder.Snapshot(Request{Organisation: "ana"})
 	require.NoError(t, err)
 	require.EqualValues(t, 10, seen.Series[0].Windows[FiveMinutes][Availability].Good)
 }
 
-// countingWriter counts what a snapshot takes on its way between instances.
+// countingWriter counts the bytes of an encoded snapshot.
 type countingWriter struct{ bytes int64 }
 
 func (w *countingWriter) Write(p []byte) (int, error) {
@@ -229,8 +231,7 @@
 	return len(p), nil
 }
 
-// BenchmarkSnapshot gives the cost of one instance's part in a report when its
-// recorder is full.
+// BenchmarkSnapshot measures the cost of the snapshot of one instance with a full recorder.
 func BenchmarkSnapshot(b *testing.B) {
 	c := newClock()
 	recorder := newTestRecorder(c)
--- a/internal/burn/collector.go
+++ b/internal/burn/collector.go
@@ -10,11 +10,11 @@
 	"merlintiller/internal/protocol"
 )
 
-// collectWidth is the number of instances asked at the same time, so that a
-// report over 340 of them holds few snapshots in memory at once.
-const collectWidth = 8
+// maxConcurrentCalls bounds the number of simultaneous calls to other instances, so that
+// a report over 340 instances holds few snapshots in memory at the same time.
+const maxConcurrentCalls = 8
 
-// Collector makes the report of the whole fleet.
+// Collector creates the report of the whole fleet.
 type Collector struct {
 	Instance protocol.InstanceID
 	Recorder *Recorder
@@ -25,7 +25,7 @@
 	PeerTimeout time.Duration
 }
 
-// Report merges what this instance and all reachable ones recorded.
+// Report merges the records of this instance and of all reachable instances.
 func (c *Collector) Report(ctx context.Context, request Request) (Report, error) {
 	own, err := c.Recorder.Snapshot(request)
 	if err != nil {
@@ -42,8 +42,9 @@
 	return report, nil
 }
 
+// gather adds the snapshots of the other instances and lists the unreachable ones.
 func (c *Collector) gather(ctx context.Context, request Request, merged *merger, report *Report) {
-	question := fanout.Question{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Width: collectWidth}
+	question := fanout.Question{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Width: maxConcurrentCalls}
 	report.Unreached = fanout.Ask(ctx, c.Peers, question, func(from protocol.InstanceID, snapshot Snapshot) error {
 		if err := merged.add(snapshot); err != nil {
 			return err
--- a/internal/burn/counts.go
+++ b/internal/burn/counts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Count holds how many calls met an objective and how many did not.
+// Count holds the number of calls that met an objective (Good) and that did not (Bad).
 type Count struct {
 	Good uint32
 	Bad  uint32
@@ -22,48 +22,48 @@
 	}
 }
 
-// tier is a ring of counts over equal spans of time.
-type tier struct {
+// countRing is a ring buffer of counts over time spans of equal length.
+type countRing struct {
 	span  time.Duration
 	slots []Counts
-	// head is the number of the span that was written last.
-	head int64
+	// newest is the number of the newest span, counted from the Unix epoch.
+	newest int64
 }
 
-func newTier(span time.Duration, slots int) tier {
-	return tier{span: span, slots: make([]Counts, slots)}
+func newCountRing(span time.Duration, slots int) countRing {
+	return countRing{span: span, slots: make([]Counts, slots)}
 }
 
-// at gives the slot of a point in time and clears the slots in between, which
-// hold counts of one turn of the ring before.
-func (t *tier) at(now time.Time) *Counts {
-	number := now.UnixNano() / int64(t.span)
-	if number > t.head {
-		first := max(t.head+1, number-int64(len(t.slots))+1)
+// slotAt returns the slot for a point in time. It clears the slots of the spans since the
+// newest one, which still hold counts from the previous cycle of the ring.
+func (r *countRing) slotAt(now time.Time) *Counts {
+	number := now.UnixNano() / int64(r.span)
+	if number > r.newest {
+		first := max(r.newest+1, number-int64(len(r.slots))+1)
 		for n := first; n <= number; n++ {
-			t.slots[n%int64(len(t.slots))] = Counts{}
+			r.slots[n%int64(len(r.slots))] = Counts{}
 		}
-		t.head = number
+		r.newest = number
 	}
-	// A clock that was set back counts into the newest span.
-	return &t.slots[t.head%int64(len(t.slots))]
+	// If the clock was set back, calls count in the newest span.
+	return &r.slots[r.newest%int64(len(r.slots))]
 }
 
-// sum adds up the newest slots.
-func (t *tier) sum(now time.Time, slots int) Counts {
-	t.at(now)
+// sum returns the sum of the newest slots.
+func (r *countRing) sum(now time.Time, slots int) Counts {
+	r.slotAt(now)
 	var total Counts
 	for i := range slots {
-		n := t.head - int64(i)
+		n := r.newest - int64(i)
 		if n >= 0 {
-			total.add(t.slots[n%int64(len(t.slots))])
+			total.add(r.slots[n%int64(len(r.slots))])
 		}
 	}
 	return total
 }
 
-// The tiers of a series. Coarser spans serve longer windows, so that a series
-// costs 34 slots and not 720. A window is exact to one span.
+// The rings of a series. Longer windows use longer spans, so that a series needs 34 slots
+// and not 720. The length of a window is accurate to one span.
 const (
 	fineSpan, fineSlots     = 30 * time.Second, 10
 	middleSpan, middleSlots = 5 * time.Minute, 12
@@ -71,23 +71,23 @@
 	halfHourSlots           = 6
 )
 
-// windows counts one series over all windows.
+// windows holds the counts of one series for all windows.
 type windows struct {
-	fine, middle, coarse tier
+	fine, middle, coarse countRing
 }
 
 func newWindows() windows {
 	return windows{
-		fine:   newTier(fineSpan, fineSlots),
-		middle: newTier(middleSpan, middleSlots),
-		coarse: newTier(coarseSpan, coarseSlots),
+		fine:   newCountRing(fineSpan, fineSlots),
+		middle: newCountRing(middleSpan, middleSlots),
+		coarse: newCountRing(coarseSpan, coarseSlots),
 	}
 }
 
 func (w *windows) add(now time.Time, signal Signal, count Count) {
-	w.fine.at(now)[signal].add(count)
-	w.middle.at(now)[signal].add(count)
-	w.coarse.at(now)[signal].add(count)
+	w.fine.slotAt(now)[signal].add(count)
+	w.middle.slotAt(now)[signal].add(count)
+	w.coarse.slotAt(now)[signal].add(count)
 }
 
 func (w *windows) sums(now time.Time) [windowCount]Counts {
--- a/internal/burn/doc.go
+++ b/internal/burn/doc.go
@@ -1,19 +1,19 @@
-// Package burn measures how fast each organisation uses up the failures that
-// its objectives allow, over several windows at once.
+// Package burn measures the burn rate of each organisation's error budget over several
+// time windows.
 //
-// A burn rate of 1 uses up the allowance of a period exactly within it. A rate
-// is alarming only if a short and a long window agree: the long one shows that
-// it matters, the short one that it still goes on. The windows and thresholds
-// are those of "The Site Reliability Workbook", chapter 5, for an allowance
+// With a burn rate of 1, the error budget of a period is used up exactly at its end. An
+// alarm requires a high rate in a short and in a long window: the long window shows that
+// the failures are significant, the short one that they continue. The windows and
+// thresholds are those of "The Site Reliability Workbook", chapter 5, for an error budget
 // over 30 days.
 //
-// Each instance records its own calls in a Recorder. A Collector merges what
-// the reachable instances recorded and names those that it could not reach.
+// Each instance records its own calls in a Recorder. A Collector merges the records of
+// the reachable instances and names the unreachable ones.
 package burn
 
 import "time"
 
-// Signal is one thing that an objective is about.
+// Signal is a measured property of calls that an objective applies to.
 type Signal int
 
 // The signals.
@@ -27,13 +27,13 @@
 
 var signalNames = [signalCount]string{"first_token", "between_tokens", "availability", "batch_on_time"}
 
-// String gives the name that reports show.
+// String returns the name of the signal in reports.
 func (s Signal) String() string { return signalNames[s] }
 
-// Window is a span up to now over which calls are counted.
+// Window is a time span that ends now and over which calls are counted.
 type Window int
 
-// The windows, from short to long.
+// The windows, from the shortest to the longest.
 const (
 	FiveMinutes Window = iota
 	HalfHour
@@ -44,15 +44,15 @@
 
 var windowNames = [windowCount]string{"5m", "30m", "1h", "6h"}
 
-// String gives the name that reports show.
+// String returns the name of the window in reports.
 func (w Window) String() string { return windowNames[w] }
 
-// Alarm thresholds. 14.4 for an hour uses 2% of a 30-day allowance, 6 for six
-// hours uses 5%.
+// Alarm thresholds. A burn rate of 14.4 for an hour uses 2% of the error budget of 30
+// days, and a rate of 6 for six hours uses 5%.
 const (
 	fastBurn = 14.4
 	slowBurn = 6
 )
 
-// longest is the span after which a series without calls is forgotten.
-const longest = 6 * time.Hour
+// seriesRetention is the time after which a series without calls is deleted.
+const seriesRetention = 6 * time.Hour
--- a/internal/burn/jobs.go
+++ b/internal/burn/jobs.go
@@ -11,44 +11,45 @@
 	"merlintiller/internal/state/replica"
 )
 
-// BatchService is the service under which batch items are counted: the items
-// of one job may ask for several models.
+// BatchService is the service name under which batch items are counted, because the
+// items of one job may request several models.
 const BatchService protocol.ServiceName = "(batch)"
 
-// jobsEvery is the period of looking for ended jobs. The shortest window is
-// five minutes.
-const jobsEvery = 15 * time.Second
+// jobPollInterval is the period of the check for ended jobs. It is short compared with
+// the shortest window of five minutes.
+const jobPollInterval = 15 * time.Second
 
-// JobWatcher counts the items of jobs that ended, for the objective that batch
-// items are done by their deadline. Every instance sees every job end, so each
-// job is counted by the one that rendezvous hashing names: counted by all, a
-// merged report would show each item many times over. It is a suture service.
+// JobWatcher counts the items of ended jobs for the objective that batch items complete
+// by their deadline. Every instance observes the end of every job. If all instances
+// counted it, a merged report would contain each item many times, so only the instance
+// chosen by rendezvous hashing counts a job. JobWatcher is a suture service.
 type JobWatcher struct {
 	Journal  coordination.Journal
 	Recorder *Recorder
 
+	// running holds the jobs that were running at the last poll.
 	running map[protocol.JobID]bool
 }
 
-// String names the service for the supervisor.
+// String returns the name of the service for the supervisor.
 func (w *JobWatcher) String() string { return "burn of batch jobs" }
 
-// Serve looks for ended jobs until ctx ends.
+// Serve polls for ended jobs until ctx is done.
 func (w *JobWatcher) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(jobsEvery)
+	ticker := time.NewTicker(jobPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			w.look()
+			w.poll()
 		}
 	}
 }
 
-// look counts the jobs that were running at the last look and are not now.
-func (w *JobWatcher) look() {
+// poll counts the jobs that were running at the last poll and have ended since.
+func (w *JobWatcher) poll() {
 	var ended []ledger.JobView
 	running := map[protocol.JobID]bool{}
 	w.Journal.View(func(state *replica.State) {
@@ -73,9 +74,9 @@
 	}
 }
 
-// itemsOnTime: a job ends at its deadline at the latest, so what it completed
-// was on time and what an expired job left is late. What a caller cancelled is
-// neither.
+// itemsOnTime returns the numbers of items that ended on time and late. A job ends at its
+// deadline at the latest, so the items that it completed were on time, and the open items
+// of an expired job are late. Items that a caller cancelled are neither.
 func itemsOnTime(job ledger.JobView) (onTime, late int) {
 	onTime = job.Completed + job.Failed
 	if job.Status == ledger.Expired {
--- a/internal/burn/jobs_test.go
+++ b/internal/burn/jobs_test.go
@@ -12,7 +12,7 @@
 	"merlintiller/internal/state/replica"
 )
 
-// journal shows one replayed state under a session of its own.
+// journal provides a shared replayed state with its own session.
 type journal struct {
 	coordination.Journal
 	state   *replica.State
@@ -22,7 +22,7 @@
 func (j journal) View(read func(*replica.State)) { read(j.state) }
 func (j journal) Session() protocol.SessionID    { return j.session }
 
-// stream appends records to a state, each accepted.
+// stream appends records to a state and requires that each one is accepted.
 type stream struct {
 	t     *testing.T
 	state *replica.State
@@ -40,10 +40,10 @@
 	require.Equal(s.t, []protocol.Verdict{protocol.Accepted}, s.state.Apply(at, protocol.Frame{Records: []protocol.Record{rec}}))
 }
 
-// Three instances see the same jobs end. If each counted the items, a merged
-// report would show three times as many; if none did, a job that missed its
-// deadline would burn nothing. Each job is counted once, and what an expired
-// one left is late.
+// Three instances observe the end of the same jobs. If each counted the items, a merged
+// report would contain three times as many. If none did, a job that missed its deadline
+// would not use any error budget. Each job is counted once, and the open items of an
+// expired job are late.
 func TestEndedJobsAreCountedOnceOverAllInstances(t *testing.T) {
 	const jobs = 9
 	c := newClock()
@@ -58,12 +58,12 @@
 		s.add(protocol.Record{JobSubmit: &protocol.JobSubmit{Job: protocol.JobID(fmt.Sprint(i)), Organisation: "ana", IdempotencyKey: fmt.Sprint(i),
 			Endpoint: "/v1/completions", Chunks: []protocol.ChunkRef{{Items: 2}}, Deadline: time.Unix(1, 0)}})
 	}
-	look := func() {
+	pollAll := func() {
 		for _, w := range watchers {
-			w.look()
+			w.poll()
 		}
 	}
-	look()
+	pollAll()
 	for i := range jobs {
 		job := protocol.JobID(fmt.Sprint(i))
 		s.add(protocol.Record{ChunkResult: &protocol.ChunkResult{Job: job, Items: []byte{1}}})
@@ -76,15 +76,15 @@
 			s.add(protocol.Record{JobCancel: &protocol.JobCancel{Job: job, Organisation: "ana"}})
 		}
 	}
-	look()
-	look()
+	pollAll()
+	pollAll()
 	report := collect(t, c, watchers[0].Recorder, peers{"b": watchers[1].Recorder, "c": watchers[2].Recorder})
 	line := find(t, report, BatchOnTime)
 	require.EqualValues(t, 3*2+3+3, line.Windows[FiveMinutes].Good)
 	require.EqualValues(t, 3, line.Windows[FiveMinutes].Bad)
 }
 
-func TestOnlyTheServicesOwnFailuresBurn(t *testing.T) {
+func TestOnlyFailuresOfTheServiceCountTowardObjectives(t *testing.T) {
 	require.True(t, CountsTowardObjectives(nil))
 	require.True(t, CountsTowardObjectives(protocol.Refuse(protocol.CodeOverloaded, 0, "")))
 	require.False(t, CountsTowardObjectives(protocol.Refuse(protocol.CodeRateLimited, 0, "")))
--- a/internal/burn/online.go
+++ b/internal/burn/online.go
@@ -2,9 +2,9 @@
 
 import "merlintiller/internal/protocol"
 
-// callersOwn are the refusals that say nothing of the service: the caller
-// asked for something wrong, or for more than its rate.
-var callersOwn = map[protocol.Code]bool{
+// callerErrorCodes are the refusal codes that are not failures of the service: the request
+// was invalid, or the caller exceeded its rate.
+var callerErrorCodes = map[protocol.Code]bool{
 	protocol.CodeBadRequest:   true,
 	protocol.CodeTooLarge:     true,
 	protocol.CodeUnauthorized: true,
@@ -17,9 +17,9 @@
 	protocol.CodeGone:         true,
 }
 
-// CountsTowardObjectives reports whether a call with this refusal, nil if it had none, is one
-// that the objectives are about. An organisation that sends five times its
-// rate would otherwise burn its own allowance.
+// CountsTowardObjectives reports whether a call with this refusal (nil if there is none)
+// counts toward the objectives. If rejections for exceeding the rate counted, an
+// organisation that sends five times its rate would use up its own error budget.
 func CountsTowardObjectives(refusal *protocol.Refusal) bool {
-	return refusal == nil || !callersOwn[refusal.Code]
+	return refusal == nil || !callerErrorCodes[refusal.Code]
 }
--- a/internal/burn/page/page.go
+++ b/internal/burn/page/page.go
@@ -1,8 +1,8 @@
-// Package page writes a burn report as one HTML page that needs nothing from
-// the network: its plots are SVG inside the page.
+// Package page writes a burn report as one self-contained HTML page. Its plots are inline
+// SVG, so the page loads nothing from the network.
 //
-// It stands apart from package burn, because only the command-line tool draws;
-// the daemon does not carry the plotting library.
+// It is separate from package burn because only the command-line tool draws plots, and
+// the daemon should not link the plotting library.
 package page
 
 import (
@@ -22,15 +22,16 @@
 )
 
 const (
-	// mostBars keeps the plots readable; the table below them has all lines.
-	mostBars   = 8
+	// maxBars is the largest number of lines in a plot, which keeps the plots readable. The
+	// table below the plots has all lines.
+	maxBars    = 8
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	barWidth   = 7
 	labelSize  = 7
 )
 
-// Write writes the page.
+// Write writes the HTML page for a report.
 func Write(w io.Writer, report burn.Report) error {
 	burnPlot, err := drawBurn(report)
 	if err != nil {
@@ -43,6 +44,7 @@
 	return pageTemplate.Execute(w, content{Report: report, Burn: burnPlot, Latency: latencyPlot})
 }
 
+// content is the data of the page template.
 type content struct {
 	Report  burn.Report
 	Burn    template.HTML
@@ -56,11 +58,11 @@
 	color.RGBA{R: 0x75, G: 0x70, B: 0xb3, A: 0xff},
 }
 
-// drawBurn shows the burn of the most urgent lines in each window.
+// drawBurn plots the burn rates of the most urgent lines in each window.
 func drawBurn(report burn.Report) (template.HTML, error) {
 	var lines []burn.Line
 	for _, line := range report.Lines {
-		if line.Objective > 0 && len(lines) < mostBars {
+		if line.Objective > 0 && len(lines) < maxBars {
 			lines = append(lines, line)
 		}
 	}
@@ -68,7 +70,7 @@
 		return "", nil
 	}
 	p := plot.New()
-	p.Title.Text = "Burn rate (1 uses up the allowance exactly)"
+	p.Title.Text = "Burn rate (at 1 the error budget lasts exactly for its period)"
 	p.Y.Label.Text = "burn rate"
 	p.Y.Min = 0
 	for w := range lines[0].Windows {
@@ -84,11 +86,11 @@
 	return render(p)
 }
 
-// drawLatency shows the quantiles of the lines that have them.
+// drawLatency plots the latency quantiles of the lines that have them.
 func drawLatency(report burn.Report) (template.HTML, error) {
 	var lines []burn.Line
 	for _, line := range report.Lines {
-		if line.Latency != nil && len(lines) < mostBars {
+		if line.Latency != nil && len(lines) < maxBars {
 			lines = append(lines, line)
 		}
 	}
@@ -96,7 +98,7 @@
 		return "", nil
 	}
 	p := plot.New()
-	p.Title.Text = "Time of the last one to two hours"
+	p.Title.Text = "Latency of the last one to two hours"
 	p.Y.Label.Text = "ms"
 	p.Y.Min = 0
 	quantiles := []struct {
@@ -120,14 +122,14 @@
 	return render(p)
 }
 
-func addBars(p *plot.Plot, values plotter.Values, index, of int, name string) error {
+func addBars(p *plot.Plot, values plotter.Values, index, count int, name string) error {
 	bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
 	if err != nil {
 		return err
 	}
 	bars.Color = palette[index%len(palette)]
 	bars.LineStyle.Width = 0
-	bars.Offset = vg.Points(barWidth * (float64(index) - float64(of-1)/2))
+	bars.Offset = vg.Points(barWidth * (float64(index) - float64(count-1)/2))
 	p.Add(bars)
 	p.Legend.Add(name, bars)
 	p.Legend.Top = true
@@ -150,7 +152,7 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	// The prologue of an XML file may not stand inside a page.
+	// The XML prologue is not allowed inside an HTML page.
 	svg := out.Bytes()
 	if start := bytes.Index(svg, []byte("<svg")); start > 0 {
 		svg = svg[start:]
@@ -170,7 +172,7 @@
 </style></head><body>
 <h1>Burn report</h1>
 <p>As of {{.Report.At.UTC.Format "2006-01-02 15:04:05"}} UTC, from {{len .Report.Merged}} instances.</p>
-{{if .Report.Unreached}}<p class="missing">Not reached, so their calls are missing here:{{range .Report.Unreached}} {{.}}{{end}}</p>{{end}}
+{{if .Report.Unreached}}<p class="missing">Instances that could not be reached, so their calls are missing:{{range .Report.Unreached}} {{.}}{{end}}</p>{{end}}
 {{.Burn}}
 {{.Latency}}
 <table><tr><th class="t">Organisation</th><th class="t">Service</th><th class="t">Signal</th><th>Limit ms</th><th>Objective</th>
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -7,30 +7,32 @@
 	"merlintiller/internal/protocol"
 )
 
-// Limits of what a recorder keeps, about 11 MB together at the very most: a
-// series costs 1.2 KB and one with histograms up to 10 KB more. Callers of 3,400
-// organisations at 38 models could make 129,200 series, which would take
-// 155 MB; an instance keeps those that had calls within six hours, and once it
-// has maxSeries it counts further ones together.
+// Limits of the memory of a recorder, about 11 MB in total at most: a series takes 1.2 KB,
+// and a series with histograms up to 10 KB more. Calls of 3,400 organisations to 38 models
+// could create 129,200 series, which would take 155 MB. An instance keeps the series with
+// calls within the last six hours. When it has maxSeries, it counts further series
+// together.
 const (
 	maxSeries     = 4096
 	maxHistograms = 512
 )
 
-// OtherOrganisation stands for the organisations that were counted together.
+// OtherOrganisation represents the organisations that are counted together.
 const OtherOrganisation protocol.OrganisationID = "(other)"
 
-// Series names what is counted by itself.
+// Series identifies an organisation and a service that are counted separately.
 type Series struct {
 	Organisation protocol.OrganisationID `json:"organisation"`
 	Service      protocol.ServiceName    `json:"service"`
 }
 
-type record struct {
+// seriesRecord holds the counts and latencies of one series.
+type seriesRecord struct {
 	windows windows
-	// latency is nil if the recorder had its fill of histograms.
+	// latency is nil if the recorder already had maxHistograms.
 	latency *latency
-	used    time.Time
+	// lastUsed is the time of the last recorded call.
+	lastUsed time.Time
 }
 
 // Recorder counts the calls of one instance. It is safe for concurrent use.
@@ -39,41 +41,43 @@
 	now        func() time.Time
 
 	mu         sync.Mutex
-	series     map[Series]*record
+	series     map[Series]*seriesRecord
 	histograms int
-	swept      time.Time
+	lastSweep  time.Time
 }
 
-// NewRecorder returns a recorder. objectives gives what is in force for an
-// organisation, zero if it has none.
+// NewRecorder returns a recorder. The function objectives returns the objectives in force
+// for an organisation, the zero value if it has none.
 func NewRecorder(objectives func(protocol.OrganisationID) protocol.Objectives, now func() time.Time) *Recorder {
-	return &Recorder{objectives: objectives, now: now, series: map[Series]*record{}}
+	return &Recorder{objectives: objectives, now: now, series: map[Series]*seriesRecord{}}
 }
 
-// Record counts one online call that was inside its organisation's rate.
-// firstToken and betweenTokens are zero if there was none; ok says that the
-// caller got a whole answer.
+// Record counts one online call that was within its organisation's rate. firstToken and
+// betweenTokens are zero if the call has no such time. ok reports whether the caller
+// received a complete response.
 func (r *Recorder) Record(org protocol.OrganisationID, service protocol.ServiceName, firstToken, betweenTokens time.Duration, ok bool) {
-	levels := r.objectives(org)
+	objectives := r.objectives(org)
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.get(Series{org, service}, now)
-	rec.windows.add(now, Availability, one(ok))
-	rec.took(now, FirstToken, firstToken, levels.FirstToken)
-	rec.took(now, BetweenTokens, betweenTokens, levels.BetweenTokens)
+	rec := r.seriesFor(Series{org, service}, now)
+	rec.windows.add(now, Availability, countOf(ok))
+	rec.recordLatency(now, FirstToken, firstToken, objectives.FirstToken)
+	rec.recordLatency(now, BetweenTokens, betweenTokens, objectives.BetweenTokens)
 }
 
-// RecordBatch counts batch items that ended by their deadline or did not.
+// RecordBatch counts batch items that ended by their deadline (onTime) and that did not
+// (late).
 func (r *Recorder) RecordBatch(org protocol.OrganisationID, service protocol.ServiceName, onTime, late int) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec := r.get(Series{org, service}, now)
+	rec := r.seriesFor(Series{org, service}, now)
 	rec.windows.add(now, BatchOnTime, Count{Good: uint32(onTime), Bad: uint32(late)})
 }
 
-func (rec *record) took(now time.Time, signal Signal, took, limit time.Duration) {
+// recordLatency adds one latency to the histogram and, if there is a limit, to the counts.
+func (rec *seriesRecord) recordLatency(now time.Time, signal Signal, took, limit time.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -81,18 +85,20 @@
 		rec.latency.add(now, signal, took)
 	}
 	if limit > 0 {
-		rec.windows.add(now, signal, one(took <= limit))
+		rec.windows.add(now, signal, countOf(took <= limit))
 	}
 }
 
-func one(good bool) Count {
+func countOf(good bool) Count {
 	if good {
 		return Count{Good: 1}
 	}
 	return Count{Bad: 1}
 }
 
-func (r *Recorder) get(key Series, now time.Time) *record {
+// seriesFor returns the record for a series, or for OtherOrganisation if the recorder is
+// full. The caller holds the lock.
+func (r *Recorder) seriesFor(key Series, now time.Time) *seriesRecord {
 	rec, ok := r.series[key]
 	if !ok && len(r.series) >= maxSeries {
 		r.sweep(now)
@@ -102,14 +108,14 @@
 		rec, ok = r.series[key]
 	}
 	if !ok {
-		rec = r.open(key)
+		rec = r.create(key)
 	}
-	rec.used = now
+	rec.lastUsed = now
 	return rec
 }
 
-func (r *Recorder) open(key Series) *record {
-	rec := &record{windows: newWindows()}
+func (r *Recorder) create(key Series) *seriesRecord {
+	rec := &seriesRecord{windows: newWindows()}
 	if r.histograms < maxHistograms {
 		rec.latency = &latency{}
 		r.histograms++
@@ -118,15 +124,15 @@
 	return rec
 }
 
-// sweep forgets series that no window shows any more. It looks once a minute
-// at most: callers could otherwise make every call walk all series.
+// sweep deletes the series without calls in any window. It runs at most once a minute;
+// otherwise callers could cause a scan of all series on every call.
 func (r *Recorder) sweep(now time.Time) {
-	if now.Sub(r.swept) < time.Minute {
+	if now.Sub(r.lastSweep) < time.Minute {
 		return
 	}
-	r.swept = now
+	r.lastSweep = now
 	for key, rec := range r.series {
-		if now.Sub(rec.used) <= longest {
+		if now.Sub(rec.lastUsed) <= seriesRetention {
 			continue
 		}
 		delete(r.series, key)
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -9,33 +9,35 @@
 	"merlintiller/internal/protocol"
 )
 
-// Alarm says how urgent a line of a report is.
+// Alarm is the urgency of a line of a report.
 type Alarm string
 
 // The alarms.
 const (
 	AlarmNone Alarm = "ok"
-	// AlarmSlow: the allowance of 30 days ends within 5 days at this rate.
+	// AlarmSlow means that at this rate the error budget of 30 days is used up within 5
+	// days.
 	AlarmSlow Alarm = "slow_burn"
-	// AlarmFast: it ends within about 2 days, and it still goes on.
+	// AlarmFast means that at this rate the error budget is used up within about 2 days,
+	// and the failures continue.
 	AlarmFast Alarm = "fast_burn"
 )
 
-// Report is the burn of the fleet, as far as it could be reached.
+// Report holds the burn rates over all reachable instances of the fleet.
 type Report struct {
 	At time.Time `json:"at"`
-	// Merged are the instances whose calls are counted.
+	// Merged lists the instances whose calls are counted.
 	Merged []protocol.InstanceID `json:"merged"`
-	// Unreached are known instances whose calls are missing here.
+	// Unreached lists the known instances whose calls are missing.
 	Unreached []protocol.InstanceID `json:"unreached"`
 	Lines     []Line                `json:"lines"`
 }
 
-// Line is one objective of one organisation at one service.
+// Line holds the burn rates of one signal for one organisation and service.
 type Line struct {
 	Series
 	Signal string `json:"signal"`
-	// Limit is the longest good time in milliseconds, 0 if there is none.
+	// Limit is the longest time that counts as good, in milliseconds, 0 if there is none.
 	Limit float64 `json:"limit_ms,omitempty"`
 	// Objective is the share of calls that must be good, 0 if none is set.
 	Objective float64      `json:"objective"`
@@ -44,23 +46,23 @@
 	Alarm     Alarm        `json:"alarm"`
 }
 
-// WindowLine is the burn over one window.
+// WindowLine holds the counts and the burn rate of one window.
 type WindowLine struct {
 	Window string `json:"window"`
 	Good   uint64 `json:"good"`
 	Bad    uint64 `json:"bad"`
-	// Burn is the share of bad calls ÷ the share that may be bad.
+	// Burn is the burn rate: the share of bad calls ÷ the share that may be bad.
 	Burn float64 `json:"burn"`
 }
 
-// Quantiles are times of the last one to two hours in milliseconds.
+// Quantiles are latency quantiles of the last one to two hours, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// merger adds snapshots of instances up.
+// merger adds up the snapshots of instances.
 type merger struct {
 	series map[Series]*mergedSeries
 }
@@ -72,8 +74,8 @@
 
 func newMerger() *merger { return &merger{series: map[Series]*mergedSeries{}} }
 
-// add takes a snapshot whole or, if one of its histograms is malformed, not at
-// all.
+// add adds a complete snapshot. If one of its histograms is malformed, it adds nothing and
+// returns an error.
 func (m *merger) add(snapshot Snapshot) error {
 	decoded := make([][latencySignals]*hdrhistogram.Histogram, len(snapshot.Series))
 	for i, line := range snapshot.Series {
@@ -114,24 +116,25 @@
 	}
 }
 
-// lines gives the report's lines, the most urgent first.
+// lines returns the lines of the report, the most urgent first.
 func (m *merger) lines(fleet *protocol.Fleet) []Line {
 	lines := []Line{}
 	for key, merged := range m.series {
-		levels := fleet.Organisations[key.Organisation].Objectives
+		objectives := fleet.Organisations[key.Organisation].Objectives
 		for signal := range signalCount {
-			if line, ok := merged.line(key, signal, levels); ok {
+			if line, ok := merged.line(key, signal, objectives); ok {
 				lines = append(lines, line)
 			}
 		}
 	}
-	sort.Slice(lines, func(i, j int) bool { return before(lines[i], lines[j]) })
+	sort.Slice(lines, func(i, j int) bool { return moreUrgent(lines[i], lines[j]) })
 	return lines
 }
 
-func before(a, b Line) bool {
-	if a.worst() != b.worst() {
-		return a.worst() > b.worst()
+// moreUrgent orders the lines of a report.
+func moreUrgent(a, b Line) bool {
+	if a.worstBurn() != b.worstBurn() {
+		return a.worstBurn() > b.worstBurn()
 	}
 	if a.Organisation != b.Organisation {
 		return a.Organisation < b.Organisation
@@ -142,14 +145,14 @@
 	return a.Signal < b.Signal
 }
 
-// worst is the largest burn that a short and a long window agree on.
-func (l Line) worst() float64 {
+// worstBurn returns the largest burn rate that both a short and a long window reach.
+func (l Line) worstBurn() float64 {
 	return max(min(l.Windows[FiveMinutes].Burn, l.Windows[Hour].Burn), min(l.Windows[HalfHour].Burn, l.Windows[SixHours].Burn))
 }
 
-// line is not ok if nothing was counted for the signal.
-func (m *mergedSeries) line(key Series, signal Signal, levels protocol.Objectives) (Line, bool) {
-	line := Line{Series: key, Signal: signal.String(), Objective: objective(signal, levels), Limit: limit(signal, levels)}
+// line returns the report line of a signal, and false if nothing was counted for it.
+func (m *mergedSeries) line(key Series, signal Signal, objectives protocol.Objectives) (Line, bool) {
+	line := Line{Series: key, Signal: signal.String(), Objective: objective(signal, objectives), Limit: limit(signal, objectives)}
 	if signal < latencySignals {
 		line.Latency = quantiles(m.latency[signal])
 	}
@@ -166,25 +169,25 @@
 	return line, seen
 }
 
-func objective(signal Signal, levels protocol.Objectives) float64 {
+func objective(signal Signal, objectives protocol.Objectives) float64 {
 	if signal == BatchOnTime {
-		return levels.BatchOnTime
+		return objectives.BatchOnTime
 	}
-	return levels.Target
+	return objectives.Target
 }
 
-func limit(signal Signal, levels protocol.Objectives) float64 {
+func limit(signal Signal, objectives protocol.Objectives) float64 {
 	switch signal {
 	case FirstToken:
-		return milliseconds(levels.FirstToken)
+		return milliseconds(objectives.FirstToken)
 	case BetweenTokens:
-		return milliseconds(levels.BetweenTokens)
+		return milliseconds(objectives.BetweenTokens)
 	default:
 		return 0
 	}
 }
 
-// burnRate is 0 without calls or without an objective.
+// burnRate returns the burn rate, 0 if there are no calls or there is no objective.
 func burnRate(good, bad uint64, objective float64) float64 {
 	allowed := 1 - objective
 	if good+bad == 0 || objective <= 0 || allowed <= 0 {
--- a/internal/burn/snapshot.go
+++ b/internal/burn/snapshot.go
@@ -11,35 +11,36 @@
 // ServiceName is the name under which Receiver is registered with net/rpc.
 const ServiceName = "Burn"
 
-// MethodReport is the net/rpc method that gives an instance's snapshot.
+// MethodReport is the net/rpc method that returns the snapshot of an instance.
 const MethodReport = ServiceName + ".Report"
 
-// Request asks an instance for what it recorded.
+// Request is the request for a snapshot.
 type Request struct {
-	// Organisation limits the answer to one; empty means all.
+	// Organisation limits the snapshot to one organisation; empty means all.
 	Organisation protocol.OrganisationID
 }
 
-// Snapshot is what one instance recorded, in a form that can be merged.
+// Snapshot holds the records of one instance in a form that can be merged.
 type Snapshot struct {
 	Series []SeriesSnapshot
 }
 
-// SeriesSnapshot is one series of a snapshot.
+// SeriesSnapshot holds the counts and latencies of one series.
 type SeriesSnapshot struct {
 	Series  Series
 	Windows [windowCount]Counts
-	// Latency holds histograms in HDR's V2 compressed form, nil if none.
+	// Latency holds histograms in the V2 compressed encoding of HdrHistogram, nil if there
+	// are none.
 	Latency [latencySignals][]byte
 }
 
-// Snapshot gives what the recorder holds now. It locks the recorder for one
-// series at a time: encoding a full one takes a tenth of a second, for which
-// every online call that ends here would otherwise wait.
+// Snapshot returns the current records. It locks the recorder for one series at a time.
+// Encoding a full recorder takes a tenth of a second, and with one lock for all of it
+// every online call that ends meanwhile would wait that long.
 func (r *Recorder) Snapshot(request Request) (Snapshot, error) {
 	var out Snapshot
 	for _, key := range r.keys(request) {
-		line, latency, ok := r.read(key)
+		line, latency, ok := r.snapshotSeries(key)
 		if !ok {
 			continue
 		}
@@ -67,13 +68,14 @@
 	return keys
 }
 
-// read copies one series. It is not ok if no window shows it any more.
-func (r *Recorder) read(key Series) (line SeriesSnapshot, latency [latencySignals]*hdrhistogram.Histogram, ok bool) {
+// snapshotSeries copies one series. It returns false if no window contains calls of the
+// series any more.
+func (r *Recorder) snapshotSeries(key Series) (line SeriesSnapshot, latency [latencySignals]*hdrhistogram.Histogram, ok bool) {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.series[key]
-	if rec == nil || now.Sub(rec.used) > longest {
+	if rec == nil || now.Sub(rec.lastUsed) > seriesRetention {
 		return line, latency, false
 	}
 	line = SeriesSnapshot{Series: key, Windows: rec.windows.sums(now)}
@@ -81,7 +83,7 @@
 		return line, latency, true
 	}
 	for signal := range latency {
-		// merged copies the histograms, so that they can be encoded unlocked.
+		// merged copies the histograms, so they can be encoded without the lock.
 		latency[signal] = rec.latency.merged(now, Signal(signal))
 	}
 	return line, latency, true
@@ -100,17 +102,17 @@
 	}
 	h, err := hdrhistogram.Decode(data)
 	if err != nil {
-		return nil, fmt.Errorf("histogram: %w", err)
+		return nil, fmt.Errorf("decode latency histogram: %w", err)
 	}
 	return h, nil
 }
 
-// Receiver answers other instances.
+// Receiver serves the net/rpc calls of other instances.
 type Receiver struct {
 	Recorder *Recorder
 }
 
-// Report gives this instance's snapshot.
+// Report returns the snapshot of this instance.
 func (r *Receiver) Report(request Request, snapshot *Snapshot) error {
 	taken, err := r.Recorder.Snapshot(request)
 	if err != nil {
