--- a/internal/configdoc/configdoc_test.go
+++ b/internal/configdoc/configdoc_test.go
@@ -1,5 +1,6 @@
-// Package configdoc keeps docs/CONFIGURATION.md true: its tables must say of
-// every field what the code says. Run its test with -update to write them.
+// Package configdoc checks that the documentation pages agree with the code. The tables
+// of docs/CONFIGURATION.md are generated from the doc comments and defaults of the
+// settings; run the test with -update to write them.
 package configdoc
 
 import (
@@ -27,11 +28,11 @@
 
 const (
 	root     = "../.."
-	document = root + "/docs/CONFIGURATION.md"
+	pagePath = root + "/docs/CONFIGURATION.md"
 	heading  = "| Field | Unit | Default | Meaning |\n| --- | --- | --- | --- |\n"
 )
 
-// table is one generated part of the document.
+// table is one generated table of the page.
 type table struct {
 	name     string
 	value    reflect.Value
@@ -40,11 +41,11 @@
 
 func tables(t *testing.T) []table {
 	fleet := []table{
-		{name: "organisations", value: reflect.ValueOf(protocol.Organisation{}), required: set("id", "rate", "burst")},
-		{name: "keys", value: reflect.ValueOf(protocol.Key{}), required: set("id", "organisation", "sha256")},
-		{name: "models", value: reflect.ValueOf(protocol.Model{}), required: set("name", "service")},
-		{name: "services", value: reflect.ValueOf(protocol.Service{}), required: set("name", "kind", "slots")},
-		{name: "domains", value: reflect.ValueOf(protocol.DomainShare{}), required: set("domain", "share")},
+		{name: "organisations", value: reflect.ValueOf(protocol.Organisation{}), required: newSet("id", "rate", "burst")},
+		{name: "keys", value: reflect.ValueOf(protocol.Key{}), required: newSet("id", "organisation", "sha256")},
+		{name: "models", value: reflect.ValueOf(protocol.Model{}), required: newSet("name", "service")},
+		{name: "services", value: reflect.ValueOf(protocol.Service{}), required: newSet("name", "kind", "slots")},
+		{name: "domains", value: reflect.ValueOf(protocol.DomainShare{}), required: newSet("domain", "share")},
 	}
 	files := []table{
 		{name: "settings", value: reflect.ValueOf(*settings.Default()), required: requiredSettings(t, settings.Parse)},
@@ -53,7 +54,7 @@
 	return append(files, fleet...)
 }
 
-func set(names ...string) map[string]bool {
+func newSet(names ...string) map[string]bool {
 	out := map[string]bool{}
 	for _, name := range names {
 		out[name] = true
@@ -61,7 +62,7 @@
 	return out
 }
 
-// requiredSettings are the fields that an almost empty file is told to lack.
+// requiredSettings returns the fields that are reported as missing in an almost empty file.
 func requiredSettings[S any](t *testing.T, parse func(string, []byte) (S, error)) map[string]bool {
 	_, err := parse("s", []byte("log: {}\n"))
 	var problems strictyaml.Problems
@@ -75,8 +76,10 @@
 	return out
 }
 
-func TestConfigurationPageIsTrue(t *testing.T) {
-	data, err := os.ReadFile(document)
+// If the page named an outdated default or lacked a field, operators would write settings
+// files from wrong information.
+func TestConfigurationPageMatchesCode(t *testing.T) {
+	data, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
 	page := string(data)
 	comments := newComments(t)
@@ -91,18 +94,18 @@
 			page = head + begin + want + end + tail
 			continue
 		}
-		requireSameLines(t, table.name, want, old)
+		requireEqualLines(t, table.name, want, old)
 	}
 	if *update {
-		require.NoError(t, os.WriteFile(document, []byte(page), 0o644))
+		require.NoError(t, os.WriteFile(pagePath, []byte(page), 0o644))
 	}
 }
 
-// requireSameLines names only the lines that differ: the whole table would hide
-// them.
-func requireSameLines(t *testing.T, name, want, got string) {
+// requireEqualLines prints only the lines that differ, because they would be hard to find
+// in the complete table.
+func requireEqualLines(t *testing.T, name, want, got string) {
 	t.Helper()
-	missing, extra := linesNotIn(want, got), linesNotIn(got, want)
+	missing, extra := linesMissingFrom(want, got), linesMissingFrom(got, want)
 	if want == got {
 		return
 	}
@@ -110,8 +113,8 @@
 		name, strings.Join(missing, "\n"), strings.Join(extra, "\n"))
 }
 
-func linesNotIn(text, other string) []string {
-	known := set(strings.Split(other, "\n")...)
+func linesMissingFrom(text, other string) []string {
+	known := newSet(strings.Split(other, "\n")...)
 	var out []string
 	for _, line := range strings.Split(text, "\n") {
 		if !known[line] {
@@ -121,7 +124,8 @@
 	return out
 }
 
-// rows describes the fields of a struct, each group behind its own fields.
+// rows returns the table rows of the fields of a struct and, recursively, of its nested
+// structs.
 func rows(t *testing.T, comments *comments, table table, value reflect.Value, prefix string) string {
 	var out strings.Builder
 	for i := range value.NumField() {
@@ -137,12 +141,13 @@
 			out.WriteString(rows(t, comments, table, reflect.Zero(field.Type.Elem()), path+"[]."))
 		default:
 			meaning := comments.of(t, value.Type(), field.Name)
-			fmt.Fprintf(&out, "| `%s` | %s | %s | %s |\n", path, unit(path, field.Type), preset(table, path, inner), meaning)
+			fmt.Fprintf(&out, "| `%s` | %s | %s | %s |\n", path, unit(path, field.Type), defaultCell(table, path, inner), meaning)
 		}
 	}
 	return out.String()
 }
 
+// unit returns the content of the column "Unit".
 func unit(path string, kind reflect.Type) string {
 	switch {
 	case kind == reflect.TypeFor[time.Duration]():
@@ -166,7 +171,8 @@
 	}
 }
 
-func preset(table table, path string, value reflect.Value) string {
+// defaultCell returns the content of the column "Default".
+func defaultCell(table table, path string, value reflect.Value) string {
 	if table.required[path] || strings.Contains(path, "[].") {
 		return "required"
 	}
@@ -174,13 +180,13 @@
 		return "none"
 	}
 	if duration, ok := value.Interface().(time.Duration); ok {
-		return "`" + short(duration) + "`"
+		return "`" + shortDuration(duration) + "`"
 	}
 	return fmt.Sprintf("`%v`", value.Interface())
 }
 
-// short drops the zero parts that Duration.String shows.
-func short(d time.Duration) string {
+// shortDuration formats a duration without the trailing zero units of Duration.String.
+func shortDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
 		text = strings.TrimSuffix(text, "0s")
@@ -191,8 +197,9 @@
 	return text
 }
 
-// comments finds the doc comments of fields in the source.
+// comments reads the doc comments of struct fields from the source and caches them.
 type comments struct {
+	// packages holds the comments by package folder and "Type.Field".
 	packages map[string]map[string]string
 }
 
@@ -201,14 +208,16 @@
 func (c *comments) of(t *testing.T, owner reflect.Type, field string) string {
 	dir := strings.TrimPrefix(owner.PkgPath(), "merlintiller/")
 	if c.packages[dir] == nil {
-		c.packages[dir] = parse(t, filepath.Join(root, dir))
+		c.packages[dir] = fieldComments(t, filepath.Join(root, dir))
 	}
 	text := c.packages[dir][owner.Name()+"."+field]
 	require.NotEmpty(t, text, "%s.%s has no doc comment", owner, field)
 	return text
 }
 
-func parse(t *testing.T, dir string) map[string]string {
+// fieldComments returns the doc comments of all struct fields in a folder, by
+// "Type.Field".
+func fieldComments(t *testing.T, dir string) map[string]string {
 	found := map[string]string{}
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	require.NoError(t, err)
@@ -223,7 +232,7 @@
 			if structure, ok := spec.Type.(*ast.StructType); ok {
 				for _, field := range structure.Fields.List {
 					for _, name := range field.Names {
-						found[spec.Name.Name+"."+name.Name] = sentence(field.Doc)
+						found[spec.Name.Name+"."+name.Name] = tableCell(field.Doc)
 					}
 				}
 			}
@@ -233,8 +242,8 @@
 	return found
 }
 
-// sentence makes a doc comment one table cell.
-func sentence(doc *ast.CommentGroup) string {
+// tableCell formats a doc comment as one table cell.
+func tableCell(doc *ast.CommentGroup) string {
 	text := strings.Join(strings.Fields(doc.Text()), " ")
 	return strings.ReplaceAll(text, "|", "\\|")
 }
--- a/internal/configdoc/libraries_test.go
+++ b/internal/configdoc/libraries_test.go
@@ -13,8 +13,8 @@
 	libraryRow    = regexp.MustCompile("(?m)^\\| `([a-z0-9.]+\\.[a-z]+/[^`]+)` \\| [^|]+ \\| [^|]+ \\|$")
 )
 
-// Every library is code that somebody must trust and update. One that is used
-// without a stated reason, or listed and long gone, is noticed here.
+// Each library is code that must be trusted and updated. The test reports a library that
+// is used without a documented reason, and one that is documented but no longer used.
 func TestEveryLibraryHasAReason(t *testing.T) {
 	module, err := os.ReadFile(root + "/go.mod")
 	require.NoError(t, err)
@@ -31,21 +31,21 @@
 	for _, match := range libraryRow.FindAllStringSubmatch(string(page), -1) {
 		listed[match[1]] = true
 	}
-	requireSame(t, used, listed, "library")
+	requireSameNames(t, used, listed, "library")
 }
 
-// requireSame compares what the code has with what a page explains.
-func requireSame(t *testing.T, inCode, explained map[string]bool, kind string) {
+// requireSameNames compares the names in the code with those that a page documents.
+func requireSameNames(t *testing.T, inCode, documented map[string]bool, kind string) {
 	t.Helper()
 	require.NotEmpty(t, inCode)
 	for name := range inCode {
-		if !explained[name] {
-			t.Errorf("%s %s has no row in the page", kind, name)
+		if !documented[name] {
+			t.Errorf("%s %s is not documented in the page", kind, name)
 		}
 	}
-	for name := range explained {
+	for name := range documented {
 		if !inCode[name] {
-			t.Errorf("%s %s stands in the page and not in the code", kind, name)
+			t.Errorf("%s %s is documented in the page but does not exist in the code", kind, name)
 		}
 	}
 }
--- a/internal/configdoc/operations_test.go
+++ b/internal/configdoc/operations_test.go
@@ -18,8 +18,8 @@
 	backQuoted   = regexp.MustCompile("`([^`]+)`")
 )
 
-// found collects what a pattern captures in the code that is no test.
-func found(t *testing.T, pattern *regexp.Regexp) map[string]bool {
+// namesInCode returns the names that a pattern captures in the code, test files excluded.
+func namesInCode(t *testing.T, pattern *regexp.Regexp) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
 	for _, dir := range []string{"internal", "cmd", "platform"} {
@@ -41,6 +41,7 @@
 	return out
 }
 
+// section returns the text of one section of docs/OPERATIONS.md.
 func section(t *testing.T, heading string) string {
 	t.Helper()
 	data, err := os.ReadFile(root + "/docs/OPERATIONS.md")
@@ -51,28 +52,28 @@
 	return text
 }
 
-// An event wakes the person on call, who has never seen it. If the page did not
-// have it they would have to read the code at night; if it had events that are
-// long gone, they would not trust it.
-func TestEveryLogEventIsExplained(t *testing.T) {
-	explained := map[string]bool{}
+// An unknown log event alerts the operator on call. If the page did not document it, the
+// operator would have to read the code during an incident. If the page listed events that
+// no longer exist, operators would not trust it.
+func TestEveryLogEventIsDocumented(t *testing.T) {
+	documented := map[string]bool{}
 	for _, match := range eventRow.FindAllStringSubmatch(section(t, "Log events"), -1) {
-		explained[match[1]] = true
+		documented[match[1]] = true
 	}
-	requireSame(t, found(t, eventInCode), explained, "log event")
+	requireSameNames(t, namesInCode(t, eventInCode), documented, "log event")
 }
 
-func TestEveryMetricIsExplained(t *testing.T) {
+func TestEveryMetricIsDocumented(t *testing.T) {
 	text := section(t, "Metrics")
-	explained := map[string]bool{}
+	documented := map[string]bool{}
 	for _, line := range strings.Split(text, "\n") {
 		cells := strings.Split(line, "|")
 		if len(cells) < 3 {
 			continue
 		}
 		for _, match := range backQuoted.FindAllStringSubmatch(cells[1], -1) {
-			explained[match[1]] = true
+			documented[match[1]] = true
 		}
 	}
-	requireSame(t, found(t, metricInCode), explained, "metric")
+	requireSameNames(t, namesInCode(t, metricInCode), documented, "metric")
 }
