--- a/internal/coordination/routed/broker/reports.go
+++ b/internal/coordination/routed/broker/reports.go
@@ -80,7 +80,7 @@
 		return false
 	}
 	own := c.opts.Self.Domain
-	reachable, others := len(c.opts.Peers.Up(own)), c.opts.Peers.Alive(own)
+	reachable, others := len(c.opts.Peers.Up(own)), c.opts.Peers.CountNotDown(own)
 	return 2*(reachable+1) > others+1
 }
 
