--- a/internal/burn/collector.go
+++ b/internal/burn/collector.go
@@ -44,8 +44,8 @@
 
 // gather adds the snapshots of the other instances and lists the unreachable ones.
 func (c *Collector) gather(ctx context.Context, request Request, merged *merger, report *Report) {
-	question := fanout.Question{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Width: maxConcurrentCalls}
-	report.Unreached = fanout.Ask(ctx, c.Peers, question, func(from protocol.InstanceID, snapshot Snapshot) error {
+	call := fanout.Request{Method: MethodReport, Args: request, Timeout: c.PeerTimeout, Concurrency: maxConcurrentCalls}
+	report.Unreached = fanout.Call(ctx, c.Peers, call, func(from protocol.InstanceID, snapshot Snapshot) error {
 		if err := merged.add(snapshot); err != nil {
 			return err
 		}
--- a/internal/coordination/batch/cancelnotice.go
+++ b/internal/coordination/batch/cancelnotice.go
@@ -96,8 +96,8 @@
 		if err != nil {
 			return ctx.Err()
 		}
-		question := fanout.Question{Method: methodCancelled, Args: CancelNotice{Job: job}, Timeout: n.timeout, Width: noticeParallelism}
-		unreached := fanout.Ask(ctx, n.peers, question, func(protocol.InstanceID, CancelNoticeReply) error { return nil })
+		request := fanout.Request{Method: methodCancelled, Args: CancelNotice{Job: job}, Timeout: n.timeout, Concurrency: noticeParallelism}
+		unreached := fanout.Call(ctx, n.peers, request, func(protocol.InstanceID, CancelNoticeReply) error { return nil })
 		counters.Add("cancel_notices_lost", int64(len(unreached)))
 	}
 }
--- a/internal/coordination/batch/jobs.go
+++ b/internal/coordination/batch/jobs.go
@@ -66,7 +66,7 @@
 	case outcome.Run == protocol.NotRun:
 		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not accept jobs at the moment")
 	case outcome.Run != protocol.Completed:
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace,
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect,
 			"the platform did not confirm the job in time; send it again with the same idempotency key to find it or to submit it")
 	case outcome.Verdict == protocol.Accepted || outcome.Verdict == protocol.Duplicate:
 		return s.acceptedJob(org, manifest)
@@ -168,7 +168,7 @@
 func (s *Service) acceptedJob(org protocol.OrganisationID, manifest *protocol.JobSubmit) (Job, *protocol.Refusal) {
 	existing, found := s.jobByKey(org, manifest.IdempotencyKey)
 	if !found {
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the job was accepted but has been deleted since")
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect, "the job was accepted but has been deleted since")
 	}
 	return s.existingJob(existing, manifest)
 }
@@ -301,7 +301,7 @@
 	case outcome.Run == protocol.NotRun:
 		return Job{}, protocol.Refuse(protocol.CodePlatformDown, s.opts.RetryAfter, "the platform's log does not accept the cancel at the moment")
 	case outcome.Run != protocol.Completed:
-		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenPlace, "the platform did not confirm the cancel in time; send it again")
+		return Job{}, protocol.Uncertain(protocol.CodeMayHaveTakenEffect, "the platform did not confirm the cancel in time; send it again")
 	case outcome.Verdict == protocol.NoSession:
 		return Job{}, protocol.Refuse(protocol.CodeInstanceStarting, s.opts.RetryAfter, "this instance has no session at the moment")
 	}
--- a/internal/coordination/headroom/headroom.go
+++ b/internal/coordination/headroom/headroom.go
@@ -143,8 +143,8 @@
 	return s, nil
 }
 
-// Places implements coordination.BatchSlots.
-func (h *Headroom) Places(service protocol.ServiceName) int {
+// Capacity implements coordination.BatchSlots.
+func (h *Headroom) Capacity(service protocol.ServiceName) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Places(service)
--- a/internal/coordination/journal/sessions.go
+++ b/internal/coordination/journal/sessions.go
@@ -72,7 +72,7 @@
 // then does not keep the holder at an old sending time.
 func (r *renewer) renew(ctx context.Context, session protocol.SessionID) {
 	r.holderMu.Lock()
-	r.holder.Tried(time.Now())
+	r.holder.RenewalAttempted(time.Now())
 	r.holderMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, r.timings.Session.Renew)
 	defer cancel()
@@ -99,8 +99,8 @@
 
 func (o *observer) checkSessions(ctx context.Context) {
 	evidence, atEnd := o.progress.evidence()
-	evidence.Own = o.Session()
-	evidence.Confirmed = atEnd && o.LogUp() && o.MayHold()
+	evidence.OwnSession = o.Session()
+	evidence.RenewalsAccepted = atEnd && o.LogUp() && o.MayHold()
 	var open []session.Info
 	o.View(func(s *replica.State) { open = s.Sessions.All() })
 	for _, proposal := range o.detector.Observe(time.Now(), evidence, open) {
--- a/internal/coordination/online/attempt.go
+++ b/internal/coordination/online/attempt.go
@@ -83,13 +83,13 @@
 		callResult = coordination.CallResult{Abandoned: true}
 	}
 	switch {
-	case errors.Is(err, external.ErrPathClosed):
+	case errors.Is(err, external.ErrPathNotAllowed):
 		c.result.Refusal = closedPathRefusal()
 		return outcomeFinal, callResult
 	case ctx.Err() != nil:
 		c.endExpired(ctx, run)
 		return outcomeFinal, callResult
-	case errors.Is(err, external.ErrCrossed):
+	case errors.Is(err, external.ErrCallIDMismatch):
 		counters.Add("crossed", 1)
 	}
 	c.recordFailure(run, "the target did not respond")
@@ -106,7 +106,7 @@
 // FirstByteTimeout counts as failed even then.
 func (c *call) classifyFailure(ctx context.Context, started time.Time, err error) coordination.CallResult {
 	switch {
-	case errors.Is(err, external.ErrPathClosed):
+	case errors.Is(err, external.ErrPathNotAllowed):
 		return coordination.CallResult{Abandoned: true}
 	case errors.Is(err, external.ErrLeaving):
 		return coordination.CallResult{Leaving: true}
--- a/internal/coordination/orders/reconciler.go
+++ b/internal/coordination/orders/reconciler.go
@@ -34,7 +34,7 @@
 	Journal  coordination.Journal
 	// Peers lists the candidates for a lease. It may be nil.
 	Peers  coordination.Peers
-	Orders external.Orders
+	Orders external.OrderClient
 	Logger log.Logger
 	// Tick is the time between two calls of each Controller's Step. Default 1 s.
 	Tick   time.Duration
@@ -300,7 +300,7 @@
 	if !w.opts.Journal.MayHold() {
 		return errSessionLapsed
 	}
-	err := w.opts.Orders.Give(ctx, t.action.Target.Address, *t.action.Order)
+	err := w.opts.Orders.Send(ctx, t.action.Target.Address, *t.action.Order)
 	outcome := "given"
 	if err != nil {
 		outcome = "failed"
--- a/internal/coordination/routed/batchjobs/task.go
+++ b/internal/coordination/routed/batchjobs/task.go
@@ -203,7 +203,7 @@
 	head := answer.Head()
 	opts.Placer.ReportLoad(choice, head.Load)
 	switch {
-	case head.Elsewhere:
+	case head.WrongTarget:
 		opts.Targets.Forget(choice.Address)
 		return rejected, placement.Replaced, nil
 	case head.NotRun:
@@ -230,7 +230,7 @@
 	}
 	return &exchange.Dispatch{
 		ID: t.id.item, Method: http.MethodPost, Host: t.job.Host, Path: t.item.Path,
-		Target: choice.ID, Organisation: t.job.Organisation, Left: max(time.Second, limit),
+		Target: choice.ID, Organisation: t.job.Organisation, TimeLeft: max(time.Second, limit),
 		After: t.position, Header: header, Body: t.item.Body,
 	}
 }
@@ -265,7 +265,7 @@
 
 // addEvent adds one event to the output.
 func (t *task) addEvent(event *sse.Event) error {
-	if event.Numbered {
+	if event.HasPosition {
 		switch {
 		case t.position != exchange.FromStart && event.Position <= t.position:
 			return nil
--- a/internal/coordination/routed/relay/relay.go
+++ b/internal/coordination/routed/relay/relay.go
@@ -237,7 +237,7 @@
 		Query:        c.Request.Query,
 		Target:       choice.ID,
 		Organisation: c.Organisation,
-		Left:         time.Until(c.Deadline),
+		TimeLeft:     time.Until(c.Deadline),
 		After:        c.lastEvent,
 		Header:       c.Request.Header,
 		Body:         c.Request.Body,
@@ -249,7 +249,7 @@
 func (c *call) handleNotRun(choice placement.Choice, answer external.OpenAnswer) nextStep {
 	answer.Close()
 	result := placement.Full
-	if answer.Head().Elsewhere {
+	if answer.Head().WrongTarget {
 		result = placement.Replaced
 		c.opts.Targets.Forget(choice.Address)
 	}
--- a/internal/daemon/routed/daemon.go
+++ b/internal/daemon/routed/daemon.go
@@ -88,7 +88,7 @@
 			EndRunPath: platform.EndRunPath, EncodeEndRun: platform.EncodeEndRun, DecodeEndRun: platform.DecodeEndRun,
 			HandlePath: platform.HandlePath,
 		}),
-		calls: peer.NewClientOn(network),
+		calls: peer.NewClientWithNetwork(network),
 	}
 	d.meter = quota.NewLimiter()
 	d.killed, d.kill = context.WithCancel(context.Background())
@@ -178,7 +178,7 @@
 		Table: d.view.Table,
 		Quota: d.meter,
 		Relay: relay.New(relay.Options{Targets: d.targets, Placer: d.slots, Logger: d.logger}),
-		Desk:  d.desk, NoJobs: d.isolation.jobRetry, Logger: d.logger,
+		Jobs:  d.desk, JobsUnavailable: d.isolation.jobRetry, Logger: d.logger,
 	})
 }
 
--- /dev/null
+++ b/internal/transport/front/request.go
@@ -0,0 +1,202 @@
+package front
+
+import (
+	"errors"
+	"io"
+	stdlog "log"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"merlintiller/internal/protocol/exchange"
+	"merlintiller/internal/state/route"
+)
+
+// callerRequest is the state of one request of a caller.
+type callerRequest struct {
+	*Front
+	w          http.ResponseWriter
+	r          *http.Request
+	receivedAt time.Time
+	table      *route.Table
+
+	request      exchange.Request
+	route        *route.Route
+	organisation *route.Organisation
+}
+
+const (
+	// noConfigRetryAfter is the retry delay while no configuration is loaded.
+	noConfigRetryAfter = time.Second
+	// shortRetryAfter is the retry delay for causes that are expected to end soon.
+	shortRetryAfter = 300 * time.Millisecond
+)
+
+// serve decodes, authenticates and routes a request and responds to it.
+func (f *Front) serve(c *callerRequest) {
+	c.request = f.opts.Codec.DecodeRequest(c.r)
+	if c.table == nil {
+		c.reject(http.StatusServiceUnavailable, noConfigRetryAfter, "no_config")
+		return
+	}
+	if call, ok := f.opts.Codec.DecodeJobCall(c.r); ok && c.table.HasBatchRoute(c.r.Host) {
+		c.serveJobCall(call)
+		return
+	}
+	if limit := c.table.Limits().HeaderBytes; limit > 0 && headerSize(c.r) > limit+headerSlack {
+		c.reject(http.StatusRequestHeaderFieldsTooLarge, 0, "head_too_large")
+		return
+	}
+	found, ok := c.table.Match(c.request.Host, c.request.Path)
+	if !ok {
+		c.reject(http.StatusNotFound, 0, "no_route")
+		return
+	}
+	c.route = found
+	if !c.authenticate(found.Public) || !c.readBody() {
+		return
+	}
+	if found.Kind == route.Batch {
+		c.submitJob()
+		return
+	}
+	c.serveOnline()
+}
+
+// authenticate finds the caller's organisation. It rejects the request and returns
+// false if a key is required and the request has no known key.
+func (c *callerRequest) authenticate(public bool) bool {
+	if caller, ok := c.table.OrganisationBySecret(c.request.Secret); ok {
+		c.organisation = caller
+		return true
+	}
+	if public || !c.table.RequiresKey() {
+		return true
+	}
+	c.reject(http.StatusUnauthorized, 0, "unknown_key")
+	return false
+}
+
+// organisationName returns the name of the caller's organisation, or "" if the
+// caller has none.
+func (c *callerRequest) organisationName() string {
+	if c.organisation == nil {
+		return ""
+	}
+	return c.organisation.Name
+}
+
+// headerSlack is the number of bytes by which a request header may exceed the
+// operators' limit. Callers may count neither the request line nor the line ends; a
+// header that is within the limit by the caller's own count must not be rejected.
+const headerSlack = 1 << 10
+
+// headerSize returns the size of a request header on the wire, including the request
+// line.
+func headerSize(r *http.Request) int64 {
+	const (
+		// lineExtra: two spaces, the version and the line end. fieldExtra: the
+		// colon, a space and the line end.
+		lineExtra  = 12
+		fieldExtra = 4
+	)
+	size := len(r.Method) + len(r.RequestURI) + lineExtra + len("Host") + len(r.Host) + fieldExtra
+	for name, values := range r.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + fieldExtra
+		}
+	}
+	return int64(size)
+}
+
+// readBody reads the whole body, so that the request can be sent to another target
+// after a failure.
+//
+// Without the read deadline, a caller that sends single bytes at long intervals would
+// keep memory and a connection forever. The metric requests_in_flight would show
+// requests that never end.
+func (c *callerRequest) readBody() bool {
+	limit := c.table.Limits().BodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
+	}
+	controller := http.NewResponseController(c.w)
+	if err := controller.SetReadDeadline(c.receivedAt.Add(c.timeout())); err != nil {
+		c.logCallerLeft("connection_closed")
+		return false
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
+	var tooLarge *http.MaxBytesError
+	switch {
+	case err == nil:
+		// If resetting the deadline fails, the connection is broken, and the next
+		// read or write returns the error.
+		_ = controller.SetReadDeadline(time.Time{})
+		c.request.Body = body
+		return true
+	case errors.As(err, &tooLarge):
+		c.reject(http.StatusRequestEntityTooLarge, 0, "body_too_large")
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		c.reject(http.StatusRequestTimeout, 0, "body_too_slow")
+	case c.r.Context().Err() != nil:
+		c.logCallerLeft("caller_left")
+	default:
+		c.reject(http.StatusBadRequest, 0, "body_unreadable")
+	}
+	return false
+}
+
+// reject responds to a request that did not run.
+func (c *callerRequest) reject(status int, retryAfter time.Duration, reason string, more ...any) {
+	if retryAfter > 0 {
+		c.w.Header().Set("Retry-After", c.opts.Codec.EncodeRetryAfter(retryAfter))
+	}
+	c.respond(status, nil, "")
+	c.log("refused", status, reason, append(more, "retry_ms", retryAfter.Milliseconds())...)
+}
+
+// respond writes a complete response.
+func (c *callerRequest) respond(status int, body []byte, contentType string) {
+	if contentType != "" {
+		c.w.Header().Set("Content-Type", contentType)
+	}
+	c.w.WriteHeader(status)
+	if len(body) > 0 {
+		// A failed write means that the caller has closed the connection.
+		_, _ = c.w.Write(body)
+	}
+}
+
+// logCallerLeft logs a caller that disconnected before it received a response.
+func (c *callerRequest) logCallerLeft(reason string) {
+	c.log("caller_left", 0, reason)
+}
+
+// log writes the log line of a request's outcome and counts the outcome.
+func (c *callerRequest) log(outcome string, status int, reason string, more ...any) {
+	var version int64
+	if c.table != nil {
+		version = c.table.Version()
+	}
+	name := ""
+	if c.route != nil {
+		name = c.route.Name
+	}
+	elapsed := time.Since(c.receivedAt)
+	metrics.GetOrCreateCounter(`requests_total{outcome="` + outcome + `",reason="` + reason + `"}`).Inc()
+	fields := append([]any{
+		"event", "request", "request", c.request.ID, "route", name, "organisation", c.organisationName(),
+		"config", version, "outcome", outcome, "reason", reason, "status", status, "took_ms", elapsed.Milliseconds(),
+	}, more...)
+	_ = level.Info(c.opts.Logger).Log(fields...)
+}
+
+// newErrorLog returns a logger for the errors of the HTTP server, such as malformed
+// requests.
+func newErrorLog(logger log.Logger) *stdlog.Logger {
+	return stdlog.New(log.NewStdlibAdapter(level.Info(logger), log.MessageKey("detail")), "", 0)
+}
