--- a/internal/daemon/batch.go
+++ b/internal/daemon/batch.go
@@ -42,7 +42,7 @@
 		refresher: batch.NewDataRefresher(j, opts, d.logger),
 		atMostOnce: oncecall.New("once.outcomes", j, oncecall.Options{
 			ReserveTimeout: d.settings.Calls.ReserveTimeout,
-			Retention:      d.settings.Calls.Remember,
+			Retention:      d.settings.Calls.OutcomeRetention,
 		}, d.logger),
 		cancelNotifier: batch.NewCancelNotifier("batch.cancel_notices", d.cluster.heartbeats, d.settings.Timings.PeerTimeout),
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -51,7 +51,7 @@
 // recordCall records a finished call for the burn report. The time to the first token is
 // known only for streams.
 func (o *operatorAPI) recordCall(call online.Observation) {
-	if !burn.Measured(call.Result.Refusal) {
+	if !burn.CountsTowardObjectives(call.Result.Refusal) {
 		return
 	}
 	var firstToken, meanGap time.Duration
--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -33,8 +33,8 @@
 // viewLimits returns the limits of the view of other instances that heartbeats maintain.
 func viewLimits(t settings.Timings) member.ViewLimits {
 	limits := member.DefaultViewLimits()
-	limits.Reachable = t.PeerSilent
-	limits.Forget = t.PeerForget
+	limits.Reachable = t.PeerSilenceTimeout
+	limits.Forget = t.PeerRetention
 	return limits
 }
 
@@ -44,15 +44,15 @@
 		MaxFileBytes:   s.Limits.FileBytes,
 		MaxFileItems:   s.Batch.FileItems,
 		MaxResultBytes: s.Batch.ResultBytes,
-		FileTTL:        s.Batch.FileKept,
-		MaxWindow:      s.Batch.LongestWindow,
+		FileTTL:        s.Batch.FileRetention,
+		MaxWindow:      s.Batch.MaxCompletionWindow,
 		ResultTTL:      s.Batch.ResultsReadable,
 		MaxHeldChunks:  s.Batch.HeldChunks,
 		MaxInFlight:    s.Batch.InFlight,
 		UrgentLaxity:   s.Batch.UrgentLaxity,
 		MaxAttempts:    s.Batch.Attempts,
 		BackoffFirst:   s.Batch.FirstBackoff,
-		BackoffMax:     s.Batch.LongestBackoff,
+		BackoffMax:     s.Batch.MaxBackoff,
 		FlushAfter:     s.Batch.ResultFlush,
 		BufferBytes:    s.Batch.ResultBufferBytes,
 		RefreshAge:     s.Batch.CarryAge,
@@ -81,7 +81,7 @@
 		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
 		InitialEjection: s.Routing.EjectFor,
-		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjection:     s.Routing.MaxEjection,
 		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
--- a/internal/daemon/routed/fleet_test.go
+++ b/internal/daemon/routed/fleet_test.go
@@ -231,7 +231,7 @@
 	server := &http.Server{Handler: inst.storeAccess}
 	fleet.background.Go(func() { _ = server.Serve(listener) })
 	context.AfterFunc(fleet.ctx, func() { _ = server.Close() })
-	inst.settings = *settings.RoutedDefault()
+	inst.settings = *settings.DefaultRouted()
 	inst.settings.Instance, inst.settings.Domain = protocol.InstanceID(name), protocol.Domain(domain)
 	inst.settings.Listen = settings.RoutedListen{Callers: ip + ":80", Readiness: ip + ":81", Peers: ip + ":82"}
 	inst.settings.Store.Address = address
