--- a/internal/ctl/batch.go
+++ b/internal/ctl/batch.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Paths of the callers' batch calls.
+// Paths of the batch API for callers.
 const (
 	pathFiles   = "/v1/files"
 	pathBatches = "/v1/batches"
@@ -22,11 +22,11 @@
 	Submit  batchSubmit  `cmd:"" help:"Submit a batch job."`
 	Status  batchStatus  `cmd:"" help:"Show a job, or wait for its end."`
 	List    batchList    `cmd:"" help:"List the organisation's jobs."`
-	Cancel  batchCancel  `cmd:"" help:"Cancel a job. Results that came before stay readable."`
+	Cancel  batchCancel  `cmd:"" help:"Cancel a job. Results produced so far stay readable."`
 	Results batchResults `cmd:"" help:"Fetch the results of a job."`
 }
 
-// job is a batch job as the callers' API shows it.
+// job is a batch job in the form of the callers' API.
 type job struct {
 	ID           string `json:"id"`
 	Status       string `json:"status"`
@@ -70,12 +70,12 @@
 	File     string        `arg:"" help:"JSONL file, one request a line." type:"existingfile"`
 	Endpoint string        `help:"Path that each item is sent to." default:"/v1/chat/completions"`
 	Within   time.Duration `help:"Time to finish the job." default:"24h"`
-	Again    string        `help:"A word that makes the same file a new job. Without it the same file and endpoint are the same job."`
+	Again    string        `help:"Any text that makes the same file a new job. Without it, submitting the same file to the same endpoint again returns the first job."`
 }
 
 // Help shows examples.
 func (batchSubmit) Help() string {
-	return lines("The idempotency key is worked out from the file, the endpoint and --again, so running the command again",
+	return joinLines("The idempotency key is derived from the file, the endpoint and --again, so running the command again",
 		"after a lost answer finds the first job and starts no second one.",
 		"", "Example: tillerctl batch submit reports.jsonl --within 8h --instance 10.0.0.1:8001")
 }
@@ -84,7 +84,7 @@
 func (c *batchSubmit) Run(env *Env) error {
 	key, err := c.idempotencyKey()
 	if err != nil {
-		return fail(ExitBadInput, "name a file that can be read", "%v", err)
+		return fail(ExitBadInput, "give a file that can be read", "%v", err)
 	}
 	file, err := upload(env, c.File)
 	if err != nil {
@@ -104,17 +104,17 @@
 		path:       pathBatches,
 		header:     http.Header{"Content-Type": {"application/json"}, "Idempotency-Key": {key}},
 		body:       body,
-		repeatable: true,
+		idempotent: true,
 	}, &submitted)
 	if err != nil {
 		return err
 	}
 	return env.show(result{data: submitted, table: jobTable(submitted),
-		did:  fmt.Sprintf("job %s is accepted with %d items", submitted.ID, submitted.Counts.Total),
-		next: "tillerctl batch status " + submitted.ID + " --wait"})
+		summary: fmt.Sprintf("job %s is accepted with %d items", submitted.ID, submitted.Counts.Total),
+		next:    "tillerctl batch status " + submitted.ID + " --wait"})
 }
 
-// idempotencyKey is the same whenever the same job is meant.
+// idempotencyKey returns the same key for the same file, endpoint and --again.
 func (c *batchSubmit) idempotencyKey() (string, error) {
 	file, err := os.Open(c.File)
 	if err != nil {
@@ -148,7 +148,7 @@
 	if err := env.Caller.Get(env.Context, pathBatches, &page); err != nil {
 		return err
 	}
-	return env.show(result{data: page.Data, table: jobTable(page.Data...), did: fmt.Sprintf("%d jobs", len(page.Data))})
+	return env.show(result{data: page.Data, table: jobTable(page.Data...), summary: fmt.Sprintf("%d jobs", len(page.Data))})
 }
 
 type batchCancel struct {
@@ -157,24 +157,24 @@
 
 // Help shows examples.
 func (batchCancel) Help() string {
-	return lines("Running it again does no harm.", "", "Example: tillerctl batch cancel batch_7f3a")
+	return joinLines("Safe to run again.", "", "Example: tillerctl batch cancel batch_7f3a")
 }
 
 // Run cancels the job.
 func (c *batchCancel) Run(env *Env) error {
 	var j job
 	path := pathBatches + "/" + url.PathEscape(c.Job) + "/cancel"
-	if err := env.Caller.JSON(env.Context, request{method: http.MethodPost, path: path, repeatable: true}, &j); err != nil {
+	if err := env.Caller.JSON(env.Context, request{method: http.MethodPost, path: path, idempotent: true}, &j); err != nil {
 		return err
 	}
-	return env.show(result{data: j, table: jobTable(j), did: fmt.Sprintf("job %s is %s", c.Job, j.Status),
-		next: "tillerctl batch results " + c.Job + " fetches what came before"})
+	return env.show(result{data: j, table: jobTable(j), summary: fmt.Sprintf("job %s is %s", c.Job, j.Status),
+		next: "tillerctl batch results " + c.Job + " fetches the results produced so far"})
 }
 
 type batchResults struct {
 	Job  string `arg:"" help:"Id of the job."`
 	To   string `help:"File to write; without it the results go to the standard output." placeholder:"FILE"`
-	Fail bool   `name:"errors" help:"Fetch the failed items in place of the results."`
+	Fail bool   `name:"errors" help:"Fetch the failed items instead of the results."`
 }
 
 // Help shows examples.
@@ -193,10 +193,10 @@
 		file = j.ErrorFileID
 	}
 	if file == "" {
-		return fail(ExitFailed, "tillerctl batch status "+c.Job+" --wait", "job %s is %s and has no such results", c.Job, j.Status)
+		return fail(ExitFailed, "tillerctl batch status "+c.Job+" --wait", "job %s is %s and has no such result file", c.Job, j.Status)
 	}
 	path := pathFiles + "/" + url.PathEscape(file) + "/content"
-	lines, err := download(env, request{method: http.MethodGet, path: path, repeatable: true}, c.To)
+	lines, err := download(env, request{method: http.MethodGet, path: path, idempotent: true}, c.To)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/batch_test.go
+++ b/internal/ctl/batch_test.go
@@ -17,13 +17,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jobServer is a callers' listener that keeps jobs by their idempotency key.
+// jobServer is a fake listener for callers. It stores jobs by their idempotency key.
 type jobServer struct {
-	jobs        map[string]*job
-	uploads     []string
-	loseAnswers int
-	looks       int
-	cutContent  bool
+	jobs            map[string]*job
+	uploads         []string
+	loseAnswers     int
+	jobRequests     int
+	truncateContent bool
 }
 
 func newJobServer(t *testing.T) (*jobServer, string) {
@@ -50,14 +50,14 @@
 	case r.Method == "POST" && r.URL.Path == pathBatches:
 		s.submit(w, r)
 	case strings.HasSuffix(r.URL.Path, "/content"):
-		if s.cutContent {
+		if s.truncateContent {
 			_, _ = io.WriteString(w, "{\"custom_id\":\"a\"}\n")
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, "{\"custom_id\":\"a\"}\n{\"custom_id\":\"b\"}\n")
 	default:
-		s.look(w, r)
+		s.serveJob(w, r)
 	}
 }
 
@@ -75,13 +75,13 @@
 	_ = json.NewEncoder(w).Encode(s.jobs[key])
 }
 
-func (s *jobServer) look(w http.ResponseWriter, r *http.Request) {
-	s.looks++
+func (s *jobServer) serveJob(w http.ResponseWriter, r *http.Request) {
+	s.jobRequests++
 	for _, j := range s.jobs {
 		if strings.HasSuffix(r.URL.Path, "/cancel") {
 			j.Status = "cancelled"
 		}
-		if s.looks == 3 {
+		if s.jobRequests == 3 {
 			j.Status, j.Counts.Completed, j.OutputFileID = "completed", 2, "file-out"
 		}
 		if r.URL.Path == pathBatches {
@@ -93,18 +93,18 @@
 	}
 }
 
-func inputFile(t *testing.T, text string) string {
+func writeInputFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "in.jsonl")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// The job is accepted and the answer is lost. The caller's script sees exit
-// code 4 and runs the command again; a second job would be run and billed
-// twice. It must find the first.
+// The job is accepted and the answer is lost. The caller's script sees exit code 4
+// and runs the command again. The command has to find the first job: a second job
+// would be run and billed twice.
 func TestResubmittedFileIsTheSameJob(t *testing.T) {
 	server, address := newJobServer(t)
-	path := inputFile(t, "{}\n{}\n")
+	path := writeInputFile(t, "{}\n{}\n")
 	flags := []string{"--instance", address, "--caller-secret", "caller-secret"}
 	submit := append([]string{"batch", "submit", path}, flags...)
 	server.loseAnswers = 1
@@ -126,13 +126,13 @@
 func TestResultsAreWrittenToAFile(t *testing.T) {
 	server, address := newJobServer(t)
 	flags := []string{"--instance", address, "--caller-secret", "caller-secret"}
-	run(append([]string{"batch", "submit", inputFile(t, "{}\n")}, flags...)...)
+	run(append([]string{"batch", "submit", writeInputFile(t, "{}\n")}, flags...)...)
 	to := filepath.Join(t.TempDir(), "out.jsonl")
 	fetch := append([]string{"batch", "results", "batch_1", "--to", to}, flags...)
 	early := run(fetch...)
 	require.Equal(t, ExitFailed, early.code)
 	require.Contains(t, early.stderr, "next: tillerctl batch status batch_1 --wait")
-	server.looks = 2
+	server.jobRequests = 2
 	late := run(fetch...)
 	require.Equal(t, ExitOK, late.code, late.stderr)
 	data, err := os.ReadFile(to)
@@ -140,23 +140,24 @@
 	require.Equal(t, 2, bytes.Count(data, []byte("\n")))
 }
 
-// The instance dies while it sends the results. A file with a part of them, under
-// the name that the office's script looks for, would be taken for all of them.
-func TestCutResultsLeaveNoFile(t *testing.T) {
+// The instance dies while it sends the results. A script that waits for the output file
+// would take a file with only a part of the results for all of them.
+func TestTruncatedResultsLeaveNoFile(t *testing.T) {
 	server, address := newJobServer(t)
 	flags := []string{"--instance", address, "--caller-secret", "caller-secret"}
-	run(append([]string{"batch", "submit", inputFile(t, "{}\n")}, flags...)...)
-	server.looks, server.cutContent = 2, true
+	run(append([]string{"batch", "submit", writeInputFile(t, "{}\n")}, flags...)...)
+	server.jobRequests, server.truncateContent = 2, true
 	dir := t.TempDir()
 	got := run(append([]string{"batch", "results", "batch_1", "--to", filepath.Join(dir, "out.jsonl")}, flags...)...)
 	require.Equal(t, ExitUnavailable, got.code)
-	require.Contains(t, got.stderr, "the answer was cut")
+	require.Contains(t, got.stderr, "the answer was truncated")
 	left, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	require.Empty(t, left)
 }
 
-// handlerTransport answers calls without a network, so that time can be faked.
+// handlerTransport answers calls without a network, so that tests can run in the fake
+// time of synctest.
 type handlerTransport struct{ handler http.Handler }
 
 func (h handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -165,19 +166,19 @@
 	return w.Result(), nil
 }
 
-func TestWaitingDrawsABarUntilTheEnd(t *testing.T) {
+func TestWaitShowsProgressUntilJobEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := &jobServer{jobs: map[string]*job{"k": {ID: "batch_1", Status: "in_progress"}}}
 		server.jobs["k"].Counts.Total = 2
 		var stdout, stderr bytes.Buffer
-		client := &Client{Bases: []string{"http://a"}, Secret: "caller-secret", HTTP: &http.Client{Transport: handlerTransport{server}}}
+		client := &Client{BaseURLs: []string{"http://a"}, Secret: "caller-secret", HTTP: &http.Client{Transport: handlerTransport{server}}}
 		env := &Env{Context: context.Background(), Stdout: &stdout, Stderr: &stderr, Terminal: true, Output: OutputTable,
 			Caller: client, Now: time.Now, After: time.After}
-		begun := time.Now()
+		start := time.Now()
 		require.NoError(t, (&batchStatus{Job: "batch_1", Wait: true}).Run(env))
-		require.Equal(t, 2*lookEvery, time.Since(begun))
+		require.Equal(t, 2*jobPollInterval, time.Since(start))
 		require.Contains(t, stderr.String(), "] 0/2 in_progress")
-		require.Contains(t, stderr.String(), strings.Repeat("#", barCells)+"] 2/2 completed")
+		require.Contains(t, stderr.String(), strings.Repeat("#", progressBarWidth)+"] 2/2 completed")
 		require.Contains(t, stdout.String(), "completed")
 	})
 }
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -17,12 +17,12 @@
 
 // Help shows examples.
 func (burnCommand) Help() string {
-	return lines("Shows how fast each organisation uses up the failures that its objectives allow. A burn of 1 uses them up",
-		"exactly in the period. Instances that could not be reached are named; their calls are missing.",
+	return joinLines("Shows how fast each organisation uses up the failures that its objectives allow. A burn of 1 uses them up",
+		"exactly in the period. Instances that could not be reached are named; their calls are not counted.",
 		"", "Example: tillerctl burn --html burn.html --instance 10.0.0.1:8003")
 }
 
-// Run makes the report.
+// Run fetches and shows the report.
 func (c *burnCommand) Run(env *Env) error {
 	path := operatorapi.PathBurn
 	if c.Organisation != "" {
@@ -32,23 +32,23 @@
 	if err := env.Operator.Get(env.Context, path, &report); err != nil {
 		return err
 	}
-	did := fmt.Sprintf("%d objectives over %d instances", len(report.Lines), len(report.Merged))
+	summary := fmt.Sprintf("%d objectives over %d instances", len(report.Lines), len(report.Merged))
 	if len(report.Unreached) > 0 {
-		did += fmt.Sprintf("; not reached, so missing here: %v", report.Unreached)
+		summary += fmt.Sprintf("; not reached, so not counted: %v", report.Unreached)
 	}
 	if c.HTML != "" {
 		if err := writePage(c.HTML, report); err != nil {
 			return err
 		}
-		did += "; page written to " + c.HTML
+		summary += "; page written to " + c.HTML
 	}
-	return env.show(result{data: report, table: burnTable(report), did: did, next: burnNext(report)})
+	return env.show(result{data: report, table: burnTable(report), summary: summary, next: burnNext(report)})
 }
 
 func writePage(path string, report burn.Report) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fail(ExitBadInput, "name a file that can be written", "%v", err)
+		return fail(ExitBadInput, "give a file that can be written", "%v", err)
 	}
 	err = page.Write(file, report)
 	if closeErr := file.Close(); err == nil {
@@ -82,7 +82,7 @@
 	}
 	for _, line := range report.Lines {
 		if line.Alarm == burn.AlarmSlow {
-			return "look today at " + string(line.Organisation) + ": docs/OPERATIONS.md, slow burn"
+			return "check today " + string(line.Organisation) + ": docs/OPERATIONS.md, slow burn"
 		}
 	}
 	return "nothing"
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -14,34 +14,35 @@
 	"merlintiller/internal/protocol"
 )
 
-// maxAnswerBytes bounds an answer that is kept in memory.
+// maxAnswerBytes limits an answer that is read into memory.
 const maxAnswerBytes = 64 << 20
 
-// maxErrorBytes bounds the body of an error.
+// maxErrorBytes limits the body of an error answer.
 const maxErrorBytes = 1 << 20
 
-// Client calls one of several instances. They are tried in turn as long as it
-// is certain that the call had no effect at the ones before.
+// Client calls one of several instances. It tries the next instance only if the call
+// certainly had no effect at the previous ones, or if the request is idempotent.
 type Client struct {
-	// Bases are addresses with their scheme, "https://10.0.0.1:8003".
-	Bases  []string
-	Secret string
-	HTTP   *http.Client
+	// BaseURLs are the addresses of the instances with their scheme, such as
+	// "https://10.0.0.1:8003".
+	BaseURLs []string
+	Secret   string
+	HTTP     *http.Client
 }
 
-// request is one call.
+// request describes one call.
 type request struct {
 	method, path string
 	header       http.Header
 	body         []byte
-	// open gives a body that is too large for memory, with its length. It is
-	// called anew for each attempt. If it is nil, body is sent.
+	// open returns a body that is too large for memory, and its length in bytes.
+	// It is called for each attempt. If open is nil, body is sent.
 	open func() (io.ReadCloser, int64, error)
-	// repeatable says that the call may be made again after a lost answer.
-	repeatable bool
+	// idempotent reports whether the call may be made again after a lost answer.
+	idempotent bool
 }
 
-// errorBody is the error form that operators' and callers' calls share.
+// errorBody is the error format of both the operators' and the callers' API.
 type errorBody struct {
 	Error struct {
 		Code    protocol.Code     `json:"code"`
@@ -51,12 +52,12 @@
 	} `json:"error"`
 }
 
-// Get fetches JSON.
+// Get fetches and decodes JSON.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
-	return c.JSON(ctx, request{method: http.MethodGet, path: path, repeatable: true}, into)
+	return c.JSON(ctx, request{method: http.MethodGet, path: path, idempotent: true}, into)
 }
 
-// Post sends JSON once and reads the JSON answer.
+// Post sends JSON, without a retry after a lost answer, and decodes the JSON answer.
 func (c *Client) Post(ctx context.Context, path string, body, into any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -76,12 +77,12 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return lostAnswer(req, fmt.Errorf("unreadable answer: %w", err))
+		return lostAnswer(req, fmt.Errorf("decoding the answer: %w", err))
 	}
 	return nil
 }
 
-// Bytes makes a call and gives its answer as it came.
+// Bytes makes a call and returns the body of its answer.
 func (c *Client) Bytes(ctx context.Context, req request) ([]byte, error) {
 	answer, err := c.send(ctx, req)
 	if err != nil {
@@ -93,13 +94,13 @@
 		return nil, lostAnswer(req, err)
 	}
 	if len(data) > maxAnswerBytes {
-		return nil, fail(ExitFailed, "ask for less at a time", "the answer is larger than %d bytes", maxAnswerBytes)
+		return nil, fail(ExitFailed, "request less at a time", "the answer is larger than %d bytes", maxAnswerBytes)
 	}
 	return data, nil
 }
 
-// Copy makes a call and passes its answer on as it comes, however large. After
-// an error what was written is only a part of it.
+// Copy makes a call and copies the body of its answer, of any size. After an error
+// only a part of the body may have been written.
 func (c *Client) Copy(ctx context.Context, req request, to io.Writer) error {
 	answer, err := c.send(ctx, req)
 	if err != nil {
@@ -107,19 +108,19 @@
 	}
 	defer answer.Body.Close()
 	if _, err := io.Copy(to, answer.Body); err != nil {
-		return fail(ExitUnavailable, "run the command again, for long answers with a larger --timeout", "the answer was cut: %v", err)
+		return fail(ExitUnavailable, "run the command again, for long answers with a larger --timeout", "the answer was truncated: %v", err)
 	}
 	return nil
 }
 
-// send tries the instances in turn until one answers well.
+// send tries the instances in order until one answers with a 2xx status.
 func (c *Client) send(ctx context.Context, req request) (*http.Response, error) {
-	if len(c.Bases) == 0 {
-		return nil, fail(ExitBadInput, "give --instance, or set TILLER_INSTANCE", "no instance was named")
+	if len(c.BaseURLs) == 0 {
+		return nil, fail(ExitBadInput, "give --instance, or set TILLER_INSTANCE", "no instance was given")
 	}
 	var last error
-	for _, base := range c.Bases {
-		answer, err := c.once(ctx, base, req)
+	for _, base := range c.BaseURLs {
+		answer, err := c.sendTo(ctx, base, req)
 		if err == nil {
 			return answer, nil
 		}
@@ -131,21 +132,21 @@
 	return nil, last
 }
 
-// mayTryNext: another instance may be asked if this one certainly did nothing,
-// or if doing it twice is harmless.
+// mayTryNext reports whether another instance may be tried: this one certainly did
+// nothing, or the request is idempotent.
 func mayTryNext(err error, req request) bool {
 	failure := asFailure(err)
 	if failure.Exit == ExitUnavailable {
 		return true
 	}
-	return failure.Exit == ExitMayHaveTakenEffect && req.repeatable
+	return failure.Exit == ExitMayHaveTakenEffect && req.idempotent
 }
 
-// once asks one instance. Its answer, if there is one, has a good status.
-func (c *Client) once(ctx context.Context, base string, req request) (*http.Response, error) {
+// sendTo calls one instance. It returns an answer only with a 2xx status, else an error.
+func (c *Client) sendTo(ctx context.Context, base string, req request) (*http.Response, error) {
 	body, length, err := req.reader()
 	if err != nil {
-		return nil, fail(ExitBadInput, "name a file that can be read", "%v", err)
+		return nil, fail(ExitBadInput, "give a file that can be read", "%v", err)
 	}
 	out, err := http.NewRequestWithContext(ctx, req.method, base+req.path, body)
 	if err != nil {
@@ -174,7 +175,7 @@
 	return nil, statusFailure(base, answer.StatusCode, data)
 }
 
-// reader gives the body of one attempt.
+// reader returns the body of one attempt and its length in bytes.
 func (r request) reader() (io.ReadCloser, int64, error) {
 	if r.open != nil {
 		return r.open()
@@ -185,30 +186,30 @@
 	return io.NopCloser(bytes.NewReader(r.body)), int64(len(r.body)), nil
 }
 
-// sendFailure tells a connection that never stood, after which nothing can
-// have happened, from one that broke.
+// sendFailure distinguishes a failed dial, after which the call certainly had no
+// effect, from a connection that broke during the call.
 func sendFailure(base string, req request, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fail(ExitUnavailable, "check the address, or name further instances with --instance", "%s can't be reached: %v", base, op.Err)
+		return fail(ExitUnavailable, "check the address, or give further instances with --instance", "%s can't be reached: %v", base, op.Err)
 	}
 	return lostAnswer(req, err)
 }
 
 func lostAnswer(req request, err error) error {
 	if req.method == http.MethodGet {
-		return fail(ExitUnavailable, "run the command again, or name further instances with --instance", "the answer was lost: %v", err)
+		return fail(ExitUnavailable, "run the command again, or give further instances with --instance", "the answer was lost: %v", err)
 	}
-	return fail(ExitMayHaveTakenEffect, "run the same command again: what was done is not done twice",
+	return fail(ExitMayHaveTakenEffect, "run the same command again: it does nothing twice",
 		"the answer was lost: %v; the command may have taken effect", err)
 }
 
 func statusFailure(base string, status int, data []byte) error {
 	var body errorBody
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
-		return fail(ExitFailed, "check that the address is the right one of the instance's listeners",
-			"%s answered status %d and no known error", base, status)
+		return fail(ExitFailed, "check that the address is that of the right listener of the instance",
+			"%s answered with status %d and an unknown error body", base, status)
 	}
 	message := strings.TrimSpace(fmt.Sprintf("%s (%s)", body.Error.Message, body.Error.Code))
-	return &Failure{Exit: exitFor(body.Error.Code, body.Error.Run), Message: message, Next: body.Error.Next}
+	return &Failure{Exit: exitCodeFor(body.Error.Code, body.Error.Run), Message: message, Next: body.Error.Next}
 }
--- a/internal/ctl/completion.go
+++ b/internal/ctl/completion.go
@@ -14,7 +14,7 @@
 
 // Help shows examples.
 func (completionCommand) Help() string {
-	return lines("Prints a script that completes commands and flags.",
+	return joinLines("Prints a script that completes commands and flags.",
 		"", "Example: source <(tillerctl completion bash)")
 }
 
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// completionHead finds the command so far, which are the words that are no
-// flags, and offers what may follow it.
+// completionHead joins the words that are not flags to the command entered so far,
+// and offers the words that may follow the command.
 const completionHead = `_tillerctl() {
   local word="${COMP_WORDS[COMP_CWORD]}" path="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -12,7 +12,7 @@
 type configCommands struct {
 	Check configCheck `cmd:"" help:"Check a configuration folder without asking the fleet."`
 	Diff  configDiff  `cmd:"" help:"Show what applying a folder would change."`
-	Apply configApply `cmd:"" help:"Publish a folder, so that it is in force in the whole fleet."`
+	Apply configApply `cmd:"" help:"Publish a folder as the configuration of the entire fleet."`
 	Show  configShow  `cmd:"" help:"Show the configuration in force."`
 
 	History configHistory `cmd:"" help:"Show the changes of the configuration."`
@@ -24,7 +24,7 @@
 
 // Help shows examples.
 func (configCheck) Help() string {
-	return lines("Reads the files in the order of their names and lists every mistake with file, line and field.",
+	return joinLines("Reads the files in the order of their names and lists every mistake with file, line and field.",
 		"", "Example: tillerctl config check examples/cascadia")
 }
 
@@ -37,8 +37,8 @@
 	counts := countsOf(objects)
 	return env.show(result{
 		data: counts, table: counts.table(),
-		did:  fmt.Sprintf("%s is whole: %d objects", c.Folder, objects.Count()),
-		next: "tillerctl config diff " + c.Folder,
+		summary: fmt.Sprintf("%s is valid: %d objects", c.Folder, objects.Count()),
+		next:    "tillerctl config diff " + c.Folder,
 	})
 }
 
@@ -46,10 +46,10 @@
 	objects, err := fleetdir.Load(folder)
 	var problems strictyaml.Problems
 	if errors.As(err, &problems) {
-		return objects, fail(ExitBadInput, "mend these places; nothing was changed", "%d mistakes in %s\n%s", len(problems), folder, problems.Error())
+		return objects, fail(ExitBadInput, "correct these mistakes; nothing was changed", "%d mistakes in %s\n%s", len(problems), folder, problems.Error())
 	}
 	if err != nil {
-		return objects, fail(ExitBadInput, "name a folder that can be read", "%v", err)
+		return objects, fail(ExitBadInput, "give a folder that can be read", "%v", err)
 	}
 	return objects, nil
 }
@@ -82,7 +82,7 @@
 
 // Help shows examples.
 func (configDiff) Help() string {
-	return lines("Compares the folder with the configuration in force at an instance. Changes nothing.",
+	return joinLines("Compares the folder with the configuration in force at an instance. Changes nothing.",
 		"", "Example: tillerctl config diff examples/cascadia --instance 10.0.0.1:8003")
 }
 
@@ -92,13 +92,13 @@
 	if err != nil {
 		return err
 	}
-	shown := planned(plan)
+	view := newPlannedChange(plan)
 	next := "tillerctl config apply " + c.Folder
 	if plan.Empty() {
 		next = "nothing: the folder is in force"
 	}
-	return env.show(result{data: shown, table: shown.table(),
-		did: fmt.Sprintf("compared with version %d; nothing was changed", plan.Change.BasedOn), next: next})
+	return env.show(result{data: view, table: view.table(),
+		summary: fmt.Sprintf("compared with version %d; nothing was changed", plan.Change.BasedOn), next: next})
 }
 
 func planFor(env *Env, folder string) (fleetdir.Plan, operatorapi.FleetAnswer, error) {
--- a/internal/ctl/configapply.go
+++ b/internal/ctl/configapply.go
@@ -10,9 +10,9 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// inForceEvery is the period of asking whether a version is in force at every
-// instance. It is there within a second as a rule.
-const inForceEvery = 250 * time.Millisecond
+// statusPollInterval is how often waitUntilInForce checks whether a version is in
+// force at every instance. A version usually is within a second.
+const statusPollInterval = 250 * time.Millisecond
 
 type configApply struct {
 	Folder string `arg:"" help:"Folder of YAML files."`
@@ -21,9 +21,9 @@
 
 // Help shows examples.
 func (configApply) Help() string {
-	return lines("Publishes what differs. If another operator's change comes first, nothing is changed and the exit code is 3.",
-		"After a lost answer run it again: what is in force already is not published again.",
-		"A change that is too large for one log entry is published in parts, each of them whole in itself.",
+	return joinLines("Publishes the difference. If another operator's change is published first, nothing is changed and the exit code is 3.",
+		"After a lost answer run it again: objects that are already in force are not published again.",
+		"A change that is too large for one log entry is published in parts, each of them a valid change.",
 		"", "Example: tillerctl config apply examples/cascadia --wait --instance 10.0.0.1:8003 --instance 10.0.0.2:8003")
 }
 
@@ -33,25 +33,26 @@
 	if err != nil {
 		return err
 	}
-	shown := planned(plan)
+	view := newPlannedChange(plan)
 	if plan.Empty() {
-		return env.show(result{data: shown, table: shown.table(),
-			did:  fmt.Sprintf("nothing to do: the folder is in force as version %d at %s", answer.Fleet.Version, answer.Instance),
-			next: "tillerctl status"})
+		return env.show(result{data: view, table: view.table(),
+			summary: fmt.Sprintf("nothing to do: the folder is in force as version %d at %s", answer.Fleet.Version, answer.Instance),
+			next:    "tillerctl status"})
 	}
 	done, err := c.publishParts(env, plan.Change)
 	if err != nil {
-		return c.settleLost(env, err)
+		return c.confirmAfterLostAnswer(env, err)
 	}
-	shown.Version = done.Version
+	view.Version = done.Version
 	if c.Wait {
-		return c.wait(env, shown, done)
+		return c.waitUntilInForce(env, view, done)
 	}
-	return env.show(result{data: shown, table: shown.table(), did: done.Message, next: done.Next})
+	return env.show(result{data: view, table: view.table(), summary: done.Message, next: done.Next})
 }
 
-// publishParts publishes a change, in parts if it must be. Between two parts
-// another operator may come first; then the parts before stand.
+// publishParts publishes a change, in several parts if it is too large for one log
+// entry. Another operator may publish a change between two parts; the earlier parts
+// then remain in force.
 func (c *configApply) publishParts(env *Env, change protocol.FleetChange) (operatorapi.ChangeAnswer, error) {
 	parts := fleetdir.Split(change)
 	var done operatorapi.ChangeAnswer
@@ -63,7 +64,7 @@
 		if err != nil && i > 0 {
 			failure := asFailure(err)
 			return done, fail(failure.Exit, "run the same command again: it publishes the rest",
-				"%d of %d parts are in force as version %d; the next one: %s", i, len(parts), done.Version, failure.Message)
+				"%d of %d parts are in force as version %d; the next one failed: %s", i, len(parts), done.Version, failure.Message)
 		}
 		if err != nil {
 			return done, err
@@ -73,9 +74,9 @@
 	return done, nil
 }
 
-// settleLost looks whether a change whose answer was lost is in force. If it
-// is not, it may still come: the exit code says so.
-func (c *configApply) settleLost(env *Env, cause error) error {
+// confirmAfterLostAnswer checks whether a change whose answer was lost is in force.
+// If it is not, it may still take effect: the exit code says so.
+func (c *configApply) confirmAfterLostAnswer(env *Env, cause error) error {
 	if asFailure(cause).Exit != ExitMayHaveTakenEffect {
 		return cause
 	}
@@ -83,41 +84,42 @@
 	if err != nil || !plan.Empty() {
 		return cause
 	}
-	shown := planned(plan)
-	shown.Version = answer.Fleet.Version
-	return env.show(result{data: shown, table: shown.table(),
-		did:  fmt.Sprintf("the answer was lost, but the folder is in force as version %d at %s", answer.Fleet.Version, answer.Instance),
-		next: "tillerctl status"})
+	view := newPlannedChange(plan)
+	view.Version = answer.Fleet.Version
+	return env.show(result{data: view, table: view.table(),
+		summary: fmt.Sprintf("the answer was lost, but the folder is in force as version %d at %s", answer.Fleet.Version, answer.Instance),
+		next:    "tillerctl status"})
 }
 
-// wait asks until every instance that answers has the version.
-func (c *configApply) wait(env *Env, shown plannedChange, done operatorapi.ChangeAnswer) error {
-	begun := env.Now()
+// waitUntilInForce polls until every instance that answers has the version in force.
+func (c *configApply) waitUntilInForce(env *Env, view plannedChange, done operatorapi.ChangeAnswer) error {
+	start := env.Now()
 	for {
 		var status fleetstatus.Status
 		if err := env.Operator.Get(env.Context, operatorapi.PathStatus, &status); err != nil {
 			return err
 		}
-		behind := behind(status, done.Version)
-		if behind == 0 {
-			did := fmt.Sprintf("version %d is in force at all %d instances that can be reached, seen after %s",
-				done.Version, len(status.Instances), env.Now().Sub(begun).Round(time.Millisecond))
+		outdated := countOutdated(status, done.Version)
+		if outdated == 0 {
+			summary := fmt.Sprintf("version %d is in force at all %d instances that can be reached, confirmed after %s",
+				done.Version, len(status.Instances), env.Now().Sub(start).Round(time.Millisecond))
 			next := "nothing"
 			if len(status.Unreached) > 0 {
-				did += fmt.Sprintf("; %d were not reached", len(status.Unreached))
+				summary += fmt.Sprintf("; %d were not reached", len(status.Unreached))
 				next = "tillerctl status names them"
 			}
-			return env.show(result{data: shown, table: shown.table(), did: did, next: next})
+			return env.show(result{data: view, table: view.table(), summary: summary, next: next})
 		}
 		select {
 		case <-env.Context.Done():
-			return fail(ExitUnavailable, "tillerctl status names them", "version %d is accepted and not yet in force at %d instances", done.Version, behind)
-		case <-env.After(inForceEvery):
+			return fail(ExitUnavailable, "tillerctl status names them", "version %d is accepted but not yet in force at %d instances", done.Version, outdated)
+		case <-env.After(statusPollInterval):
 		}
 	}
 }
 
-func behind(status fleetstatus.Status, version protocol.Offset) int {
+// countOutdated counts the instances whose configuration is older than version.
+func countOutdated(status fleetstatus.Status, version protocol.Offset) int {
 	count := 0
 	for _, instance := range status.Instances {
 		if instance.Version < version {
@@ -127,7 +129,7 @@
 	return count
 }
 
-// publish sends a change under an id of its own.
+// publish sends a change under a new id.
 func publish(env *Env, change protocol.FleetChange) (operatorapi.ChangeAnswer, error) {
 	var answer operatorapi.ChangeAnswer
 	id, err := randomID(env, "chg")
--- a/internal/ctl/configshow.go
+++ b/internal/ctl/configshow.go
@@ -9,12 +9,12 @@
 )
 
 type configShow struct {
-	AsFile bool `help:"Print the configuration as one YAML file that config check and apply take."`
+	AsFile bool `help:"Print the configuration as one YAML file that config check and config apply accept."`
 }
 
 // Help shows examples.
 func (configShow) Help() string {
-	return lines("With --as-file a folder that was lost can be made anew from what is in force.",
+	return joinLines("With --as-file a lost folder can be restored from the configuration in force.",
 		"", "Example: tillerctl config show --as-file --instance 10.0.0.1:8003 > fleet/10-all.yaml")
 }
 
@@ -24,28 +24,29 @@
 	if err != nil {
 		return err
 	}
-	did := asOf(answer)
+	summary := asOf(answer)
 	next := ""
 	if !answer.LogUp {
-		next = "the instance can't reach the log: there may be a newer version; ask an instance of another domain"
+		next = "the instance can't reach the log, so there may be a newer version; ask an instance of another domain"
 	}
 	if c.AsFile {
 		if err := writeFolderFile(env, answer.Fleet); err != nil {
 			return err
 		}
-		return env.show(result{did: did, next: next, quiet: true})
+		return env.show(result{summary: summary, next: next, dataPrinted: true})
 	}
-	shown, err := fleetView(answer)
+	view, err := fleetView(answer)
 	if err != nil {
 		return err
 	}
-	return env.show(result{data: shown, table: fleetTable(answer.Fleet), did: did, next: next})
+	return env.show(result{data: view, table: fleetTable(answer.Fleet), summary: summary, next: next})
 }
 
-// writeFolderFile leaves out withdrawals of keys that were never known, which
-// have no hash: they stay in force without the folder.
+// writeFolderFile writes the configuration as one file of a folder. It omits keys
+// without a hash. These were withdrawn although the configuration never contained
+// them; their withdrawal stays in force without the folder.
 func writeFolderFile(env *Env, fleet *protocol.Fleet) error {
-	form := formOf(fleet)
+	form := folderFormOf(fleet)
 	known := form.Keys[:0]
 	for _, key := range form.Keys {
 		if key.SHA256 != "" {
--- a/internal/ctl/configview.go
+++ b/internal/ctl/configview.go
@@ -14,17 +14,18 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// plannedChange is a difference as it is shown.
+// plannedChange is the change from the configuration in force to a folder, in its
+// output form.
 type plannedChange struct {
 	BasedOn protocol.Offset `json:"based_on"`
-	// Version is the version that the change made, 0 if none was made.
+	// Version is the version that the change produced, 0 if nothing was published.
 	Version protocol.Offset        `json:"version,omitempty"`
 	Set     []protocol.FleetObject `json:"set,omitempty"`
 	Remove  []protocol.FleetRef    `json:"remove,omitempty"`
 	Notes   []string               `json:"notes,omitempty"`
 }
 
-func planned(plan fleetdir.Plan) plannedChange {
+func newPlannedChange(plan fleetdir.Plan) plannedChange {
 	return plannedChange{BasedOn: plan.Change.BasedOn, Set: plan.Change.Set, Remove: plan.Change.Remove, Notes: plan.Notes}
 }
 
@@ -90,7 +91,7 @@
 	}
 }
 
-// folderForm is the configuration in the form of a folder's file.
+// folderForm is the configuration in the format of a file in a configuration folder.
 type folderForm struct {
 	Domains       []protocol.DomainShare  `yaml:"domains,omitempty"`
 	Services      []protocol.Service      `yaml:"services,omitempty"`
@@ -99,20 +100,20 @@
 	Keys          []protocol.Key          `yaml:"keys,omitempty"`
 }
 
-func formOf(fleet *protocol.Fleet) folderForm {
+func folderFormOf(fleet *protocol.Fleet) folderForm {
 	return folderForm{
-		Domains:       values(fleet.Domains),
-		Services:      values(fleet.Services),
-		Models:        values(fleet.Models),
-		Organisations: values(fleet.Organisations),
-		Keys:          values(fleet.Keys),
+		Domains:       sortedValues(fleet.Domains),
+		Services:      sortedValues(fleet.Services),
+		Models:        sortedValues(fleet.Models),
+		Organisations: sortedValues(fleet.Organisations),
+		Keys:          sortedValues(fleet.Keys),
 	}
 }
 
-// fleetView gives the configuration with times in their usual form ("2s"),
-// which encoding/json would show as nanoseconds.
+// fleetView returns the configuration with durations as text ("2s"), which
+// encoding/json would print in nanoseconds.
 func fleetView(answer operatorapi.FleetAnswer) (map[string]any, error) {
-	encoded, err := yaml.Marshal(formOf(answer.Fleet))
+	encoded, err := yaml.Marshal(folderFormOf(answer.Fleet))
 	if err != nil {
 		return nil, err
 	}
@@ -129,19 +130,19 @@
 func fleetTable(fleet *protocol.Fleet) table {
 	t := table{heading: []string{"KIND", "NAME", "VALUE"}}
 	var objects []protocol.FleetObject
-	for _, d := range values(fleet.Domains) {
+	for _, d := range sortedValues(fleet.Domains) {
 		objects = append(objects, protocol.FleetObject{Domain: &d})
 	}
-	for _, s := range values(fleet.Services) {
+	for _, s := range sortedValues(fleet.Services) {
 		objects = append(objects, protocol.FleetObject{Service: &s})
 	}
-	for _, m := range values(fleet.Models) {
+	for _, m := range sortedValues(fleet.Models) {
 		objects = append(objects, protocol.FleetObject{Model: &m})
 	}
-	for _, o := range values(fleet.Organisations) {
+	for _, o := range sortedValues(fleet.Organisations) {
 		objects = append(objects, protocol.FleetObject{Organisation: &o})
 	}
-	for _, k := range values(fleet.Keys) {
+	for _, k := range sortedValues(fleet.Keys) {
 		objects = append(objects, protocol.FleetObject{Key: &k})
 	}
 	for _, object := range objects {
@@ -151,8 +152,8 @@
 	return t
 }
 
-// values gives the objects of a map in the order of their ids.
-func values[K cmp.Ordered, T any](objects map[K]T) []T {
+// sortedValues returns the objects of a map in the order of their ids.
+func sortedValues[K cmp.Ordered, T any](objects map[K]T) []T {
 	out := make([]T, 0, len(objects))
 	for _, id := range slices.Sorted(maps.Keys(objects)) {
 		out = append(out, objects[id])
--- a/internal/ctl/connect.go
+++ b/internal/ctl/connect.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// basesOf gives each instance's address with its scheme: plaintext on
-// loopback without certificates, TLS elsewhere.
-func basesOf(options Options) ([]string, error) {
-	var bases []string
+// baseURLsOf returns the address of each instance with its scheme: http for --plaintext
+// and for loopback addresses without --ca, https otherwise.
+func baseURLsOf(options Options) ([]string, error) {
+	var urls []string
 	for _, address := range options.Instance {
 		parsed, err := netip.ParseAddrPort(address)
 		if err != nil {
-			return nil, fail(ExitBadInput, "give an IP number with a port, such as 10.0.0.1:8003", "instance %q is no address", address)
+			return nil, fail(ExitBadInput, "give an IP address with a port, such as 10.0.0.1:8003", "instance %q is not an address", address)
 		}
 		scheme := "https://"
 		if options.Plaintext || parsed.Addr().IsLoopback() && options.CA == "" {
 			scheme = "http://"
 		}
-		bases = append(bases, scheme+address)
+		urls = append(urls, scheme+address)
 	}
-	return bases, nil
+	return urls, nil
 }
 
 func newTransport(options Options) (*http.Transport, error) {
@@ -32,22 +32,22 @@
 	if options.CA != "" {
 		pem, err := os.ReadFile(options.CA)
 		if err != nil {
-			return nil, fail(ExitBadInput, "", "authorities: %v", err)
+			return nil, fail(ExitBadInput, "", "reading the certificate authorities: %v", err)
 		}
 		config.RootCAs = x509.NewCertPool()
 		if !config.RootCAs.AppendCertsFromPEM(pem) {
-			return nil, fail(ExitBadInput, "", "%s holds no certificate", options.CA)
+			return nil, fail(ExitBadInput, "", "%s contains no certificate", options.CA)
 		}
 	}
 	if options.Cert != "" || options.CertKey != "" {
 		pair, err := tls.LoadX509KeyPair(options.Cert, options.CertKey)
 		if err != nil {
-			return nil, fail(ExitBadInput, "give --cert and --cert-key together", "certificate: %v", err)
+			return nil, fail(ExitBadInput, "give --cert and --cert-key together", "reading the certificate: %v", err)
 		}
 		config.Certificates = []tls.Certificate{pair}
 	}
 	return &http.Transport{TLSClientConfig: config}, nil
 }
 
-// lines joins the lines of a long help text.
-func lines(text ...string) string { return strings.Join(text, "\n") }
+// joinLines joins lines of text, such as those of a long help text.
+func joinLines(text ...string) string { return strings.Join(text, "\n") }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -23,18 +23,20 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// fleetServer is an operators' listener whose fleet follows the changes.
+// fleetServer is a fake listener for operators that applies changes to its fleet.
 type fleetServer struct {
 	mu      sync.Mutex
 	fleet   protocol.Fleet
 	changes int
-	// loseAnswers makes that many changes take effect without an answer.
+	// loseAnswers is how many of the next changes take effect without an answer.
 	loseAnswers int
-	// ignore makes that many changes vanish without effect or answer.
-	ignore int
-	// overtake publishes that many other changes ahead of the next ones.
-	overtake int
-	// lagging is how often status shows an instance that is behind.
+	// dropChanges is how many of the next changes get no effect and no answer.
+	dropChanges int
+	// conflicts is how many of the next changes find that another change was
+	// published first.
+	conflicts int
+	// lagging is how many of the next status calls show an instance with an older
+	// version.
 	lagging int
 }
 
@@ -80,12 +82,12 @@
 func (s *fleetServer) change(w http.ResponseWriter, r *http.Request) {
 	var request operatorapi.ChangeRequest
 	_ = json.NewDecoder(r.Body).Decode(&request)
-	if s.ignore > 0 {
-		s.ignore--
+	if s.dropChanges > 0 {
+		s.dropChanges--
 		panic(http.ErrAbortHandler)
 	}
-	if s.overtake > 0 {
-		s.overtake--
+	if s.conflicts > 0 {
+		s.conflicts--
 		s.fleet.Version++
 	}
 	if request.BasedOn != s.fleet.Version {
@@ -120,24 +122,24 @@
 	}
 }
 
-type ran struct {
+type runResult struct {
 	code           ExitCode
 	stdout, stderr string
 }
 
-func run(args ...string) ran {
+func run(args ...string) runResult {
 	var stdout, stderr bytes.Buffer
 	code := Run(Process{Context: context.Background(), Stdout: &stdout, Stderr: &stderr}, args)
-	return ran{code, stdout.String(), stderr.String()}
+	return runResult{code, stdout.String(), stderr.String()}
 }
 
-const folder = "../../examples/cascadia"
+const exampleFolder = "../../examples/cascadia"
 
 func TestApplyTwiceChangesOnce(t *testing.T) {
 	server, address := newFleetServer(t)
-	first := run("config", "apply", folder, "--instance", address)
+	first := run("config", "apply", exampleFolder, "--instance", address)
 	require.Equal(t, ExitOK, first.code, first.stderr)
-	second := run("config", "apply", folder, "--instance", address)
+	second := run("config", "apply", exampleFolder, "--instance", address)
 	require.Equal(t, ExitOK, second.code)
 	require.Contains(t, second.stderr, "nothing to do")
 	require.Equal(t, 1, server.changes)
@@ -145,9 +147,9 @@
 	require.Contains(t, show.stdout, "first_token: 2s")
 }
 
-func TestConfigurationInForceCanBeKeptAsAFile(t *testing.T) {
+func TestShowAsFileCanBeApplied(t *testing.T) {
 	server, address := newFleetServer(t)
-	require.Equal(t, ExitOK, run("config", "apply", folder, "--instance", address).code)
+	require.Equal(t, ExitOK, run("config", "apply", exampleFolder, "--instance", address).code)
 	require.Equal(t, ExitOK, run("key", "create", "puget-risers", "--instance", address).code)
 	file := run("config", "show", "--as-file", "--instance", address)
 	dir := t.TempDir()
@@ -158,52 +160,52 @@
 	require.Equal(t, changes, server.changes)
 }
 
-// An instance is still at the old version when the change is accepted. An
-// operator who goes on would meet it there; with --wait the tool comes back only
-// when the change is in force.
+// One instance still has the old version when the change is accepted. An operator who
+// continues at once could reach that instance; with --wait the command returns only
+// when the change is in force at all instances.
 func TestApplyWaitsUntilInForceEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := emptyFleetServer()
 		server.lagging = 2
 		var stdout, stderr bytes.Buffer
-		client := &Client{Bases: []string{"http://a"}, HTTP: &http.Client{Transport: handlerTransport{server}}}
+		client := &Client{BaseURLs: []string{"http://a"}, HTTP: &http.Client{Transport: handlerTransport{server}}}
 		env := &Env{Context: t.Context(), Stdout: &stdout, Stderr: &stderr, Output: OutputTable, Operator: client,
 			Now: time.Now, After: time.After, Random: rand.Reader}
-		require.NoError(t, (&configApply{Folder: folder, Wait: true}).Run(env))
-		require.Contains(t, stderr.String(), "version 0 is in force at all 2 instances that can be reached, seen after 500ms; 1 were not reached")
+		require.NoError(t, (&configApply{Folder: exampleFolder, Wait: true}).Run(env))
+		require.Contains(t, stderr.String(), "version 0 is in force at all 2 instances that can be reached, confirmed after 500ms; 1 were not reached")
 		require.Zero(t, server.lagging)
 	})
 }
 
-// The instance publishes a change and its answer is lost on the way back. An
-// operator who hears "failed" would publish it again or undo it by hand. The
-// tool looks for itself and says what is in force.
-func TestLostAnswerOfApplyIsSettledByLooking(t *testing.T) {
+// The instance publishes a change and its answer is lost. An operator who reads
+// "failed" would publish the change again or undo it by hand. The command therefore
+// queries the fleet and reports which version is in force.
+func TestApplyChecksFleetAfterLostAnswer(t *testing.T) {
 	server, address := newFleetServer(t)
 	server.loseAnswers = 1
-	got := run("config", "apply", folder, "--instance", address)
+	got := run("config", "apply", exampleFolder, "--instance", address)
 	require.Equal(t, ExitOK, got.code, got.stderr)
 	require.Contains(t, got.stderr, "the answer was lost, but the folder is in force")
 }
 
-// The connection breaks before the change is seen anywhere. The tool can't
-// know whether it is still on its way: it says so with its own exit code, and
-// the same command run again does the rest, once.
+// The connection breaks and the fleet does not have the change. The command can't know
+// whether the change still takes effect: it reports this by exit code 4, and running
+// the same command again publishes the change exactly once.
 func TestUncertainApplyExits4AndCanBeRunAgain(t *testing.T) {
 	server, address := newFleetServer(t)
-	server.ignore = 1
-	got := run("config", "apply", folder, "--instance", address)
+	server.dropChanges = 1
+	got := run("config", "apply", exampleFolder, "--instance", address)
 	require.Equal(t, ExitMayHaveTakenEffect, got.code)
 	require.Contains(t, got.stderr, "may have taken effect")
 	require.Contains(t, got.stderr, "next: run the same command again")
-	require.Equal(t, ExitOK, run("config", "apply", folder, "--instance", address).code)
+	require.Equal(t, ExitOK, run("config", "apply", exampleFolder, "--instance", address).code)
 	require.Equal(t, 1, server.changes)
 }
 
-func TestOvertakenApplyExits3(t *testing.T) {
+func TestConflictingApplyExits3(t *testing.T) {
 	server, address := newFleetServer(t)
-	server.overtake = 1
-	got := run("config", "apply", folder, "--instance", address)
+	server.conflicts = 1
+	got := run("config", "apply", exampleFolder, "--instance", address)
 	require.Equal(t, ExitConflict, got.code)
 	require.Contains(t, got.stderr, "next: look at config diff")
 	require.Zero(t, server.changes)
@@ -212,16 +214,16 @@
 func TestUnreachableInstancesExit5AndTheNextIsTried(t *testing.T) {
 	_, address := newFleetServer(t)
 	dead := httptest.NewServer(http.NotFoundHandler())
-	gone := strings.TrimPrefix(dead.URL, "http://")
+	unreachable := strings.TrimPrefix(dead.URL, "http://")
 	dead.Close()
-	require.Equal(t, ExitUnavailable, run("config", "show", "--instance", gone).code)
-	require.Equal(t, ExitOK, run("config", "show", "--instance", gone, "--instance", address).code)
+	require.Equal(t, ExitUnavailable, run("config", "show", "--instance", unreachable).code)
+	require.Equal(t, ExitOK, run("config", "show", "--instance", unreachable, "--instance", address).code)
 }
 
-func TestKeyIsCreatedOverOtherChangesAndShownOnce(t *testing.T) {
+func TestCreateKeyRetriesConflictsAndShowsSecretOnce(t *testing.T) {
 	server, address := newFleetServer(t)
 	server.fleet.Organisations["ana"] = protocol.Organisation{ID: "ana", Rate: 1, Burst: 1}
-	server.overtake, server.loseAnswers = 2, 1
+	server.conflicts, server.loseAnswers = 2, 1
 	got := run("key", "create", "ana", "--output", "json", "--instance", address)
 	require.Equal(t, ExitOK, got.code, got.stderr)
 	var created createdKey
@@ -236,7 +238,7 @@
 	require.Equal(t, ExitBadInput, run("key", "create", "nobody", "--instance", address).code)
 }
 
-func TestSecretForAnIdIsSentNowhere(t *testing.T) {
+func TestSecretGivenAsIDIsNotSent(t *testing.T) {
 	got := run("key", "withdraw", protocol.SecretPrefix+"hunter2", "--instance", "127.0.0.1:1")
 	require.Equal(t, ExitBadInput, got.code)
 	require.NotContains(t, got.stderr, "hunter2")
--- a/internal/ctl/failure.go
+++ b/internal/ctl/failure.go
@@ -17,31 +17,31 @@
 	ExitFailed ExitCode = 1
 	// ExitBadInput: the command line, a file or a request is wrong.
 	ExitBadInput ExitCode = 2
-	// ExitConflict: another change came first; nothing was changed.
+	// ExitConflict: another change was published first; nothing was changed.
 	ExitConflict ExitCode = 3
-	// ExitMayHaveTakenEffect: the answer was lost. Run the command again: it
-	// finds out, and does nothing twice.
+	// ExitMayHaveTakenEffect: the answer was lost. Running the command again shows
+	// whether it took effect, and does nothing twice.
 	ExitMayHaveTakenEffect ExitCode = 4
-	// ExitUnavailable: no instance could do it now; nothing was changed.
+	// ExitUnavailable: no instance could carry out the command; nothing was changed.
 	ExitUnavailable ExitCode = 5
 )
 
-// Failure is why a command did not do what it was asked.
+// Failure is the error of a command: its exit code, and what the operator reads.
 type Failure struct {
 	Exit    ExitCode
 	Message string
-	// Next tells what to do.
+	// Next says what the operator can do about the failure.
 	Next string
 }
 
-// Error gives the message.
+// Error returns the message.
 func (f *Failure) Error() string { return f.Message }
 
 func fail(exit ExitCode, next, format string, args ...any) *Failure {
 	return &Failure{Exit: exit, Message: fmt.Sprintf(format, args...), Next: next}
 }
 
-// asFailure turns any error into a failure.
+// asFailure converts an error to a Failure, with exit code ExitFailed unless err is one already.
 func asFailure(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -50,8 +50,8 @@
 	return &Failure{Exit: ExitFailed, Message: err.Error()}
 }
 
-// exitFor maps what an instance answered to an exit code.
-func exitFor(code protocol.Code, run protocol.RunState) ExitCode {
+// exitCodeFor maps the error answer of an instance to an exit code.
+func exitCodeFor(code protocol.Code, run protocol.RunState) ExitCode {
 	if run == protocol.MayHaveRun {
 		return ExitMayHaveTakenEffect
 	}
--- a/internal/ctl/history.go
+++ b/internal/ctl/history.go
@@ -9,12 +9,12 @@
 )
 
 type configHistory struct {
-	Last int `help:"Show so many changes." default:"20"`
+	Last int `help:"Number of changes to show." default:"20"`
 }
 
 // Help shows examples.
 func (configHistory) Help() string {
-	return lines("Shows who changed what, the newest first. Withdrawn keys are listed too.",
+	return joinLines("Shows who changed what, the newest first. Withdrawn keys are listed too.",
 		"", "Example: tillerctl config history --last 5 --instance 10.0.0.1:8003")
 }
 
@@ -33,5 +33,5 @@
 		}
 		t.add(fmt.Sprint(change.Version), at, change.Operator, change.ChangeID, strings.Join(change.Objects, ", "))
 	}
-	return env.show(result{data: answer, table: t, did: fmt.Sprintf("%d changes as %s knows them", len(answer.Changes), answer.Instance)})
+	return env.show(result{data: answer, table: t, summary: fmt.Sprintf("%d changes known to %s", len(answer.Changes), answer.Instance)})
 }
--- a/internal/ctl/key.go
+++ b/internal/ctl/key.go
@@ -13,11 +13,11 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// secretBytes is the size of a secret: 256 random bits can't be guessed.
+// secretBytes is the size of a secret in bytes: 256 random bits can't be guessed.
 const secretBytes = 32
 
-// idBytes is the size of a random id. Collisions among 10^6 ids have a chance
-// of 10^-12.
+// idBytes is the size of a random id in bytes. The probability of a collision among
+// 10^6 ids is 10^-12.
 const idBytes = 10
 
 type keyCommands struct {
@@ -32,12 +32,12 @@
 
 // Help shows examples.
 func (keyCreate) Help() string {
-	return lines("The secret is printed to the standard output once and kept nowhere: the configuration holds its hash.",
-		"After a lost answer run it again for a new key and withdraw the id that was named.",
+	return joinLines("The secret is printed to the standard output once and not stored: the configuration holds its hash.",
+		"After a lost answer run it again for a new key, and withdraw the key whose id was printed.",
 		"", "Example: tillerctl key create hollister-field")
 }
 
-// createdKey is what key create shows.
+// createdKey is the output of key create.
 type createdKey struct {
 	ID           protocol.KeyID          `json:"id"`
 	Organisation protocol.OrganisationID `json:"organisation"`
@@ -67,16 +67,16 @@
 	t := table{heading: []string{"KEY", "ORGANISATION", "SECRET"}}
 	t.add(string(key.ID), c.Organisation, secret)
 	return env.show(result{data: created, table: t,
-		did:  fmt.Sprintf("key %s is in force as version %d; the secret above is shown this once", key.ID, version),
-		next: "hand the secret to the callers; tillerctl key withdraw " + string(key.ID) + " ends it"})
+		summary: fmt.Sprintf("key %s is in force as version %d; the secret above is shown only once", key.ID, version),
+		next:    "give the secret to the callers; tillerctl key withdraw " + string(key.ID) + " makes it invalid"})
 }
 
-// keyTries bounds how often a key is published anew after a conflict. A new key
-// clashes with no other change, so the operator needs not decide anything.
-const keyTries = 5
+// maxKeyAttempts limits how often a new key is published again after a conflict. A
+// new key can't contradict another change, so the operator need not decide anything.
+const maxKeyAttempts = 5
 
 func publishKey(env *Env, basedOn protocol.Offset, key protocol.Key) (protocol.Offset, error) {
-	for range keyTries {
+	for range maxKeyAttempts {
 		change := protocol.FleetChange{BasedOn: basedOn, Set: []protocol.FleetObject{{Key: &key}}}
 		done, err := publish(env, change)
 		if err == nil {
@@ -86,30 +86,31 @@
 		if exit != ExitConflict && exit != ExitMayHaveTakenEffect {
 			return 0, err
 		}
-		answer, lookErr := fetchFleet(env)
-		if lookErr != nil {
-			return 0, lostKey(err, key.ID)
+		answer, fetchErr := fetchFleet(env)
+		if fetchErr != nil {
+			return 0, uncertainKey(err, key.ID)
 		}
 		if _, ok := answer.Fleet.Keys[key.ID]; ok {
 			return answer.Fleet.Version, nil
 		}
 		if exit == ExitMayHaveTakenEffect {
-			return 0, lostKey(err, key.ID)
+			return 0, uncertainKey(err, key.ID)
 		}
 		basedOn = answer.Fleet.Version
 	}
-	return 0, fail(ExitConflict, "run the same command again", "other changes came first %d times; no key was created", keyTries)
+	return 0, fail(ExitConflict, "run the same command again", "other changes were published first %d times; no key was created", maxKeyAttempts)
 }
 
-// lostKey: a key whose creation is uncertain has a secret that nobody saw, so
-// it does no harm, and is withdrawn for tidiness.
-func lostKey(err error, id protocol.KeyID) error {
+// uncertainKey returns the failure for a key that may have been created although the
+// answer was lost. Nobody has seen its secret, so the key does no harm; the operator
+// is asked to withdraw it so that no unused key remains.
+func uncertainKey(err error, id protocol.KeyID) error {
 	failure := asFailure(err)
 	if failure.Exit != ExitMayHaveTakenEffect {
 		return err
 	}
 	return fail(failure.Exit, fmt.Sprintf("run key withdraw %s, then key create again", id),
-		"%s; key %s may exist, its secret was not shown", failure.Message, id)
+		"%s; key %s may exist, but its secret was not shown", failure.Message, id)
 }
 
 func newKey(env *Env, org protocol.OrganisationID) (protocol.Key, string, error) {
@@ -140,26 +141,26 @@
 
 // Help shows examples.
 func (keyWithdraw) Help() string {
-	return lines("Works also while the platform's log is down: the instance refuses the key at once and tells the others.",
-		"Running it again does no harm.",
+	return joinLines("Also works while the platform's log is down: the instance rejects the key at once and notifies the others.",
+		"Safe to run again.",
 		"", "Example: tillerctl key withdraw key-0a1b2c3d4e5f60718293 --instance 10.0.0.1:8003")
 }
 
 // Run withdraws the key.
 func (c *keyWithdraw) Run(env *Env) error {
 	if protocol.KeyID(c.Key).LooksLikeSecret() {
-		return fail(ExitBadInput, "tillerctl key list shows the ids", "this is the secret of a key, not its id; it was sent nowhere")
+		return fail(ExitBadInput, "tillerctl key list shows the ids", "this is the secret of a key, not its id; it was not sent to any instance")
 	}
 	var answer operatorapi.WithdrawAnswer
 	path := operatorapi.PathKeys + url.PathEscape(c.Key) + "/withdraw"
-	// A withdrawal may be repeated, so every instance is tried in turn.
-	err := env.Operator.JSON(env.Context, request{method: http.MethodPost, path: path, repeatable: true}, &answer)
+	// A withdrawal is idempotent, so every instance is tried in order.
+	err := env.Operator.JSON(env.Context, request{method: http.MethodPost, path: path, idempotent: true}, &answer)
 	if err != nil {
 		return err
 	}
 	t := table{heading: []string{"KEY", "IN LOG", "TOLD", "NOT REACHED"}}
 	t.add(c.Key, fmt.Sprint(answer.InLog), fmt.Sprint(len(answer.Told)), fmt.Sprint(answer.Unreached))
-	return env.show(result{data: answer, table: t, did: answer.Message, next: answer.Next})
+	return env.show(result{data: answer, table: t, summary: answer.Message, next: answer.Next})
 }
 
 type keyList struct {
@@ -169,7 +170,7 @@
 // Help shows examples.
 func (keyList) Help() string { return "Example: tillerctl key list --organisation hollister-field" }
 
-// listedKey is a key without its hash, which nobody needs to see.
+// listedKey is a key without its hash, which is not needed in a list.
 type listedKey struct {
 	ID           protocol.KeyID          `json:"id"`
 	Organisation protocol.OrganisationID `json:"organisation"`
@@ -184,7 +185,7 @@
 	}
 	listed := []listedKey{}
 	t := table{heading: []string{"KEY", "ORGANISATION", "STATE"}}
-	for _, key := range values(answer.Fleet.Keys) {
+	for _, key := range sortedValues(answer.Fleet.Keys) {
 		if c.Organisation != "" && string(key.Organisation) != c.Organisation {
 			continue
 		}
@@ -196,5 +197,5 @@
 		t.add(string(key.ID), string(key.Organisation), state)
 	}
 	return env.show(result{data: listed, table: t,
-		did: fmt.Sprintf("%d keys of version %d at %s", len(listed), answer.Fleet.Version, answer.Instance)})
+		summary: fmt.Sprintf("%d keys of version %d at %s", len(listed), answer.Fleet.Version, answer.Instance)})
 }
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -16,8 +16,8 @@
 
 // Help shows examples.
 func (explainCommand) Help() string {
-	return lines("Puts the lines of all instances that name the id in order, and says in plain words what happened and why.",
-		"A file's name, without its ending, is taken for the instance's.",
+	return joinLines("Sorts the lines of all instances that name the id by time, and says what happened and why.",
+		"The name of a file, without its extension, is taken as the name of the instance.",
 		"", "Example: tillerctl explain 9c41d07be2a35f68 --logs logs/")
 }
 
@@ -31,7 +31,7 @@
 
 // Help shows examples.
 func (logsSummary) Help() string {
-	return lines("Example: tillerctl logs summary logs/")
+	return joinLines("Example: tillerctl logs summary logs/")
 }
 
 // Run explains an id.
@@ -44,16 +44,16 @@
 		return err
 	}
 	explanation := logs.Explain(c.ID)
-	data := map[string]any{"id": explanation.ID, "kind": explanation.Kind, "causes": explanation.Causes, "lines": raws(explanation.Lines), "beside": raws(explanation.Background)}
+	data := map[string]any{"id": explanation.ID, "kind": explanation.Kind, "causes": explanation.Causes, "lines": rawLines(explanation.Lines), "beside": rawLines(explanation.Background)}
 	out := table{heading: []string{strings.ToUpper(string(explanation.Kind)) + " " + explanation.ID}}
 	for _, cause := range explanation.Causes {
 		out.add(cause)
 	}
-	did := fmt.Sprintf("%d lines name it, of %d read (%d lines of other programs left out)", len(explanation.Lines), len(logs.Records), logs.Skipped)
-	return env.show(result{data: data, table: out, did: did, next: "-o json gives the lines themselves"})
+	summary := fmt.Sprintf("%d lines name the id, of %d read (%d lines of other programs skipped)", len(explanation.Lines), len(logs.Records), logs.Skipped)
+	return env.show(result{data: data, table: out, summary: summary, next: "-o json prints the lines themselves"})
 }
 
-// Run counts lines.
+// Run counts the lines by event, outcome and reason.
 func (c *logsSummary) Run(env *Env) error {
 	logs, err := readLogs(c.Files)
 	if err != nil {
@@ -64,11 +64,11 @@
 	for _, count := range counts {
 		out.add(fmt.Sprint(count.Lines), fmt.Sprint(count.Instances), count.Event, count.Outcome, count.Reason)
 	}
-	did := fmt.Sprintf("%d lines read (%d lines of other programs left out)", len(logs.Records), logs.Skipped)
-	return env.show(result{data: counts, table: out, did: did})
+	summary := fmt.Sprintf("%d lines read (%d lines of other programs skipped)", len(logs.Records), logs.Skipped)
+	return env.show(result{data: counts, table: out, summary: summary})
 }
 
-func raws(records []explain.Record) []string {
+func rawLines(records []explain.Record) []string {
 	out := make([]string, len(records))
 	for i := range records {
 		out[i] = records[i].Source + ": " + records[i].Raw
@@ -76,22 +76,22 @@
 	return out
 }
 
-// readLogs reads files and the files of folders.
+// readLogs reads log files, and all files of folders.
 func readLogs(paths []string) (*explain.Logs, error) {
 	var logs explain.Logs
 	for _, path := range paths {
 		files, err := logFiles(path)
 		if err != nil {
-			return nil, fail(ExitBadInput, "name log files that can be read", "%v", err)
+			return nil, fail(ExitBadInput, "give log files that can be read", "%v", err)
 		}
 		for _, file := range files {
 			if err := readLog(&logs, file); err != nil {
-				return nil, fail(ExitBadInput, "name log files that can be read", "%v", err)
+				return nil, fail(ExitBadInput, "give log files that can be read", "%v", err)
 			}
 		}
 	}
 	if len(logs.Records) == 0 {
-		return nil, fail(ExitBadInput, "name the output of tillerd", "no line of tillerd in %s", strings.Join(paths, ", "))
+		return nil, fail(ExitBadInput, "give files with the output of tillerd", "no line of tillerd in %s", strings.Join(paths, ", "))
 	}
 	return &logs, nil
 }
--- a/internal/ctl/org.go
+++ b/internal/ctl/org.go
@@ -17,9 +17,9 @@
 // Help shows examples.
 func (orgList) Help() string { return "Example: tillerctl org list --instance 10.0.0.1:8003" }
 
-// shownOrganisation is an organisation as it is shown, with times in
+// organisationView is the output form of an organisation, with durations in
 // milliseconds.
-type shownOrganisation struct {
+type organisationView struct {
 	ID            protocol.OrganisationID `json:"id"`
 	Name          string                  `json:"name,omitempty"`
 	Rate          float64                 `json:"rate"`
@@ -33,8 +33,8 @@
 	KeysWithdrawn int                     `json:"keys_withdrawn"`
 }
 
-func shownOrg(fleet *protocol.Fleet, o protocol.Organisation) shownOrganisation {
-	out := shownOrganisation{
+func newOrganisationView(fleet *protocol.Fleet, o protocol.Organisation) organisationView {
+	out := organisationView{
 		ID: o.ID, Name: o.Name, Rate: o.Rate, Burst: o.Burst, Weight: o.Weight,
 		FirstToken: o.Objectives.FirstToken.Milliseconds(), BetweenTokens: o.Objectives.BetweenTokens.Milliseconds(),
 		Target: o.Objectives.Target, BatchOnTime: o.Objectives.BatchOnTime,
@@ -54,9 +54,9 @@
 	return out
 }
 
-func orgTable(shown ...shownOrganisation) table {
+func orgTable(view ...organisationView) table {
 	t := table{heading: []string{"ORGANISATION", "RATE/S", "BURST", "WEIGHT", "FIRST TOKEN", "BETWEEN", "TARGET", "BATCH", "KEYS", "WITHDRAWN"}}
-	for _, o := range shown {
+	for _, o := range view {
 		t.add(string(o.ID), fmt.Sprint(o.Rate), fmt.Sprint(o.Burst), fmt.Sprint(o.Weight),
 			milliseconds(o.FirstToken), milliseconds(o.BetweenTokens), share(o.Target), share(o.BatchOnTime),
 			fmt.Sprint(o.KeysInUse), fmt.Sprint(o.KeysWithdrawn))
@@ -84,11 +84,11 @@
 	if err != nil {
 		return err
 	}
-	shown := []shownOrganisation{}
-	for _, o := range values(answer.Fleet.Organisations) {
-		shown = append(shown, shownOrg(answer.Fleet, o))
+	view := []organisationView{}
+	for _, o := range sortedValues(answer.Fleet.Organisations) {
+		view = append(view, newOrganisationView(answer.Fleet, o))
 	}
-	return env.show(result{data: shown, table: orgTable(shown...), did: asOf(answer)})
+	return env.show(result{data: view, table: orgTable(view...), summary: asOf(answer)})
 }
 
 func asOf(answer operatorapi.FleetAnswer) string {
@@ -112,7 +112,7 @@
 	if !ok {
 		return fail(ExitBadInput, "tillerctl org list", "organisation %q is not in the configuration in force", c.Organisation)
 	}
-	shown := shownOrg(answer.Fleet, o)
-	return env.show(result{data: shown, table: orgTable(shown), did: asOf(answer),
+	view := newOrganisationView(answer.Fleet, o)
+	return env.show(result{data: view, table: orgTable(view), summary: asOf(answer),
 		next: "tillerctl key list --organisation " + c.Organisation})
 }
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -10,30 +10,30 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Output is the form in which a command prints its data.
+// Output is the format in which a command prints its data.
 type Output string
 
-// The output forms.
+// The output formats.
 const (
 	OutputTable Output = "table"
 	OutputJSON  Output = "json"
 	OutputYAML  Output = "yaml"
 )
 
-// result is what a command has to show.
+// result is what a command prints.
 type result struct {
-	// data is printed in the forms json and yaml.
+	// data is printed in the formats json and yaml.
 	data any
-	// table is printed in the form table.
+	// table is printed in the format table.
 	table table
-	// did says what the command did, next what to do now. Both go to the
-	// error stream, so that data can be piped on.
-	did, next string
-	// quiet says that the command has printed its data itself.
-	quiet bool
+	// summary says what the command did, next what the operator can do now. Both are
+	// printed to the standard error, so that the data can be piped.
+	summary, next string
+	// dataPrinted reports whether the command has already printed its data.
+	dataPrinted bool
 }
 
-// table is a heading and rows of cells.
+// table holds a heading and rows of cells.
 type table struct {
 	heading []string
 	rows    [][]string
@@ -53,13 +53,13 @@
 	return out.Flush()
 }
 
-// show prints a result in the form that the operator chose.
+// show prints a result in the output format of the command line.
 func (e *Env) show(r result) error {
 	if err := e.showData(r); err != nil {
 		return err
 	}
-	if r.did != "" {
-		fmt.Fprintln(e.Stderr, r.did)
+	if r.summary != "" {
+		fmt.Fprintln(e.Stderr, r.summary)
 	}
 	if r.next != "" {
 		fmt.Fprintln(e.Stderr, "next: "+r.next)
@@ -68,7 +68,7 @@
 }
 
 func (e *Env) showData(r result) error {
-	if r.quiet {
+	if r.dataPrinted {
 		return nil
 	}
 	switch e.Output {
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeYAML goes through JSON, so that both forms have the same field names.
+// writeYAML converts through JSON, so that both formats have the same field names.
 func writeYAML(w io.Writer, data any) error {
 	encoded, err := json.Marshal(data)
 	if err != nil {
--- a/internal/ctl/progress.go
+++ b/internal/ctl/progress.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Constants of following a job.
+// Constants for waiting for a job.
 const (
-	// lookEvery is the period of asking for a job's state. A job lasts
-	// minutes, and 2,000 followed jobs are then 1,000 light calls a second
-	// over the fleet.
-	lookEvery = 2 * time.Second
-	barCells  = 40
+	// jobPollInterval is how often the state of a job is polled. A job lasts
+	// minutes, and 2,000 jobs with a waiting client cause 1,000 cheap calls a
+	// second across the fleet.
+	jobPollInterval  = 2 * time.Second
+	progressBarWidth = 40
 )
 
 type batchStatus struct {
@@ -29,7 +29,7 @@
 func (c *batchStatus) Run(env *Env) error {
 	j, err := fetchJob(env, c.Job)
 	if err == nil && c.Wait {
-		j, err = follow(env, j)
+		j, err = waitForEnd(env, j)
 	}
 	if err != nil {
 		return err
@@ -38,39 +38,39 @@
 	if !j.ended() {
 		next = "tillerctl batch status " + c.Job + " --wait"
 	}
-	return env.show(result{data: j, table: jobTable(j), did: fmt.Sprintf("job %s is %s", j.ID, j.Status), next: next})
+	return env.show(result{data: j, table: jobTable(j), summary: fmt.Sprintf("job %s is %s", j.ID, j.Status), next: next})
 }
 
-// follow asks until the job has ended. One failed look is not the end: the
-// next one may reach another instance.
-func follow(env *Env, j job) (job, error) {
+// waitForEnd polls until the job has ended. It continues after a poll that found no
+// instance available: the next poll may reach one.
+func waitForEnd(env *Env, j job) (job, error) {
 	for !j.ended() {
-		drawBar(env, j)
+		drawProgressBar(env, j)
 		select {
 		case <-env.Context.Done():
-			return j, fail(ExitUnavailable, "run it again with a larger --timeout; the job goes on", "the job had not ended in time")
-		case <-env.After(lookEvery):
+			return j, fail(ExitUnavailable, "run it again with a larger --timeout; the job keeps running", "the job had not ended when the command stopped waiting")
+		case <-env.After(jobPollInterval):
 		}
-		seen, err := fetchJob(env, j.ID)
+		polled, err := fetchJob(env, j.ID)
 		switch {
 		case err == nil:
-			j = seen
+			j = polled
 		case asFailure(err).Exit != ExitUnavailable:
 			return j, err
 		}
 	}
-	drawBar(env, j)
+	drawProgressBar(env, j)
 	if env.Terminal {
 		fmt.Fprintln(env.Stderr)
 	}
 	return j, nil
 }
 
-func drawBar(env *Env, j job) {
+func drawProgressBar(env *Env, j job) {
 	if !env.Terminal || j.Counts.Total == 0 {
 		return
 	}
 	done := j.Counts.Completed + j.Counts.Failed
-	cells := barCells * done / j.Counts.Total
-	fmt.Fprintf(env.Stderr, "\r[%s%s] %d/%d %s ", strings.Repeat("#", cells), strings.Repeat(".", barCells-cells), done, j.Counts.Total, j.Status)
+	cells := progressBarWidth * done / j.Counts.Total
+	fmt.Fprintf(env.Stderr, "\r[%s%s] %d/%d %s ", strings.Repeat("#", cells), strings.Repeat(".", progressBarWidth-cells), done, j.Counts.Total, j.Status)
 }
--- a/internal/ctl/root.go
+++ b/internal/ctl/root.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' and callers' command-line tool, tillerctl.
+// Package ctl implements tillerctl, the command-line tool of operators and callers.
 //
 // Every command says what it did and what to do next, and can be run again
 // after a lost answer without doing anything twice.
@@ -15,60 +15,60 @@
 	"github.com/alecthomas/kong"
 )
 
-// Env is what a command works with.
+// Env holds the streams, clients, clock and randomness that a command uses.
 type Env struct {
 	Context context.Context
 	Stdout  io.Writer
 	Stderr  io.Writer
-	// Terminal says that Stderr is a terminal that can show progress.
+	// Terminal reports whether Stderr is a terminal that can show a progress bar.
 	Terminal bool
 	Output   Output
-	// Operator calls the operators' listeners, Caller the callers'.
+	// Operator calls the listener for operators, Caller the listener for callers.
 	Operator *Client
 	Caller   *Client
 	// Now is the clock.
 	Now func() time.Time
-	// After waits between two looks at a job.
+	// After returns a channel that fires after a duration; it paces polling.
 	After func(time.Duration) <-chan time.Time
 	// Random is the source of secrets and ids.
 	Random io.Reader
-	// model is the command line itself, for completion.
+	// model describes the commands and flags, for completion.
 	model *kong.Application
 }
 
 // Options are the flags that every command takes.
 type Options struct {
-	Instance       []string      `help:"Address of an instance, ip:port: its operators' address, or for batch commands its callers' address. May be given several times; they are tried in turn." env:"TILLER_INSTANCE" placeholder:"IP:PORT"`
-	OperatorSecret string        `help:"Operator's secret. Better set in the environment, since others can read command lines." env:"TILLER_OPERATOR_SECRET" placeholder:"SECRET"`
+	Instance       []string      `help:"Address of an instance, ip:port: its operators' address, or for batch commands its callers' address. May be given several times; instances are tried in order." env:"TILLER_INSTANCE" placeholder:"IP:PORT"`
+	OperatorSecret string        `help:"Operator's secret. Prefer the environment variable, since other users can read command lines." env:"TILLER_OPERATOR_SECRET" placeholder:"SECRET"`
 	CallerSecret   string        `help:"Caller's secret, for batch commands." env:"TILLER_CALLER_SECRET" placeholder:"SECRET"`
-	CA             string        `help:"File of the authorities that instances' certificates come from." env:"TILLER_CA" placeholder:"FILE"`
+	CA             string        `help:"File of the certificate authorities that signed the certificates of the instances." env:"TILLER_CA" placeholder:"FILE"`
 	Cert           string        `help:"File of the operator's certificate." env:"TILLER_CERT" placeholder:"FILE"`
 	CertKey        string        `help:"File of the key of the operator's certificate." env:"TILLER_CERT_KEY" placeholder:"FILE"`
-	Plaintext      bool          `help:"Talk without TLS to an address that is not loopback. Secrets then cross the network readable."`
-	Output         Output        `help:"Form of the data: table, json or yaml." enum:"table,json,yaml" default:"table" short:"o"`
-	Timeout        time.Duration `help:"Longest time for the command." default:"60s"`
+	Plaintext      bool          `help:"Connect without TLS to an address that is not loopback. Secrets are then sent unencrypted."`
+	Output         Output        `help:"Output format: table, json or yaml." enum:"table,json,yaml" default:"table" short:"o"`
+	Timeout        time.Duration `help:"Time limit for the command." default:"60s"`
 }
 
-// Commands is the command line of tillerctl.
+// Commands holds the commands and flags of tillerctl.
 type Commands struct {
 	Options
 
 	Config     configCommands    `cmd:"" help:"Check, compare and publish the fleet configuration."`
 	Org        orgCommands       `cmd:"" help:"Show organisations."`
 	Key        keyCommands       `cmd:"" help:"Create and withdraw callers' keys."`
-	Batch      batchCommands     `cmd:"" help:"Submit and follow batch jobs, as a caller."`
-	Status     statusCommand     `cmd:"" help:"Show what is in force where, who is cut off, and what is late."`
+	Batch      batchCommands     `cmd:"" help:"Submit and track batch jobs, as a caller."`
+	Status     statusCommand     `cmd:"" help:"Show the version in force at each instance, unreachable instances and late jobs."`
 	Instances  instancesCommand  `cmd:"" help:"List the entry instances."`
 	Targets    targetsCommand    `cmd:"" help:"List the targets."`
-	Drain      drainCommand      `cmd:"" help:"Make one instance leave without cutting a call."`
+	Drain      drainCommand      `cmd:"" help:"Shut down one instance without interrupting calls."`
 	Burn       burnCommand       `cmd:"" help:"Show the service-level burn."`
-	Explain    explainCommand    `cmd:"" help:"Tell from logs why a request, job or item ended as it did."`
-	Logs       logsCommands      `cmd:"" help:"Count what logs tell."`
+	Explain    explainCommand    `cmd:"" help:"Explain from logs why a request, job or item ended as it did."`
+	Logs       logsCommands      `cmd:"" help:"Count log lines."`
 	Settings   settingsCommands  `cmd:"" help:"Check settings of tillerd."`
 	Completion completionCommand `cmd:"" help:"Print a completion script for a shell."`
 }
 
-// Process is what main hands over.
+// Process holds what main passes to Run.
 type Process struct {
 	Context        context.Context
 	Stdout, Stderr io.Writer
@@ -79,9 +79,9 @@
 
 Exit codes: 0 done; 1 failed, nothing changed; 2 bad input; 3 conflict, another change came first;
 4 the answer was lost and the command may have taken effect (run it again, it does nothing twice);
-5 no instance could do it now, nothing changed.`
+5 no instance could carry it out, nothing changed.`
 
-// Run carries out one command line and gives the exit code.
+// Run executes one command line and returns the exit code.
 func Run(process Process, args []string) ExitCode {
 	var commands Commands
 	parser, err := kong.New(&commands,
@@ -92,13 +92,14 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 	)
 	if err != nil {
-		// The command line is part of the program.
+		// A model that kong rejects is a programming error.
 		panic(err)
 	}
 	return runParsed(process, parser, &commands, args)
 }
 
-// exitRequest is how kong, whose help ends the process, comes back to Run.
+// exitRequest is the panic value that returns control to Run when kong, after printing
+// help, asks for the process to exit.
 type exitRequest int
 
 func runParsed(process Process, parser *kong.Kong, commands *Commands, args []string) (code ExitCode) {
@@ -142,7 +143,7 @@
 	if err != nil {
 		return nil, err
 	}
-	bases, err := basesOf(options)
+	urls, err := baseURLsOf(options)
 	if err != nil {
 		return nil, err
 	}
@@ -153,8 +154,8 @@
 		Stderr:   process.Stderr,
 		Terminal: process.Terminal,
 		Output:   options.Output,
-		Operator: &Client{Bases: bases, Secret: options.OperatorSecret, HTTP: client},
-		Caller:   &Client{Bases: bases, Secret: options.CallerSecret, HTTP: client},
+		Operator: &Client{BaseURLs: urls, Secret: options.OperatorSecret, HTTP: client},
+		Caller:   &Client{BaseURLs: urls, Secret: options.CallerSecret, HTTP: client},
 		Now:      time.Now,
 		After:    time.After,
 		Random:   rand.Reader,
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -19,7 +19,7 @@
 
 // Help shows examples.
 func (settingsCheck) Help() string {
-	return lines("Lists every mistake with file, line and field, as tillerd would at its start.",
+	return joinLines("Lists every mistake with file, line and field, as tillerd does at startup.",
 		"", "Examples: tillerctl settings check sea-1.yaml", "          tillerctl settings check --routed entry-1.yaml")
 }
 
@@ -30,34 +30,34 @@
 	}
 	s, err := settings.Load(c.File)
 	if err != nil {
-		return c.mistakes(err)
+		return c.failureOf(err)
 	}
 	t := table{heading: []string{"INSTANCE", "DOMAIN", "CALLERS", "PEERS", "OPERATORS"}}
 	t.add(string(s.Instance), string(s.Domain), s.Listen.Callers, s.Listen.Peers, s.Listen.Operators)
-	shown := map[string]any{"instance": s.Instance, "domain": s.Domain, "listen": map[string]string{
+	view := map[string]any{"instance": s.Instance, "domain": s.Domain, "listen": map[string]string{
 		"callers": s.Listen.Callers, "peers": s.Listen.Peers, "operators": s.Listen.Operators}}
-	return env.show(result{data: shown, table: t, did: c.whole(), next: "tillerd --settings " + c.File})
+	return env.show(result{data: view, table: t, summary: c.summary(), next: "tillerd --settings " + c.File})
 }
 
 func (c *settingsCheck) checkRouted(env *Env) error {
 	s, err := settings.LoadRouted(c.File)
 	if err != nil {
-		return c.mistakes(err)
+		return c.failureOf(err)
 	}
 	t := table{heading: []string{"INSTANCE", "DOMAIN", "CALLERS", "READINESS", "PEERS", "STORE"}}
 	t.add(string(s.Instance), string(s.Domain), s.Listen.Callers, s.Listen.Readiness, s.Listen.Peers, s.Store.Address)
-	shown := map[string]any{"instance": s.Instance, "domain": s.Domain, "store": s.Store.Address, "listen": map[string]string{
+	view := map[string]any{"instance": s.Instance, "domain": s.Domain, "store": s.Store.Address, "listen": map[string]string{
 		"callers": s.Listen.Callers, "readiness": s.Listen.Readiness, "peers": s.Listen.Peers, "metrics": s.Listen.Metrics}}
-	return env.show(result{data: shown, table: t, did: c.whole(), next: "tillerd --routed --settings " + c.File})
+	return env.show(result{data: view, table: t, summary: c.summary(), next: "tillerd --routed --settings " + c.File})
 }
 
-func (c *settingsCheck) whole() string { return fmt.Sprintf("%s is whole", c.File) }
+func (c *settingsCheck) summary() string { return fmt.Sprintf("%s is valid", c.File) }
 
-// mistakes tells what is wrong with the file.
-func (c *settingsCheck) mistakes(err error) error {
+// failureOf returns the failure for an error of loading the file.
+func (c *settingsCheck) failureOf(err error) error {
 	var problems strictyaml.Problems
 	if errors.As(err, &problems) {
-		return fail(ExitBadInput, "mend these places", "%d mistakes in %s\n%s", len(problems), c.File, problems.Error())
+		return fail(ExitBadInput, "correct these mistakes", "%d mistakes in %s\n%s", len(problems), c.File, problems.Error())
 	}
-	return fail(ExitBadInput, "name a file that can be read", "%v", err)
+	return fail(ExitBadInput, "give a file that can be read", "%v", err)
 }
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -13,7 +13,7 @@
 
 // Help shows examples.
 func (statusCommand) Help() string {
-	return lines("One screen: which version is in force at each instance, who is cut off, which jobs are late.",
+	return joinLines("Shows on one screen which version is in force at each instance, which instances are unreachable and which jobs are late.",
 		"The exit code is 0 if all is well and 1 if something needs an operator.",
 		"", "Example: tillerctl status --instance 10.0.0.1:8003")
 }
@@ -24,14 +24,14 @@
 	if err := env.Operator.Get(env.Context, operatorapi.PathStatus, &status); err != nil {
 		return err
 	}
-	troubles := troublesOf(status)
+	problems := problemsOf(status)
 	err := env.show(result{data: status, table: statusTable(status),
-		did: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.Newest(), len(status.Instances), status.JobsRunning)})
+		summary: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.Newest(), len(status.Instances), status.JobsRunning)})
 	if err != nil {
 		return err
 	}
-	if len(troubles) > 0 {
-		return fail(ExitFailed, "docs/OPERATIONS.md says what each means", "%s", lines(troubles...))
+	if len(problems) > 0 {
+		return fail(ExitFailed, "docs/OPERATIONS.md explains each of them", "%s", joinLines(problems...))
 	}
 	fmt.Fprintln(env.Stderr, "next: nothing, all is well")
 	return nil
@@ -45,11 +45,11 @@
 		if i.Version < newest {
 			version += " (old)"
 		}
-		t.add(string(i.Instance), string(i.Domain), version, pick(i.LogUp, "up", "DOWN"), pick(i.MayHold, "holds", "NONE"),
+		t.add(string(i.Instance), string(i.Domain), version, choose(i.LogUp, "up", "DOWN"), choose(i.MayHold, "holds", "NONE"),
 			(time.Duration(i.UpSeconds) * time.Second).String(), noteOf(i))
 	}
 	for _, missing := range status.Unreached {
-		t.add(string(missing.Instance), "?", "?", "?", "?", "?", pick(missing.SessionOpen, "not reached", "not reached, session ended"))
+		t.add(string(missing.Instance), "?", "?", "?", "?", "?", choose(missing.SessionOpen, "not reached", "not reached, session ended"))
 	}
 	for _, job := range status.Late {
 		t.add("job "+string(job.Job), "", "", "", "", "", fmt.Sprintf("%d of %d items left, due %s, organisation %s",
@@ -65,15 +65,15 @@
 	return i.Trouble
 }
 
-func pick(condition bool, yes, no string) string {
+func choose(condition bool, yes, no string) string {
 	if condition {
 		return yes
 	}
 	return no
 }
 
-// troublesOf lists what needs an operator.
-func troublesOf(status fleetstatus.Status) []string {
+// problemsOf lists the conditions that need an operator.
+func problemsOf(status fleetstatus.Status) []string {
 	var out []string
 	newest := status.Newest()
 	for _, i := range status.Instances {
@@ -89,7 +89,7 @@
 	for _, missing := range status.Unreached {
 		text := fmt.Sprintf("%s can't be reached from %s", missing.Instance, status.Asked)
 		if !missing.SessionOpen {
-			text += ", and its session has ended: it left, or is cut off from the log too"
+			text += ", and its session has ended: it left the fleet, or can't reach the log either"
 		}
 		out = append(out, text)
 	}
@@ -116,11 +116,11 @@
 		if session == "" {
 			session = "none"
 		}
-		heard := pick(i.Heard, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SilentMS)*time.Millisecond))
+		heard := choose(i.Heard, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SilentMS)*time.Millisecond))
 		t.add(string(i.Instance), string(i.Domain), session, i.PeerAddress, heard)
 	}
-	return env.show(result{data: answer, table: t, did: fmt.Sprintf("%d instances as %s knows them", len(answer.Instances), answer.Instance),
-		next: "tillerctl status asks each of them"})
+	return env.show(result{data: answer, table: t, summary: fmt.Sprintf("%d instances known to %s", len(answer.Instances), answer.Instance),
+		next: "tillerctl status queries each of them"})
 }
 
 type targetsCommand struct {
@@ -136,42 +136,42 @@
 	if err := env.Operator.Get(env.Context, operatorapi.PathTargets, &answer); err != nil {
 		return err
 	}
-	shown := answer.Targets[:0]
+	view := answer.Targets[:0]
 	t := table{heading: []string{"TARGET", "SERVICE", "DOMAIN", "ADDRESS", "ONLINE", "BATCH", "OTHERS", "FIRST BYTE", "STATE"}}
 	for _, target := range answer.Targets {
 		if c.Service != "" && target.Service != protocol.ServiceName(c.Service) {
 			continue
 		}
-		shown = append(shown, target)
-		state := pick(target.Leaving, "leaving", pick(target.Ejected, "ejected", "in use"))
+		view = append(view, target)
+		state := choose(target.Leaving, "leaving", choose(target.Ejected, "ejected", "in use"))
 		t.add(string(target.Target), string(target.Service), string(target.Domain), target.Address, fmt.Sprint(target.Online),
 			fmt.Sprint(target.Batch), fmt.Sprintf("%.1f", target.PeerStreams), fmt.Sprintf("%.1f ms", target.FirstByteMS), state)
 	}
-	answer.Targets = shown
-	return env.show(result{data: answer, table: t, did: fmt.Sprintf("%d targets as %s knows them; ONLINE and BATCH are its own calls", len(shown), answer.Instance)})
+	answer.Targets = view
+	return env.show(result{data: answer, table: t, summary: fmt.Sprintf("%d targets known to %s; ONLINE and BATCH count only its own calls", len(view), answer.Instance)})
 }
 
 type drainCommand struct {
-	Yes bool `help:"Do it. Without it the command only says what it would do."`
+	Yes bool `help:"Drain the instance. Without this flag the command only says what it would do."`
 }
 
 // Help shows examples.
 func (drainCommand) Help() string {
-	return lines("The instance takes no new calls, finishes those in flight, hands over what it holds, and ends. No call is cut.",
+	return joinLines("The instance takes no new calls, finishes those in flight, hands over what it holds, and exits. No call is interrupted.",
 		"Give exactly one instance.", "", "Example: tillerctl drain --yes --instance 10.0.0.1:8003")
 }
 
 // Run drains the instance.
 func (c *drainCommand) Run(env *Env) error {
-	if len(env.Operator.Bases) != 1 {
-		return fail(ExitBadInput, "give --instance once", "drain needs exactly one instance, or the wrong one could leave")
+	if len(env.Operator.BaseURLs) != 1 {
+		return fail(ExitBadInput, "give --instance once", "drain needs exactly one instance, so that no other one is drained by mistake")
 	}
 	if !c.Yes {
-		return env.show(result{data: struct{}{}, did: "would drain " + env.Operator.Bases[0] + "; nothing was done", next: "the same command with --yes"})
+		return env.show(result{data: struct{}{}, summary: "would drain " + env.Operator.BaseURLs[0] + "; nothing was done", next: "the same command with --yes"})
 	}
 	var answer operatorapi.DrainAnswer
 	if err := env.Operator.Post(env.Context, operatorapi.PathDrain, struct{}{}, &answer); err != nil {
 		return err
 	}
-	return env.show(result{data: answer, did: answer.Message, next: answer.Next})
+	return env.show(result{data: answer, summary: answer.Message, next: answer.Next})
 }
--- a/internal/ctl/transfer.go
+++ b/internal/ctl/transfer.go
@@ -9,9 +9,9 @@
 	"path/filepath"
 )
 
-// upload sends an input file without holding it in memory: one of 760,000 items
-// has some hundreds of megabytes. Sent twice it leaves an unused copy behind,
-// which retention removes.
+// upload streams an input file, without reading it into memory: a file of 760,000
+// items has several hundred megabytes. A second upload after a lost answer leaves an
+// unused copy, which retention removes.
 func upload(env *Env, path string) (string, error) {
 	head, tail, contentType, err := uploadForm(filepath.Base(path))
 	if err != nil {
@@ -38,7 +38,7 @@
 		path:       pathFiles,
 		header:     http.Header{"Content-Type": {contentType}},
 		open:       open,
-		repeatable: true,
+		idempotent: true,
 	}, &uploaded)
 	return uploaded.ID, err
 }
@@ -48,7 +48,7 @@
 	io.Closer
 }
 
-// uploadForm gives what stands before and after the file in the form.
+// uploadForm returns the bytes of the multipart form before and after the file.
 func uploadForm(name string) (head, tail []byte, contentType string, err error) {
 	var out bytes.Buffer
 	form := multipart.NewWriter(&out)
@@ -65,9 +65,9 @@
 	return out.Bytes()[:cut], out.Bytes()[cut:], form.FormDataContentType(), nil
 }
 
-// download writes an answer to a file, or to the standard output if there is
-// none, and counts its lines. The file gets its name only once it is whole: a
-// cut one would be taken for all the results.
+// download writes an answer to the file named by to, or to the standard output if to is
+// empty, and counts its lines. The file gets its final name only when it is complete:
+// a truncated file could be mistaken for all of the results.
 func download(env *Env, req request, to string) (lines int, err error) {
 	counter := &lineCounter{to: env.Stdout}
 	if to == "" {
@@ -76,7 +76,7 @@
 	}
 	part, err := os.CreateTemp(filepath.Dir(to), filepath.Base(to)+".part-*")
 	if err != nil {
-		return 0, fail(ExitBadInput, "name a file that can be written", "%v", err)
+		return 0, fail(ExitBadInput, "give a file that can be written", "%v", err)
 	}
 	defer os.Remove(part.Name())
 	counter.to = part
@@ -85,10 +85,10 @@
 		return 0, err
 	}
 	if err := part.Close(); err != nil {
-		return 0, fail(ExitFailed, "is the disk full?", "%v", err)
+		return 0, fail(ExitFailed, "check that the disk is not full", "%v", err)
 	}
 	if err := os.Rename(part.Name(), to); err != nil {
-		return 0, fail(ExitBadInput, "name a file that can be written", "%v", err)
+		return 0, fail(ExitBadInput, "give a file that can be written", "%v", err)
 	}
 	return counter.lines, nil
 }
@@ -98,7 +98,7 @@
 	lines int
 }
 
-// Write passes on and counts.
+// Write counts the lines and forwards the bytes.
 func (l *lineCounter) Write(p []byte) (int, error) {
 	l.lines += bytes.Count(p, []byte("\n"))
 	return l.to.Write(p)
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -20,7 +20,8 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-func serve(t *testing.T, answers map[string]any) string {
+// serveJSON serves each value as JSON under its path.
+func serveJSON(t *testing.T, answers map[string]any) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, ok := answers[r.URL.Path]
@@ -34,8 +35,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A domain is cut off and another instance lags. A script that watches the
-// fleet by exit code must notice.
+// An instance is unreachable, one has an old version and one can't read the log. A script
+// that monitors the fleet by the exit code has to notice each of them.
 func TestStatusExits1WhenSomethingNeedsAnOperator(t *testing.T) {
 	status := fleetstatus.Status{Asked: "a", Instances: []fleetstatus.Instance{
 		{Instance: "a", Version: 9, LogUp: true, MayHold: true},
@@ -43,18 +44,18 @@
 		{Instance: "c", Version: 9},
 		{Instance: "e", Version: 9, LogUp: true, Trouble: "the log is gone"},
 	}, Unreached: []fleetstatus.Unreached{{Instance: "d"}}, Late: []fleetstatus.LateJob{{Job: "j", Deadline: time.Unix(0, 0)}}}
-	got := run("status", "--instance", serve(t, map[string]any{operatorapi.PathStatus: status}))
+	got := run("status", "--instance", serveJSON(t, map[string]any{operatorapi.PathStatus: status}))
 	require.Equal(t, ExitFailed, got.code)
 	for _, want := range []string{"b has version 8, not 9", "c can't read the log", "d can't be reached from a", "e: the log is gone", "1 jobs are late"} {
 		require.Contains(t, got.stderr, want)
 	}
 	require.Contains(t, got.stdout, "8 (old)")
 	well := fleetstatus.Status{Instances: status.Instances[:1]}
-	require.Equal(t, ExitOK, run("status", "--instance", serve(t, map[string]any{operatorapi.PathStatus: well})).code)
+	require.Equal(t, ExitOK, run("status", "--instance", serveJSON(t, map[string]any{operatorapi.PathStatus: well})).code)
 }
 
-func TestListsPrintEveryForm(t *testing.T) {
-	address := serve(t, map[string]any{
+func TestListsPrintEveryOutputFormat(t *testing.T) {
+	address := serveJSON(t, map[string]any{
 		operatorapi.PathTargets:   operatorapi.TargetsAnswer{Instance: "a", Targets: []routing.Status{{Target: "t1", Service: "lm"}, {Target: "t2", Service: "other", Leaving: true}}},
 		operatorapi.PathInstances: operatorapi.InstancesAnswer{Instance: "a", Instances: []operatorapi.InstanceLine{{Instance: "b", SilentMS: 1500}}},
 		operatorapi.PathHistory:   operatorapi.HistoryAnswer{Instance: "a", Changes: []fleet.Change{{ChangeID: "chg-1", Objects: []string{"key k1"}}, {ChangeID: "chg-0"}}},
@@ -84,9 +85,9 @@
 		Series: burn.Series{Organisation: "ana", Service: "lm"}, Signal: "availability", Objective: 0.95,
 		Windows: []burn.WindowLine{window, window, window, window}, Alarm: burn.AlarmFast}}}
 	to := filepath.Join(t.TempDir(), "burn.html")
-	got := run("burn", "--html", to, "--instance", serve(t, map[string]any{operatorapi.PathBurn: report}))
+	got := run("burn", "--html", to, "--instance", serveJSON(t, map[string]any{operatorapi.PathBurn: report}))
 	require.Equal(t, ExitOK, got.code, got.stderr)
-	require.Contains(t, got.stderr, "not reached, so missing here: [z-9]")
+	require.Contains(t, got.stderr, "not reached, so not counted: [z-9]")
 	require.Contains(t, got.stderr, "next: act now on ana")
 	data, err := os.ReadFile(to)
 	require.NoError(t, err)
@@ -105,15 +106,15 @@
 	require.Equal(t, ExitBadInput, run("org", "show", "bob", "--instance", address).code)
 }
 
-func TestDrainAsksForConsentAndOneInstance(t *testing.T) {
-	address := serve(t, map[string]any{operatorapi.PathDrain: operatorapi.DrainAnswer{Message: "a is leaving", Next: "wait"}})
+func TestDrainNeedsConfirmationAndOneInstance(t *testing.T) {
+	address := serveJSON(t, map[string]any{operatorapi.PathDrain: operatorapi.DrainAnswer{Message: "a is leaving", Next: "wait"}})
 	dry := run("drain", "--instance", address)
 	require.Contains(t, dry.stderr, "nothing was done")
 	require.Contains(t, run("drain", "--yes", "--instance", address).stderr, "a is leaving")
 	require.Equal(t, ExitBadInput, run("drain", "--yes", "--instance", address, "--instance", address).code)
 }
 
-func TestSettingsCheckNamesThePlace(t *testing.T) {
+func TestSettingsCheckReportsFileAndLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.yaml")
 	require.NoError(t, os.WriteFile(path, []byte("instanse: a\n"), 0o600))
 	got := run("settings", "check", path)
@@ -141,10 +142,10 @@
 	require.Contains(t, run("completion", "zsh").stdout, "bashcompinit")
 }
 
-// An instance is reached and answers with something that is no error of ours,
-// as a wrong port would. The tool says so and doesn't claim an effect.
-func TestForeignAnswerIsNamed(t *testing.T) {
-	got := run("config", "show", "--instance", serve(t, nil))
+// The address is that of another server, such as a wrong port, whose answer is not an
+// error in the format of tillerd. The command reports this and claims no effect.
+func TestReportsAnswerThatIsNotTillerd(t *testing.T) {
+	got := run("config", "show", "--instance", serveJSON(t, nil))
 	require.Equal(t, ExitFailed, got.code)
-	require.Contains(t, got.stderr, "no known error")
+	require.Contains(t, got.stderr, "an unknown error body")
 }
