--- a/cmd/standin/listen.go
+++ b/cmd/standin/listen.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// splitListen reads NAME=ip:port.
+// splitListen parses NAME=ip:port.
 func splitListen(text string) (name, address string, err error) {
 	name, address, ok := strings.Cut(text, "=")
 	if !ok || name == "" || address == "" {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins for what merlintiller meets outside
-// itself: `standin platform` and `standin target`.
+// Command standin runs stand-ins for the external systems that merlintiller uses:
+// `standin platform` and `standin target`.
 package main
 
 import (
@@ -7,7 +7,7 @@
 )
 
 type cli struct {
-	Platform platformCmd `cmd:"" help:"Run the platform: log, list and weight store."`
+	Platform platformCmd `cmd:"" help:"Run a platform: log, list of targets and weight store."`
 	Target   targetCmd   `cmd:"" help:"Run a target: a model runner or a plain service."`
 }
 
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -11,12 +11,12 @@
 type platformCmd struct {
 	Listen           []string      `required:"" help:"Address for one failure domain, as NAME=ip:port. Repeatable."`
 	AppendsPerSecond float64       `default:"400" help:"Limit on appends to the log."`
-	Retention        time.Duration `default:"24h" help:"How long log entries are kept."`
-	ListLag          time.Duration `default:"1s" help:"Age of the list that is served."`
-	WeightsPerSecond float64       `default:"5" help:"Limit on looks at the weight store."`
+	Retention        time.Duration `default:"24h" help:"How long log entries are retained."`
+	ListLag          time.Duration `default:"1s" help:"Age of the list of targets that is served."`
+	WeightsPerSecond float64       `default:"5" help:"Limit on reads of the weight store."`
 }
 
-// Run serves until the process is ended.
+// Run serves until the process is terminated or a listener fails.
 func (c *platformCmd) Run() error {
 	server := platformsrv.New(platformsrv.Options{
 		Log: memlog.Options{
--- a/cmd/standin/target.go
+++ b/cmd/standin/target.go
@@ -14,17 +14,17 @@
 	Domain             string        `required:"" help:"Failure domain of the target."`
 	Kind               string        `default:"model" enum:"model,plain" help:"Model runner or plain service."`
 	Listen             string        `required:"" help:"Address to listen on, ip:port."`
-	TokenTime          time.Duration `default:"2ms" help:"Time of a token with nothing else in flight."`
-	TokenTimePerStream time.Duration `default:"100us" help:"What each other stream adds to it."`
-	PrefillTime        time.Duration `default:"5ms" help:"Time to the first token beside it."`
-	CallTime           time.Duration `default:"10ms" help:"Time of a plain service's call."`
-	Tokens             int           `default:"32" help:"Length of an answer without max_tokens."`
+	TokenTime          time.Duration `default:"2ms" help:"Time for a token with no other stream in flight."`
+	TokenTimePerStream time.Duration `default:"100us" help:"Additional time for a token per other stream."`
+	PrefillTime        time.Duration `default:"5ms" help:"Additional time before the first token."`
+	CallTime           time.Duration `default:"10ms" help:"Duration of a call of a plain service."`
+	Tokens             int           `default:"32" help:"Tokens in an answer to a request without max_tokens."`
 	LoadLag            time.Duration `default:"1s" help:"Age of the load reports."`
-	ChecksFencing      bool          `help:"Refuse orders with an old fencing number."`
-	OrderTime          time.Duration `default:"500ms" help:"Time to carry out an order."`
+	ChecksFencing      bool          `help:"Reject orders with an outdated fencing number."`
+	OrderTime          time.Duration `default:"500ms" help:"Duration of an order."`
 }
 
-// Run serves until the process is ended.
+// Run serves until the process is terminated.
 func (c *targetCmd) Run() error {
 	return target.Run(context.Background(), target.Config{
 		ID:                 protocol.TargetID(c.ID),
