--- a/cmd/tillerd/main.go
+++ b/cmd/tillerd/main.go
@@ -18,19 +18,19 @@
 	"merlintiller/internal/settings"
 )
 
-// Exit codes. Bad settings have a code of their own, because a restart does
-// not mend them.
+// Exit codes. Invalid settings have their own code, because a restart does not
+// correct them.
 const (
 	exitFailed      = 1
 	exitBadSettings = 2
 )
 
-// dialTimeout bounds a connect of any kind; most callers of it wait less.
+// dialTimeout limits any attempt to connect; most callers set a shorter deadline.
 const dialTimeout = time.Second
 
 type cli struct {
 	Settings string `required:"" help:"Path of the settings file." type:"path"`
-	Routed   bool   `help:"Serve the routes that operators publish in a shared store. The file holds settings for that."`
+	Routed   bool   `help:"Serve the routes that operators publish in a shared store. The settings file has to be one for this mode."`
 }
 
 func main() {
