--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -1,5 +1,6 @@
-// Command fleettest starts the whole system as processes on loopback: a
-// demonstration that checks every answer, and the measurements.
+// Command fleettest runs the entire system as processes on loopback, for a
+// demonstration that checks every answer and for measurements. It also runs
+// measurements in virtual time and summarises the fault matrix.
 package main
 
 import (
@@ -18,9 +19,9 @@
 
 type cli struct {
 	Demo   demoCmd   `cmd:"" help:"Run the demonstration."`
-	Bench  benchCmd  `cmd:"" help:"Take the measurements with processes."`
-	Policy policyCmd `cmd:"" help:"Take the measurements of the policies in virtual time."`
-	Slots  slotsCmd  `cmd:"" help:"Compare ways of dividing the slots of targets, in virtual time."`
+	Bench  benchCmd  `cmd:"" help:"Run the measurements with processes."`
+	Policy policyCmd `cmd:"" help:"Run the measurements of the policies in virtual time."`
+	Slots  slotsCmd  `cmd:"" help:"Compare strategies for dividing the slots of targets, in virtual time."`
 	Matrix matrixCmd "cmd:\"\" help:\"Sum up the fault matrix from the events of `go test -json`, read from the standard input.\""
 }
 
@@ -40,10 +41,10 @@
 type benchCmd struct {
 	Bin  string `default:"bin" help:"Folder of the built programs."`
 	Dir  string `default:".demo/bench" help:"Folder for settings and logs, emptied first."`
-	Only string `enum:",entry,control,agreement,start,scale" default:"" help:"Take only one group of measurements."`
+	Only string `enum:",entry,control,agreement,start,scale" default:"" help:"Run only one group of measurements."`
 }
 
-// Run takes the measurements.
+// Run runs the measurements.
 func (c *benchCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -52,18 +53,18 @@
 
 type policyCmd struct{}
 
-// Run takes the measurements, which are the same on every machine but for the
-// costs of decisions.
+// Run runs the measurements. Their results are the same on every machine, except the
+// costs of decisions, which are measured in real time.
 func (c *policyCmd) Run() error {
 	policybench.Run(os.Stdout)
 	return nil
 }
 
 type slotsCmd struct {
-	Days int `default:"40" help:"Days of each kind, each with a seed of its own."`
+	Days int `default:"40" help:"Simulated days of each kind, each with its own seed."`
 }
 
-// Run plays the days.
+// Run simulates the days.
 func (c *slotsCmd) Run() error {
 	slots.Run(os.Stdout, c.Days)
 	return nil
@@ -71,7 +72,8 @@
 
 type matrixCmd struct{}
 
-// Run fails if a cell is red or a test of the matrix failed unseen.
+// Run exits with status 1 if a cell is red or a test of the matrix failed without
+// reporting a cell.
 func (c *matrixCmd) Run() error {
 	report, err := matrix.Read(os.Stdin)
 	if err != nil {
