--- a/internal/coordination/batch/stalled.go
+++ b/internal/coordination/batch/stalled.go
@@ -18,7 +18,7 @@
 func (e *Executor) slotCount() (count int) {
 	for name, service := range e.journal.Fleet().Services {
 		if service.Repeatable {
-			count += e.slots.Places(name)
+			count += e.slots.Capacity(name)
 		}
 	}
 	return count
@@ -35,7 +35,7 @@
 	// stalled sets stalledSince in the work set. This must not use update, which
 	// would wake the background services and cause a busy loop.
 	c.inspect(func(w *workset) {
-		stalled = w.stalled(time.Now(), c.opts.ReleaseAfter, c.serviceFor, c.slots.Places)
+		stalled = w.stalled(time.Now(), c.opts.ReleaseAfter, c.serviceFor, c.slots.Capacity)
 	})
 	if len(stalled) == 0 {
 		return
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -26,7 +26,7 @@
 	}
 	problems := problemsOf(status)
 	err := env.show(result{data: status, table: statusTable(status),
-		summary: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.Newest(), len(status.Instances), status.JobsRunning)})
+		summary: fmt.Sprintf("version %d is the newest; %d instances answered, %d jobs run", status.NewestVersion(), len(status.Instances), status.JobsRunning)})
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 
 func statusTable(status fleetstatus.Status) table {
 	t := table{heading: []string{"INSTANCE", "DOMAIN", "VERSION", "LOG", "WORK", "UP", "NOTE"}}
-	newest := status.Newest()
+	newest := status.NewestVersion()
 	for _, i := range status.Instances {
 		version := fmt.Sprint(i.Version)
 		if i.Version < newest {
@@ -53,7 +53,7 @@
 	}
 	for _, job := range status.Late {
 		t.add("job "+string(job.Job), "", "", "", "", "", fmt.Sprintf("%d of %d items left, due %s, organisation %s",
-			job.Left, job.Total, job.Deadline.UTC().Format(time.RFC3339), job.Organisation))
+			job.ItemsLeft, job.Items, job.Deadline.UTC().Format(time.RFC3339), job.Organisation))
 	}
 	return t
 }
@@ -75,7 +75,7 @@
 // problemsOf lists the conditions that need an operator.
 func problemsOf(status fleetstatus.Status) []string {
 	var out []string
-	newest := status.Newest()
+	newest := status.NewestVersion()
 	for _, i := range status.Instances {
 		switch {
 		case i.Trouble != "":
@@ -87,7 +87,7 @@
 		}
 	}
 	for _, missing := range status.Unreached {
-		text := fmt.Sprintf("%s can't be reached from %s", missing.Instance, status.Asked)
+		text := fmt.Sprintf("%s can't be reached from %s", missing.Instance, status.CollectedBy)
 		if !missing.SessionOpen {
 			text += ", and its session has ended: it left the fleet, or can't reach the log either"
 		}
@@ -116,7 +116,7 @@
 		if session == "" {
 			session = "none"
 		}
-		heard := choose(i.Heard, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SilentMS)*time.Millisecond))
+		heard := choose(i.Reachable, "yes", fmt.Sprintf("no, silent for %s", time.Duration(i.SinceHeartbeatMS)*time.Millisecond))
 		t.add(string(i.Instance), string(i.Domain), session, i.PeerAddress, heard)
 	}
 	return env.show(result{data: answer, table: t, summary: fmt.Sprintf("%d instances known to %s", len(answer.Instances), answer.Instance),
--- a/internal/ctl/views_test.go
+++ b/internal/ctl/views_test.go
@@ -38,7 +38,7 @@
 // An instance is unreachable, one has an old version and one can't read the log. A script
 // that monitors the fleet by the exit code has to notice each of them.
 func TestStatusExits1WhenSomethingNeedsAnOperator(t *testing.T) {
-	status := fleetstatus.Status{Asked: "a", Instances: []fleetstatus.Instance{
+	status := fleetstatus.Status{CollectedBy: "a", Instances: []fleetstatus.Instance{
 		{Instance: "a", Version: 9, LogUp: true, MayHold: true},
 		{Instance: "b", Version: 8, LogUp: true},
 		{Instance: "c", Version: 9},
@@ -57,7 +57,7 @@
 func TestListsPrintEveryOutputFormat(t *testing.T) {
 	address := serveJSON(t, map[string]any{
 		operatorapi.PathTargets:   operatorapi.TargetsAnswer{Instance: "a", Targets: []routing.Status{{Target: "t1", Service: "lm"}, {Target: "t2", Service: "other", Leaving: true}}},
-		operatorapi.PathInstances: operatorapi.InstancesAnswer{Instance: "a", Instances: []operatorapi.InstanceLine{{Instance: "b", SilentMS: 1500}}},
+		operatorapi.PathInstances: operatorapi.InstancesAnswer{Instance: "a", Instances: []operatorapi.InstanceEntry{{Instance: "b", SinceHeartbeatMS: 1500}}},
 		operatorapi.PathHistory:   operatorapi.HistoryAnswer{Instance: "a", Changes: []fleet.Change{{ChangeID: "chg-1", Objects: []string{"key k1"}}, {ChangeID: "chg-0"}}},
 	})
 	cases := []struct {
