--- a/internal/coordination/faulttest/batchmatrix_test.go
+++ b/internal/coordination/faulttest/batchmatrix_test.go
@@ -15,14 +15,14 @@
 	nodes = 3
 )
 
-// step is a row of the matrix.
+// step is a row of the fault matrix.
 type step struct {
 	name string
 	at   point
-	// run is the scenario; it returns what the checks found wrong.
-	run func(w *world) *verdicts
-	// none says why a fault can't strike here.
-	none map[fault]string
+	// run executes the scenario and returns the violations that the checks found.
+	run func(tf *testFleet) *violations
+	// excluded gives the reason for each fault that cannot occur at this step.
+	excluded map[fault]string
 }
 
 const (
@@ -32,23 +32,23 @@
 )
 
 var batchSteps = []step{
-	{name: "upload", at: atUpload, run: runJob, none: map[fault]string{targetDead: noTarget, trimmed: noInput}},
-	{name: "accept", at: atAccept, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "acknowledge", at: atAcknowledge, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "claim", at: atClaim, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "dispatch", at: atDispatch, run: runJob, none: map[fault]string{}},
-	{name: "answer", at: atAnswer, run: runJob, none: map[fault]string{}},
-	{name: "result-append", at: atResultData, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "result-record", at: atResult, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "deliver", at: atDeliver, run: runJob, none: map[fault]string{targetDead: noTarget}},
-	{name: "cancel", at: atCancel, run: runCancel, none: map[fault]string{targetDead: noTarget}},
-	{name: "takeover", at: atClaim, run: runTakeover, none: map[fault]string{targetDead: noTarget}},
+	{name: "upload", at: atUpload, run: runJob, excluded: map[fault]string{targetDown: noTarget, retentionExpired: noInput}},
+	{name: "accept", at: atAccept, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "acknowledge", at: atAcknowledge, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "claim", at: atClaim, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "dispatch", at: atDispatch, run: runJob, excluded: map[fault]string{}},
+	{name: "answer", at: atAnswer, run: runJob, excluded: map[fault]string{}},
+	{name: "result-append", at: atResultData, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "result-record", at: atResult, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "deliver", at: atDeliver, run: runJob, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "cancel", at: atCancel, run: runCancel, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "takeover", at: atClaim, run: runTakeover, excluded: map[fault]string{targetDown: noTarget}},
 }
 
-// Each cell sends a job of some hundred items through three instances and
-// strikes one of them at one step. A caller would notice a lost job, a job that
-// runs twice, an item without or with two results, a result of another item, or
-// a cancelled job that goes on.
+// Each cell submits a job of 600 items to three instances and injects a fault
+// into one instance at one step. The checks detect a lost job, a job that runs
+// twice, an item with no result or two, a result of another item, and a
+// cancelled job that keeps running.
 func TestMatrixBatch(t *testing.T) {
 	for _, s := range batchSteps {
 		t.Run(s.name, func(t *testing.T) {
@@ -63,13 +63,13 @@
 }
 
 func (s step) cell(t *testing.T, f fault) {
-	if notApplicable(t, s.name, s.none, f) {
+	if notApplicable(t, s.name, s.excluded, f) {
 		return
 	}
 	synctest.Test(t, func(t *testing.T) {
-		wrong := s.strike(t, f, variant{})
-		for _, sentence := range wrong {
-			t.Error(sentence)
+		wrong := s.runWithFault(t, f, variant{})
+		for _, violation := range wrong {
+			t.Error(violation)
 		}
 		if len(wrong) == 0 {
 			t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, f, "checked")
@@ -77,54 +77,54 @@
 	})
 }
 
-// strike runs the scenario with a fault and returns what was wrong after it.
-func (s step) strike(t *testing.T, f fault, broken variant) []string {
-	p := newPlan(s.at, f, s.name != "takeover")
-	w := newWorld(t, nodes, broken, p)
-	v := s.run(w)
-	if !p.happened() {
-		v.add("the fault did not strike")
+// runWithFault runs the scenario with a fault and returns the violations.
+func (s step) runWithFault(t *testing.T, f fault, broken variant) []string {
+	p := newInjection(s.at, f, s.name != "takeover")
+	tf := newTestFleet(t, nodes, broken, p)
+	v := s.run(tf)
+	if !p.wasTriggered() {
+		v.add("the fault was not injected")
 	}
-	return v.wrong
+	return v.messages
 }
 
-// runJob takes a job from its upload to the reading of its results.
-func runJob(w *world) *verdicts {
-	v := &verdicts{}
-	c := newClient(w)
-	job, err := c.submitCrossed("night-run", items, "1h")
+// runJob uploads a file, submits a job, waits for its end and reads its results.
+func runJob(tf *testFleet) *violations {
+	v := &violations{}
+	c := newClient(tf)
+	job, err := c.submitInterleaved("night-run", items, "1h")
 	if err != nil {
 		v.add("%v", err)
 		return v
 	}
-	return w.finish(v, c, job)
+	return tf.finishJob(v, c, job)
 }
 
-func (w *world) finish(v *verdicts, c *client, job batch.Job) *verdicts {
-	if !w.reached(10*time.Minute, func() bool { return w.ended(job.ID) }) {
+func (tf *testFleet) finishJob(v *violations, c *client, job batch.Job) *violations {
+	if !tf.waitFor(10*time.Minute, func() bool { return tf.ended(job.ID) }) {
 		v.add("the job did not end")
 		return v
 	}
-	// What is late has time to arrive.
-	<-time.After(pauseTime + lateTime)
-	w.checkOneJob(v, c)
-	w.checkAgreement(v)
-	w.checkResults(v, c, job)
+	// Paused instances and delayed operations finish within this time.
+	<-time.After(pauseTime + delayTime)
+	tf.checkSingleJob(v, c)
+	tf.checkReplicasAgree(v)
+	tf.checkResults(v, c, job)
 	return v
 }
 
-// mayLose says that the fault took data away that nobody can bring back. What
-// must hold then is that the caller is told so, item by item.
-func (w *world) mayLose() bool { return w.planned(trimmed) }
+// losesData reports whether the fault deletes data that cannot be recovered.
+// The caller must then get an error for each lost item.
+func (tf *testFleet) losesData() bool { return tf.injects(retentionExpired) }
 
-func (w *world) checkResults(v *verdicts, c *client, job batch.Job) {
-	view, _ := w.jobOf(w.live()[0], job.ID)
+func (tf *testFleet) checkResults(v *violations, c *client, job batch.Job) {
+	view, _ := tf.jobOf(tf.live()[0], job.ID)
 	if view.Status != ledger.Completed {
 		v.add("the job ended as %s", view.Status)
 	}
-	lines := w.readLines(v, c, job.ID)
-	if w.mayLose() {
-		checkTold(v, lines, view)
+	lines := tf.readLines(v, c, job.ID)
+	if tf.losesData() {
+		checkLossReported(v, lines, view)
 		return
 	}
 	good, _ := checkLines(v, lines, items)
@@ -133,26 +133,26 @@
 	}
 }
 
-// checkTold: after data was lost every item still has its line, which holds
-// the result or says that it is gone.
-func checkTold(v *verdicts, lines []line, view ledger.JobView) {
+// checkLossReported checks that after a loss of data every item still has a line
+// with either its result or the error code for lost data.
+func checkLossReported(v *violations, lines []line, view ledger.JobView) {
 	if view.Completed+view.Failed != items || len(lines) != items {
-		v.add("%d items are counted and %d have a line", view.Completed+view.Failed, len(lines))
+		v.add("%d items are counted, but %d have a line", view.Completed+view.Failed, len(lines))
 	}
 	for _, l := range lines {
 		good := l.Response != nil && l.Error == nil
 		if !good && (l.Error == nil || l.Error.Code != string(protocol.CodeGone)) {
-			v.add("item %q has no result and is not said to be gone", l.CustomID)
+			v.add("item %q has neither a result nor the error code for lost data", l.CustomID)
 		}
 	}
 }
 
 // runCancel cancels a job while its items run.
-func runCancel(w *world) *verdicts {
-	v := &verdicts{}
-	// Long items, so that the job can't complete in an outage before the cancel.
-	w.targets.itemTime = 10 * time.Second
-	c := newClient(w)
+func runCancel(tf *testFleet) *violations {
+	v := &violations{}
+	// Items take 10 s so that the job cannot complete in an outage before the cancel.
+	tf.targets.itemTime = 10 * time.Second
+	c := newClient(tf)
 	job, err := c.submit("night-run", items, "1h")
 	if err != nil {
 		v.add("%v", err)
@@ -169,51 +169,51 @@
 		v.add("the job ended as %s", cancelled.Status)
 	}
 	<-time.After(pauseTime + outageTime)
-	w.checkOneJob(v, c)
-	w.checkAgreement(v)
-	w.checkStopped(v, confirmed)
-	view, _ := w.jobOf(w.live()[0], job.ID)
+	tf.checkSingleJob(v, c)
+	tf.checkReplicasAgree(v)
+	tf.checkStopped(v, confirmed)
+	view, _ := tf.jobOf(tf.live()[0], job.ID)
 	if view.Completed != cancelled.Completed {
-		v.add("%d results at the cancel, %d after it", cancelled.Completed, view.Completed)
+		v.add("%d results at the time of the cancel, %d later", cancelled.Completed, view.Completed)
 	}
-	if !w.mayLose() {
-		checkLines(v, w.readLines(v, c, job.ID), items)
+	if !tf.losesData() {
+		checkLines(v, tf.readLines(v, c, job.ID), items)
 	}
 	return v
 }
 
-// checkStopped: nothing begins more than a second after the cancel. An instance
-// that was paused can't know of it: what it had taken up before the pause may
-// begin when it goes on, at most an item for each of its places, until it has
-// read the log.
-func (w *world) checkStopped(v *verdicts, confirmed time.Time) {
+// checkStopped checks that no item starts more than a second after the cancel.
+// An instance that was paused has not read the cancel. When it resumes, items
+// that it had claimed before the pause may start until it has read the log, at
+// most one for each of its slots.
+func (tf *testFleet) checkStopped(v *violations, confirmed time.Time) {
 	known := confirmed
-	if resumed := w.resumedAt(); resumed.After(known) {
+	if resumed := tf.resumedAt(); resumed.After(known) {
 		known = resumed
 	}
-	if began := w.targets.beganAfter(known.Add(time.Second)); began > 0 {
+	if began := tf.targets.beganAfter(known.Add(time.Second)); began > 0 {
 		v.add("%d items began more than a second after the cancel", began)
 	}
-	if began := w.targets.beganAfter(confirmed.Add(time.Second)); began > w.places {
-		v.add("%d items began more than a second after the cancel, at a paused instance", began)
+	if began := tf.targets.beganAfter(confirmed.Add(time.Second)); began > tf.slotsPerInstance {
+		v.add("%d items began more than a second after the cancel, on a paused instance", began)
 	}
 }
 
-// runTakeover kills an instance that holds chunks and strikes the claim with
-// which another takes them.
-func runTakeover(w *world) *verdicts {
-	v := &verdicts{}
-	c := newClient(w)
+// runTakeover kills an instance that holds chunks and injects the fault into the
+// claim with which another instance takes them over.
+func runTakeover(tf *testFleet) *violations {
+	v := &violations{}
+	c := newClient(tf)
 	job, err := c.submit("night-run", items, "1h")
 	if err != nil {
 		v.add("%v", err)
 		return v
 	}
-	w.await(time.Minute, "a claim of the first instance", func() bool { return len(w.held(w.nodes[0])) > 0 })
+	tf.await(time.Minute, "a claim of the first instance", func() bool { return len(tf.chunksHeldBy(tf.nodes[0])) > 0 })
 	<-time.After(2 * time.Second)
-	w.nodes[0].crash()
-	for _, p := range w.plans {
+	tf.nodes[0].crash()
+	for _, p := range tf.injections {
 		p.arm()
 	}
-	return w.finish(v, c, job)
+	return tf.finishJob(v, c, job)
 }
--- a/internal/coordination/faulttest/broken_test.go
+++ b/internal/coordination/faulttest/broken_test.go
@@ -20,34 +20,34 @@
 	"merlintiller/internal/state/session"
 )
 
-// requireRed runs cells with a broken variant. Each must be red, and for the
-// reason that the variant is broken.
-func requireRed(t *testing.T, strike func(*testing.T, fault) []string, reason string, faults ...fault) {
+// requireDetected runs cells with a broken variant. Each must report a violation
+// that matches reason, the defect of the variant.
+func requireDetected(t *testing.T, runCell func(*testing.T, fault) []string, reason string, faults ...fault) {
 	t.Helper()
 	for _, f := range faults {
 		t.Run(string(f), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wrong := strings.Join(strike(t, f), "\n")
+				wrong := strings.Join(runCell(t, f), "\n")
 				require.Regexp(t, reason, wrong)
 			})
 		})
 	}
 }
 
-func batchStrike(name string, broken variant) func(*testing.T, fault) []string {
+func batchScenario(name string, broken variant) func(*testing.T, fault) []string {
 	for _, s := range batchSteps {
 		if s.name == name {
-			return func(t *testing.T, f fault) []string { return s.strike(t, f, broken) }
+			return func(t *testing.T, f fault) []string { return s.runWithFault(t, f, broken) }
 		}
 	}
 	panic("no step " + name)
 }
 
-func callStrike(name string, broken variant) func(*testing.T, fault) []string {
+func callScenario(name string, broken variant) func(*testing.T, fault) []string {
 	for _, s := range callSteps {
 		if s.name == name {
 			return func(t *testing.T, f fault) []string {
-				wrong, _ := s.strike(t, f, broken)
+				wrong, _ := s.runWithFault(t, f, broken)
 				return wrong
 			}
 		}
@@ -59,14 +59,14 @@
 	return variant{journal: wrap}
 }
 
-// hasty acknowledges a manifest before it is appended.
-type hasty struct {
+// ackBeforeAppend acknowledges a manifest before it is appended.
+type ackBeforeAppend struct {
 	coordination.Journal
 	mu      sync.Mutex
 	pending *protocol.Record
 }
 
-func (h *hasty) Submit(ctx context.Context, rec protocol.Record) coordination.Outcome {
+func (h *ackBeforeAppend) Submit(ctx context.Context, rec protocol.Record) coordination.Outcome {
 	if rec.JobSubmit == nil {
 		return h.Journal.Submit(ctx, rec)
 	}
@@ -76,16 +76,16 @@
 	own.ID.Session = h.Session()
 	h.pending = &own
 	go func() {
-		// The acknowledgement must be out before the fault can strike the
-		// append, or the caller resends and the defect hides.
+		// The acknowledgement must be sent before the fault is injected into
+		// the append. Otherwise the caller resends, which hides the defect.
 		<-time.After(time.Millisecond)
 		h.Journal.Submit(context.WithoutCancel(ctx), rec)
 	}()
 	return coordination.Outcome{Verdict: protocol.Accepted, Run: protocol.Completed}
 }
 
-// View shows the manifest as if it had been accepted.
-func (h *hasty) View(read func(*replica.State)) {
+// View presents the pending manifest as accepted.
+func (h *ackBeforeAppend) View(read func(*replica.State)) {
 	h.mu.Lock()
 	pending := h.pending
 	h.mu.Unlock()
@@ -94,39 +94,39 @@
 			read(state)
 			return
 		}
-		ahead := past(state)
+		ahead := copyState(state)
 		ahead.Ledger.Apply(state.Applied(), pending, ahead.Sessions)
 		read(ahead)
 	})
 }
 
-// past copies the parts of a state that batch jobs use.
-func past(state *replica.State) *replica.State {
+// copyState copies the parts of a state that batch jobs use.
+func copyState(state *replica.State) *replica.State {
 	return &replica.State{
 		Sessions: session.Restore(state.Sessions.Snapshot()),
 		Ledger:   ledger.Restore(state.Ledger.Snapshot()),
 	}
 }
 
-// If a job were acknowledged before its manifest stands in the log, the
-// instance could die in between and the job be lost. The cells of acceptance
-// must notice.
-func TestBrokenAcknowledgeBeforeAppendIsNoticed(t *testing.T) {
-	broken := journalVariant(func(j coordination.Journal) coordination.Journal { return &hasty{Journal: j} })
-	requireRed(t, batchStrike("accept", broken), "the job did not end", killBefore)
+// If a job is acknowledged before its manifest is in the log, the job is lost
+// when the instance crashes in between. The cells of the accept step must
+// detect this.
+func TestBrokenAcknowledgeBeforeAppendIsDetected(t *testing.T) {
+	broken := journalVariant(func(j coordination.Journal) coordination.Journal { return &ackBeforeAppend{Journal: j} })
+	requireDetected(t, batchScenario("accept", broken), "the job did not end", killBefore)
 }
 
-// Without the rule that the first result of an item stands, a caller would get
-// every result that was ever appended: two of an item that ran at a paused
-// instance and at the one that took over.
-func TestBrokenFirstResultRuleIsNoticed(t *testing.T) {
+// The first result of an item counts. Without this rule a caller gets every
+// result that was appended: two for an item that ran on a paused instance and on
+// the instance that took over its chunk.
+func TestBrokenFirstResultRuleIsDetected(t *testing.T) {
 	broken := variant{lines: allResults}
-	requireRed(t, batchStrike("result-append", broken), "has [23] lines", answerLost, pauseLong)
+	requireDetected(t, batchScenario("result-append", broken), "has [23] lines", answerLost, pausePastLease)
 }
 
-// allResults delivers all results in the data stream.
-func allResults(w *world, id protocol.JobID) []line {
-	page, err := w.log.Read(w.ctx, protocol.DataStream, 0, 1<<20, 0)
+// allResults returns a line for every result in the data stream.
+func allResults(tf *testFleet, id protocol.JobID) []line {
+	page, err := tf.log.Read(tf.ctx, protocol.DataStream, 0, 1<<20, 0)
 	if err != nil {
 		panic(err)
 	}
@@ -150,40 +150,40 @@
 	return lines
 }
 
-// frozen shows its executor the ledger as it was when its instance had claimed
-// its first chunks.
-type frozen struct {
+// staleLedger presents to the executor the ledger as it was when the instance
+// had claimed its first chunks.
+type staleLedger struct {
 	coordination.Journal
-	mu   sync.Mutex
-	past *replica.State
+	mu    sync.Mutex
+	stale *replica.State
 }
 
-func (f *frozen) View(read func(*replica.State)) {
+func (f *staleLedger) View(read func(*replica.State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.past != nil {
-		read(f.past)
+	if f.stale != nil {
+		read(f.stale)
 		return
 	}
 	own := f.Session()
 	f.Journal.View(func(state *replica.State) {
 		read(state)
 		if len(state.Ledger.HeldBy(own)) > 0 {
-			f.past = past(state)
+			f.stale = copyState(state)
 		}
 	})
 }
 
-// If executors did not follow the ledger, a cancelled job would go on.
-func TestBrokenCancelIsNoticed(t *testing.T) {
-	broken := variant{executor: func(j coordination.Journal) coordination.Journal { return &frozen{Journal: j} }}
-	requireRed(t, batchStrike("cancel", broken), "items began more than a second after the cancel", late, answerLost)
+// If executors do not follow the ledger, a cancelled job keeps running.
+func TestBrokenCancelIsDetected(t *testing.T) {
+	broken := variant{executor: func(j coordination.Journal) coordination.Journal { return &staleLedger{Journal: j} }}
+	requireDetected(t, batchScenario("cancel", broken), "items began more than a second after the cancel", delayed, answerLost)
 }
 
-// trusting takes an append of data that got no answer for done.
-type trusting struct{ coordination.Journal }
+// assumeAppended treats an append of data that got no answer as successful.
+type assumeAppended struct{ coordination.Journal }
 
-func (t trusting) AppendData(ctx context.Context, payload []byte) (protocol.Offset, error) {
+func (t assumeAppended) AppendData(ctx context.Context, payload []byte) (protocol.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
 	at, err := t.Journal.AppendData(ctx, payload)
@@ -193,17 +193,17 @@
 	return at, nil
 }
 
-// If a result were reported before its data stands in the log, its items would
-// count as completed and nobody could read them.
-func TestBrokenDataOrderIsNoticed(t *testing.T) {
-	broken := journalVariant(func(j coordination.Journal) coordination.Journal { return trusting{j} })
-	requireRed(t, batchStrike("result-append", broken), "has 0 lines|has a foreign answer", answerLost)
+// If a result is reported before its data is in the log, its items count as
+// completed although their results cannot be read.
+func TestBrokenDataOrderIsDetected(t *testing.T) {
+	broken := journalVariant(func(j coordination.Journal) coordination.Journal { return assumeAppended{j} })
+	requireDetected(t, batchScenario("result-append", broken), "has 0 lines|has the answer of another item", answerLost)
 }
 
-// retrying sends a call again when its answer did not come.
-type retrying struct{ online.AtMostOnceCaller }
+// resendOnError sends a call again when it got no answer.
+type resendOnError struct{ online.AtMostOnceCaller }
 
-func (r retrying) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+func (r resendOnError) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	return r.AtMostOnceCaller.CallAtMostOnce(ctx, call, func(ctx context.Context, id protocol.CallID) (online.Response, error) {
 		answer, err := dispatch(ctx, id)
 		if err != nil {
@@ -213,17 +213,17 @@
 	})
 }
 
-// If a call that may not be repeated were sent again after its answer was lost,
-// it would run twice.
-func TestBrokenRetryOfACallIsNoticed(t *testing.T) {
-	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return retrying{c} }}
-	requireRed(t, callStrike("call-answer", broken), "the call ran 2 times", answerLost, crossed)
+// If a non-idempotent call is sent again after its answer was lost, it runs
+// twice.
+func TestBrokenRetryOfACallIsDetected(t *testing.T) {
+	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return resendOnError{c} }}
+	requireDetected(t, callScenario("call-answer", broken), "the call ran 2 times", answerLost, interleaved)
 }
 
-// greedy sends without asking who won the reservation.
-type greedy struct{}
+// skipReservation sends a call without a reservation.
+type skipReservation struct{}
 
-func (greedy) CallAtMostOnce(ctx context.Context, _ online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+func (skipReservation) CallAtMostOnce(ctx context.Context, _ online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	answer, err := dispatch(ctx, "call")
 	if err == nil {
 		return answer, nil
@@ -231,29 +231,29 @@
 	return online.Response{}, protocol.Uncertain(protocol.CodeOutcomeUnknown, "no answer")
 }
 
-// If the reservation were not decided over the whole fleet, two instances that
-// get the same call would both send it.
-func TestBrokenReservationIsNoticed(t *testing.T) {
-	broken := variant{caller: func(online.AtMostOnceCaller) online.AtMostOnceCaller { return greedy{} }}
-	requireRed(t, callStrike("call-dispatch", broken), "the call ran [23] times", crossed, answerLost)
+// If the reservation is not decided for the whole fleet, two instances that
+// receive the same call both send it.
+func TestBrokenReservationIsDetected(t *testing.T) {
+	broken := variant{caller: func(online.AtMostOnceCaller) online.AtMostOnceCaller { return skipReservation{} }}
+	requireDetected(t, callScenario("call-dispatch", broken), "the call ran [23] times", interleaved, answerLost)
 }
 
-// boastful says that a call did not run whenever it has no answer.
-type boastful struct{ online.AtMostOnceCaller }
+// reportNotRun reports that a call did not run whenever it got no answer.
+type reportNotRun struct{ online.AtMostOnceCaller }
 
-func (b boastful) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
+func (b reportNotRun) CallAtMostOnce(ctx context.Context, call online.AtMostOnceCall, dispatch online.Dispatch) (online.Response, *protocol.Refusal) {
 	answer, refusal := b.AtMostOnceCaller.CallAtMostOnce(ctx, call, dispatch)
 	if refusal != nil && refusal.Run == protocol.MayHaveRun {
-		return answer, protocol.Refuse(protocol.CodeNoTarget, joinAgain, "not run")
+		return answer, protocol.Refuse(protocol.CodeNoTarget, retryAfter, "not run")
 	}
 	return answer, refusal
 }
 
-const joinAgain = 1e9
+const retryAfter = 1e9
 
-// If a call without an answer were refused as not run, the caller would make it
-// again under another key.
-func TestBrokenRunStateIsNoticed(t *testing.T) {
-	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return boastful{c} }}
-	requireRed(t, callStrike("call-answer", broken), "ran and was refused as not run", answerLost)
+// If a call without an answer is rejected as not run, the caller makes it again
+// under another key.
+func TestBrokenRunStateIsDetected(t *testing.T) {
+	broken := variant{caller: func(c online.AtMostOnceCaller) online.AtMostOnceCaller { return reportNotRun{c} }}
+	requireDetected(t, callScenario("call-answer", broken), "ran and was rejected as not run", answerLost)
 }
--- a/internal/coordination/faulttest/callmatrix_test.go
+++ b/internal/coordination/faulttest/callmatrix_test.go
@@ -13,29 +13,29 @@
 	"merlintiller/internal/protocol"
 )
 
-// callSteps are the rows of calls that may not be repeated.
+// callSteps are the rows of the fault matrix for non-idempotent calls.
 var callSteps = []callStep{
-	{name: "reserve", at: atReserve, none: map[fault]string{targetDead: noTarget, trimmed: noInput}},
-	{name: "reserve-read-back", at: atAcknowledge, none: map[fault]string{targetDead: noTarget, trimmed: noInput}},
-	{name: "call-dispatch", at: atDispatch, none: map[fault]string{duplicate: noDouble, trimmed: noInput}},
-	{name: "call-answer", at: atAnswer, none: map[fault]string{trimmed: noInput}},
-	{name: "answer-append", at: atStore, none: map[fault]string{targetDead: noTarget, trimmed: noInput}},
-	{name: "outcome", at: atOutcome, none: map[fault]string{targetDead: noTarget}},
-	{name: "answer-deliver", at: atDeliver, none: map[fault]string{targetDead: noTarget}},
+	{name: "reserve", at: atReserve, excluded: map[fault]string{targetDown: noTarget, retentionExpired: noInput}},
+	{name: "reserve-read-back", at: atAcknowledge, excluded: map[fault]string{targetDown: noTarget, retentionExpired: noInput}},
+	{name: "call-dispatch", at: atDispatch, excluded: map[fault]string{duplicate: noDuplicate, retentionExpired: noInput}},
+	{name: "call-answer", at: atAnswer, excluded: map[fault]string{retentionExpired: noInput}},
+	{name: "answer-append", at: atStore, excluded: map[fault]string{targetDown: noTarget, retentionExpired: noInput}},
+	{name: "outcome", at: atOutcome, excluded: map[fault]string{targetDown: noTarget}},
+	{name: "answer-deliver", at: atDeliver, excluded: map[fault]string{targetDown: noTarget}},
 }
 
-const noDouble = "a connection does not deliver a request twice; a second send is a resend, which the reserve step covers"
+const noDuplicate = "a connection does not deliver a request twice; a second send is a resend, which the reserve step covers"
 
 type callStep struct {
-	name string
-	at   point
-	none map[fault]string
+	name     string
+	at       point
+	excluded map[fault]string
 }
 
-// Each cell sends one call that may not be repeated, again and again through
-// other instances until it has a final answer, and strikes one instance at one
-// step. A caller would notice a swap made twice, or being told that a call did
-// not run when it did.
+// Each cell sends one non-idempotent call and resends it through other instances
+// until it has a final answer. One fault is injected into one instance at one
+// step. The checks detect a call that ran twice, and a call that ran although it
+// was rejected as not run.
 func TestMatrixCall(t *testing.T) {
 	for _, s := range callSteps {
 		t.Run(s.name, func(t *testing.T) {
@@ -50,13 +50,13 @@
 }
 
 func (s callStep) cell(t *testing.T, f fault) {
-	if notApplicable(t, s.name, s.none, f) {
+	if notApplicable(t, s.name, s.excluded, f) {
 		return
 	}
 	synctest.Test(t, func(t *testing.T) {
-		wrong, end := s.strike(t, f, variant{})
-		for _, sentence := range wrong {
-			t.Error(sentence)
+		wrong, end := s.runWithFault(t, f, variant{})
+		for _, violation := range wrong {
+			t.Error(violation)
 		}
 		if len(wrong) == 0 {
 			t.Logf("matrix step=%s fault=%s result=held reason=%q", s.name, f, "ended as "+end)
@@ -64,56 +64,57 @@
 	})
 }
 
-func (s callStep) strike(t *testing.T, f fault, broken variant) (wrong []string, end string) {
-	p := newPlan(s.at, f, true)
-	w := newWorld(t, nodes, broken, p)
-	v := &verdicts{}
-	end = w.runCall(v)
-	if !p.happened() {
-		v.add("the fault did not strike")
+func (s callStep) runWithFault(t *testing.T, f fault, broken variant) (wrong []string, end string) {
+	p := newInjection(s.at, f, true)
+	tf := newTestFleet(t, nodes, broken, p)
+	v := &violations{}
+	end = tf.runCall(v)
+	if !p.wasTriggered() {
+		v.add("the fault was not injected")
 	}
-	return v.wrong, end
+	return v.messages, end
 }
 
-// The ends of a call.
+// Final outcomes of a call.
 const (
 	endAnswered = "answered"
 	endUnknown  = "unknown"
 	endGone     = "gone"
 )
 
-const swap = "swap"
+const callName = "swap"
 
-// runCall makes a call until it has a final answer, and once more later.
-func (w *world) runCall(v *verdicts) string {
-	c := &callClient{client: newClient(w)}
-	if w.planned(crossed) {
-		other := &callClient{client: newClient(w), first: maxTries}
+// runCall makes a call until it has a final answer, and makes it again after the
+// longest pause and outage. It returns the first outcome.
+func (tf *testFleet) runCall(v *violations) string {
+	c := &callClient{client: newClient(tf)}
+	if tf.injects(interleaved) {
+		other := &callClient{client: newClient(tf), firstAttempt: maxAttempts}
 		other.next = 1
-		w.background.Go(func() { other.call(v) })
+		tf.background.Go(func() { other.call(v) })
 	}
 	end := c.call(v)
 	<-time.After(pauseTime + outageTime)
 	again := c.call(v)
-	// An unknown outcome may become known when a paused instance goes on. An
-	// answer stays, unless it was lost with the log's retention.
-	if end == endAnswered && again != endAnswered && !(again == endGone && w.planned(trimmed)) {
-		v.add("the call was answered, and later %s", again)
+	// An unknown outcome may become known when a paused instance resumes. An
+	// answer stays available unless the log's retention deleted it.
+	if end == endAnswered && again != endAnswered && !(again == endGone && tf.injects(retentionExpired)) {
+		v.add("the call was answered, and %s when it was made again", again)
 	}
-	w.checkRuns(v, c, end)
+	tf.checkRuns(v, c, end)
 	return end
 }
 
-// checkRuns: at most one run whatever happened, one if there was an answer,
-// and none of an attempt that was refused as not run.
-func (w *world) checkRuns(v *verdicts, c *callClient, end string) {
+// checkRuns checks that the call ran at most once, exactly once if it was
+// answered, and never for an attempt that was rejected as not run.
+func (tf *testFleet) checkRuns(v *violations, c *callClient, end string) {
 	total := 0
-	for try := range 3 * maxTries {
-		name := fmt.Sprintf("%s#%d", swap, try)
-		count := w.targets.count(name)
+	for try := range 3 * maxAttempts {
+		name := fmt.Sprintf("%s#%d", callName, try)
+		count := tf.targets.count(name)
 		total += count
 		if count > 0 && c.notRun[fmt.Sprint(try)] {
-			v.add("attempt %d ran and was refused as not run", try)
+			v.add("attempt %d ran and was rejected as not run", try)
 		}
 	}
 	if total > 1 {
@@ -126,8 +127,9 @@
 
 type callClient struct {
 	*client
-	// first is the number of the client's first attempt.
-	first, tries int
+	// firstAttempt is the number of the client's first attempt, attempts the
+	// number of attempts so far.
+	firstAttempt, attempts int
 }
 
 type onceAnswer struct {
@@ -136,37 +138,37 @@
 }
 
 // call makes the call until it has a final answer.
-func (c *callClient) call(v *verdicts) string {
-	request := online.AtMostOnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: swap}, BodyHash: 7}
-	for range maxTries {
-		try := c.first + c.tries
-		c.tries++
-		n := c.turn()
+func (c *callClient) call(v *violations) string {
+	request := online.AtMostOnceCall{Key: protocol.CallKey{Organisation: cascadia, Key: callName}, BodyHash: 7}
+	for range maxAttempts {
+		try := c.firstAttempt + c.attempts
+		c.attempts++
+		n := c.nextInstance()
 		n.delivering.Store(true)
-		got, ok := ask(n, func(ctx context.Context) onceAnswer {
-			answer, refusal := n.caller.CallAtMostOnce(ctx, request, n.dispatch(fmt.Sprintf("%s#%d", swap, try)))
+		got, ok := sendRequest(n, func(ctx context.Context) onceAnswer {
+			answer, refusal := n.caller.CallAtMostOnce(ctx, request, n.dispatch(fmt.Sprintf("%s#%d", callName, try)))
 			return onceAnswer{answer, refusal}
 		})
 		n.delivering.Store(false)
-		if end := c.judge(v, got, ok, try); end != "" {
+		if end := c.classify(v, got, ok, try); end != "" {
 			return end
 		}
 		c.pause(got.refusal)
 	}
-	v.add("no final answer after %d tries", maxTries)
+	v.add("no final answer after %d attempts", maxAttempts)
 	return ""
 }
 
-// judge returns how the call ended, "" if the client goes on.
-func (c *callClient) judge(v *verdicts, got onceAnswer, ok bool, try int) string {
+// classify returns the outcome of the call, or "" if the client is to try again.
+func (c *callClient) classify(v *violations, got onceAnswer, ok bool, try int) string {
 	if !ok {
 		return ""
 	}
-	c.refused(true, got.refusal, fmt.Sprint(try))
+	c.recordRefusal(true, got.refusal, fmt.Sprint(try))
 	switch {
 	case got.refusal == nil:
 		if string(got.answer.Body) != "swapped" {
-			v.add("foreign answer %q", got.answer.Body)
+			v.add("answer of another call: %q", got.answer.Body)
 		}
 		return endAnswered
 	case got.refusal.Code == protocol.CodeOutcomeUnknown:
@@ -174,7 +176,7 @@
 	case got.refusal.Code == protocol.CodeGone:
 		return endGone
 	case got.refusal.RetryAfter == 0:
-		v.add("refused for good: %v", got.refusal)
+		v.add("rejected without a retry time: %v", got.refusal)
 		return ""
 	}
 	return ""
@@ -182,20 +184,21 @@
 
 var errNoAnswer = errors.New("connection broke")
 
-// dispatch sends the call to a target, at which it takes half a second.
+// dispatch returns a function that sends the call to a target, where the call
+// takes 500 ms.
 func (n *node) dispatch(name string) online.Dispatch {
 	return func(_ context.Context, _ protocol.CallID) (online.Response, error) {
-		n.link.pass()
+		n.link.awaitRunning()
 		refused := false
-		if !n.strike(func() { refused = n.alive() && !n.world.targets.begin(name) }, atDispatch) {
+		if !n.inject(func() { refused = n.alive() && !n.fleet.targets.begin(name) }, atDispatch) {
 			return online.Response{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
 		}
 		if refused {
 			return online.Response{}, &external.CallError{Run: protocol.NotRun, Err: errNoAnswer}
 		}
 		<-time.After(500 * time.Millisecond)
-		n.link.pass()
-		if !n.strike(func() {}, atAnswer) || n.world.targets.failing(name) {
+		n.link.awaitRunning()
+		if !n.inject(func() {}, atAnswer) || n.fleet.targets.failing(name) {
 			return online.Response{}, &external.CallError{Run: protocol.MayHaveRun, Err: errNoAnswer}
 		}
 		return online.Response{Status: 200, Body: []byte("swapped")}, nil
--- a/internal/coordination/faulttest/check_test.go
+++ b/internal/coordination/faulttest/check_test.go
@@ -13,21 +13,21 @@
 	"merlintiller/internal/state/replica"
 )
 
-// verdicts collects what the checks found wrong.
-type verdicts struct{ wrong []string }
+// violations collects the violations that the checks found.
+type violations struct{ messages []string }
 
-func (v *verdicts) add(format string, args ...any) {
-	v.wrong = append(v.wrong, fmt.Sprintf(format, args...))
+func (v *violations) add(format string, args ...any) {
+	v.messages = append(v.messages, fmt.Sprintf(format, args...))
 }
 
-func (w *world) jobOf(n *node, id protocol.JobID) (view ledger.JobView, found bool) {
+func (tf *testFleet) jobOf(n *node, id protocol.JobID) (view ledger.JobView, found bool) {
 	n.View(func(state *replica.State) { view, found = state.Ledger.Job(id) })
 	return view, found
 }
 
-func (w *world) ended(id protocol.JobID) bool {
-	for _, n := range w.live() {
-		view, found := w.jobOf(n, id)
+func (tf *testFleet) ended(id protocol.JobID) bool {
+	for _, n := range tf.live() {
+		view, found := tf.jobOf(n, id)
 		if !found || view.Status == ledger.InProgress {
 			return false
 		}
@@ -35,11 +35,11 @@
 	return true
 }
 
-// checkOneJob: of all attempts with one key there is one job, every instance
-// knows the same, each acknowledgement named it, and no attempt that was
-// refused as not run is it.
-func (w *world) checkOneJob(v *verdicts, c *client) {
-	for _, n := range w.live() {
+// checkSingleJob checks that all attempts with one key led to one job, that every
+// instance knows the same job, that each acknowledgement named this job, and that
+// no attempt that was rejected as not run created it.
+func (tf *testFleet) checkSingleJob(v *violations, c *client) {
+	for _, n := range tf.live() {
 		var jobs []ledger.JobView
 		n.View(func(state *replica.State) { jobs = state.Ledger.Jobs(cascadia) })
 		if len(jobs) != 1 {
@@ -50,30 +50,31 @@
 			v.add("acknowledged %v, %s knows %s", c.acknowledged, n.name, jobs[0].ID)
 		}
 		if c.notRun[jobs[0].Metadata["try"]] {
-			v.add("try %s was refused as not run and is the job", jobs[0].Metadata["try"])
+			v.add("attempt %s was rejected as not run, but created the job", jobs[0].Metadata["try"])
 		}
 	}
 }
 
-// checkAgreement: instances that replayed the same hold the same.
-func (w *world) checkAgreement(v *verdicts) {
-	w.reached(10*time.Second, func() bool {
-		for _, n := range w.live() {
-			if n.Applied() != w.live()[0].Applied() {
+// checkReplicasAgree checks that instances that replayed the same log entries
+// have the same ledger.
+func (tf *testFleet) checkReplicasAgree(v *violations) {
+	tf.waitFor(10*time.Second, func() bool {
+		for _, n := range tf.live() {
+			if n.Applied() != tf.live()[0].Applied() {
 				return false
 			}
 		}
 		return true
 	})
 	var first []byte
-	for _, n := range w.live() {
+	for _, n := range tf.live() {
 		var data []byte
 		n.View(func(state *replica.State) { data, _ = protocol.Marshal(state.Ledger.Snapshot()) })
 		if first == nil {
 			first = data
 		}
 		if !bytes.Equal(first, data) {
-			v.add("%s holds another ledger", n.name)
+			v.add("the ledger of %s differs from that of the first instance", n.name)
 		}
 	}
 }
@@ -81,13 +82,14 @@
 // line is a line of a result file.
 type line struct {
 	batch.OutputLine
+	// failed reports whether the line is from the error file.
 	failed bool
 }
 
 // readLines reads both result files of a job.
-func (w *world) readLines(v *verdicts, c *client, id protocol.JobID) []line {
-	if w.variant.lines != nil {
-		return w.variant.lines(w, id)
+func (tf *testFleet) readLines(v *violations, c *client, id protocol.JobID) []line {
+	if tf.variant.lines != nil {
+		return tf.variant.lines(tf, id)
 	}
 	var lines []line
 	for _, failed := range []bool{false, true} {
@@ -97,7 +99,7 @@
 		}
 		data, refusal, err := c.content(name)
 		if err != nil || refusal != nil {
-			v.add("%s not readable: %v %v", name, refusal, err)
+			v.add("%s is not readable: %v %v", name, refusal, err)
 			continue
 		}
 		scanner := bufio.NewScanner(bytes.NewReader(data))
@@ -112,9 +114,10 @@
 	return lines
 }
 
-// checkLines: every item has exactly one line, and a good one holds the answer
-// to that very item.
-func checkLines(v *verdicts, lines []line, items int) (good, failed int) {
+// checkLines checks that every item has exactly one line, and that a line of the
+// output file has the answer to its own item. It returns the number of lines of
+// each file.
+func checkLines(v *violations, lines []line, items int) (good, failed int) {
 	seen := map[string]int{}
 	for _, l := range lines {
 		seen[l.CustomID]++
@@ -125,7 +128,7 @@
 		good++
 		want := fmt.Sprintf(`{"echo":%q}`, l.CustomID)
 		if l.Response == nil || string(l.Response.Body) != want {
-			v.add("%s has a foreign answer", l.CustomID)
+			v.add("%s has the answer of another item", l.CustomID)
 		}
 	}
 	for i := range items {
--- a/internal/coordination/faulttest/client_test.go
+++ b/internal/coordination/faulttest/client_test.go
@@ -14,41 +14,41 @@
 	"merlintiller/internal/protocol"
 )
 
-// client sends requests to one instance after the other, as a caller behind a
-// balancer does, until one answers.
+// client sends requests to the instances in turn until one answers, as a caller
+// behind a load balancer does.
 type client struct {
-	world        *world
+	fleet        *testFleet
 	organisation protocol.OrganisationID
 	next         int
-	// notRun holds the attempts that were refused as not run.
+	// notRun holds the attempts that were rejected as not run.
 	notRun map[string]bool
 	// acknowledged holds the ids of the jobs that were acknowledged.
 	acknowledged map[protocol.JobID]bool
 }
 
-func newClient(w *world) *client {
-	return &client{world: w, organisation: cascadia, notRun: map[string]bool{}, acknowledged: map[protocol.JobID]bool{}}
+func newClient(tf *testFleet) *client {
+	return &client{fleet: tf, organisation: cascadia, notRun: map[string]bool{}, acknowledged: map[protocol.JobID]bool{}}
 }
 
-// turn picks the instance of the next request.
-func (c *client) turn() *node {
-	live := c.world.live()
+// nextInstance picks the instance for the next request.
+func (c *client) nextInstance() *node {
+	live := c.fleet.live()
 	if len(live) == 0 {
-		panic("no instance lives")
+		panic("no instance is running")
 	}
 	n := live[c.next%len(live)]
 	c.next++
 	return n
 }
 
-// patience is how long a client waits for an answer before it turns to
-// another instance.
-const patience = 15 * time.Second
+// requestTimeout is how long a client waits for an answer before it tries another
+// instance.
+const requestTimeout = 15 * time.Second
 
-// ask makes a request through an instance. It is false if the caller has no
-// answer: the instance died under it, or is too slow.
-func ask[T any](n *node, request func(context.Context) T) (answer T, ok bool) {
-	ctx, cancel := context.WithTimeout(n.ctx, patience)
+// sendRequest makes a request through an instance. ok is false if the caller got
+// no answer because the instance crashed or exceeded requestTimeout.
+func sendRequest[T any](n *node, request func(context.Context) T) (answer T, ok bool) {
+	ctx, cancel := context.WithTimeout(n.ctx, requestTimeout)
 	defer cancel()
 	got := make(chan T, 1)
 	go func() { got <- request(ctx) }()
@@ -60,7 +60,7 @@
 	}
 }
 
-// pause waits as a refusal advises.
+// pause waits for the RetryAfter of a refusal, or for one second without one.
 func (c *client) pause(refusal *protocol.Refusal) {
 	wait := time.Second
 	if refusal != nil && refusal.RetryAfter > 0 {
@@ -69,7 +69,7 @@
 	<-time.After(wait)
 }
 
-// input is a file with numbered items.
+// input returns an input file with numbered items.
 func input(items int) []byte {
 	var file bytes.Buffer
 	encoder := json.NewEncoder(&file)
@@ -92,15 +92,15 @@
 	refusal *protocol.Refusal
 }
 
-// maxTries bounds a client's patience.
-const maxTries = 60
+// maxAttempts limits the attempts of a client for one request.
+const maxAttempts = 60
 
-// submit uploads a file and submits a job until it is acknowledged. Every
-// attempt carries the same key and a mark of its own.
+// submit uploads a file and submits a job until it is acknowledged. All attempts
+// have the same idempotency key. The metadata holds the number of the attempt.
 func (c *client) submit(key string, items int, window string) (batch.Job, error) {
 	var file *batch.File
-	for try := range maxTries {
-		n := c.turn()
+	for try := range maxAttempts {
+		n := c.nextInstance()
 		if file == nil {
 			file = c.upload(n, items)
 			continue
@@ -111,7 +111,7 @@
 			CompletionWindow: window,
 			Metadata:         map[string]string{"try": fmt.Sprint(try)},
 		}
-		answer, ok := ask(n, func(ctx context.Context) jobAnswer {
+		answer, ok := sendRequest(n, func(ctx context.Context) jobAnswer {
 			job, refusal := n.service.CreateBatch(ctx, c.organisation, request, key)
 			return jobAnswer{job, refusal}
 		})
@@ -119,22 +119,22 @@
 			c.acknowledged[answer.job.ID] = true
 			return answer.job, nil
 		}
-		c.refused(ok, answer.refusal, fmt.Sprint(try))
+		c.recordRefusal(ok, answer.refusal, fmt.Sprint(try))
 		if ok && answer.refusal.Code == protocol.CodeGone {
 			file = nil
 		}
 		c.pause(answer.refusal)
 	}
-	return batch.Job{}, fmt.Errorf("no job after %d tries", maxTries)
+	return batch.Job{}, fmt.Errorf("no job after %d attempts", maxAttempts)
 }
 
-// submitCrossed submits a job, and where requests are to cross sends the same
-// one through another instance at the same time.
-func (c *client) submitCrossed(key string, items int, window string) (batch.Job, error) {
-	if !c.world.planned(crossed) {
+// submitInterleaved submits a job. If the interleaved fault is planned, it sends
+// the same request through another instance at the same time.
+func (c *client) submitInterleaved(key string, items int, window string) (batch.Job, error) {
+	if !c.fleet.injects(interleaved) {
 		return c.submit(key, items, window)
 	}
-	other := newClient(c.world)
+	other := newClient(c.fleet)
 	other.next = c.next + 1
 	var wait sync.WaitGroup
 	var otherErr error
@@ -145,14 +145,14 @@
 	return job, errors.Join(err, otherErr)
 }
 
-func (c *client) refused(answered bool, refusal *protocol.Refusal, try string) {
+func (c *client) recordRefusal(answered bool, refusal *protocol.Refusal, try string) {
 	if answered && refusal != nil && refusal.Run == protocol.NotRun {
 		c.notRun[try] = true
 	}
 }
 
 func (c *client) upload(n *node, items int) *batch.File {
-	answer, ok := ask(n, func(ctx context.Context) fileAnswer {
+	answer, ok := sendRequest(n, func(ctx context.Context) fileAnswer {
 		file, refusal := n.service.UploadFile(ctx, c.organisation, "reports.jsonl", bytes.NewReader(input(items)))
 		return fileAnswer{file, refusal}
 	})
@@ -163,11 +163,11 @@
 	return &answer.file
 }
 
-// cancel cancels a job until it is confirmed.
+// cancel sends cancel requests for a job until one is confirmed.
 func (c *client) cancel(id protocol.JobID) (batch.Job, error) {
-	for range maxTries {
-		n := c.turn()
-		answer, ok := ask(n, func(ctx context.Context) jobAnswer {
+	for range maxAttempts {
+		n := c.nextInstance()
+		answer, ok := sendRequest(n, func(ctx context.Context) jobAnswer {
 			job, refusal := n.service.CancelBatch(ctx, c.organisation, id)
 			return jobAnswer{job, refusal}
 		})
@@ -176,7 +176,7 @@
 		}
 		c.pause(answer.refusal)
 	}
-	return batch.Job{}, fmt.Errorf("no cancel after %d tries", maxTries)
+	return batch.Job{}, fmt.Errorf("cancel not confirmed after %d attempts", maxAttempts)
 }
 
 type contentAnswer struct {
@@ -185,13 +185,13 @@
 	err     error
 }
 
-// content reads a file until it comes whole. It gives up on a refusal that
-// says not to try again.
+// content requests a file until it is received completely. It stops at a refusal
+// without a retry time.
 func (c *client) content(id string) ([]byte, *protocol.Refusal, error) {
-	for range maxTries {
-		n := c.turn()
+	for range maxAttempts {
+		n := c.nextInstance()
 		n.delivering.Store(true)
-		answer, ok := ask(n, func(ctx context.Context) contentAnswer {
+		answer, ok := sendRequest(n, func(ctx context.Context) contentAnswer {
 			var out bytes.Buffer
 			refusal, err := n.service.FileContent(ctx, c.organisation, id, &out)
 			return contentAnswer{out.Bytes(), refusal, err}
@@ -205,5 +205,5 @@
 		}
 		c.pause(answer.refusal)
 	}
-	return nil, nil, fmt.Errorf("no content of %s after %d tries", id, maxTries)
+	return nil, nil, fmt.Errorf("no content of %s after %d attempts", id, maxAttempts)
 }
--- a/internal/coordination/faulttest/doc.go
+++ b/internal/coordination/faulttest/doc.go
@@ -1,7 +1,7 @@
-// Package faulttest proves batch jobs and calls that may not be repeated under
-// faults: several instances with their real journals and duties run on one
-// in-memory log, in virtual time, and each cell of the fault matrix strikes
-// one of them at one step.
+// Package faulttest tests batch jobs and non-idempotent calls under injected
+// faults. Several instances run with their real journals and background
+// services on one in-memory log, in virtual time. Each cell of the fault matrix
+// injects one fault into one instance at one step.
 //
 // It holds tests only.
 package faulttest
--- a/internal/coordination/faulttest/faults_test.go
+++ b/internal/coordination/faulttest/faults_test.go
@@ -9,47 +9,50 @@
 	"merlintiller/internal/protocol"
 )
 
-// fault is one of the brief's faults.
+// fault is a kind of fault, under the name that the matrix prints.
 type fault string
 
-// The faults.
+// The kinds of faults.
 const (
-	noFault    fault = "none"
-	killBefore fault = "kill-before"
-	killAfter  fault = "kill-after"
-	pauseLong  fault = "pause-past-lease"
-	logDown    fault = "log-down"
-	answerLost fault = "answer-lost"
-	duplicate  fault = "duplicate"
-	late       fault = "late"
-	crossed    fault = "crossed"
-	targetDead fault = "target-dead"
-	trimmed    fault = "expired-retention"
-	cutFromLog fault = "cut-from-log"
-	// cutFromDomain and operatorsRacing touch no step here.
-	cutFromDomain   fault = "cut-from-domain"
-	operatorsRacing fault = "operators-racing"
+	noFault          fault = "none"
+	killBefore       fault = "kill-before"
+	killAfter        fault = "kill-after"
+	pausePastLease   fault = "pause-past-lease"
+	logDown          fault = "log-down"
+	answerLost       fault = "answer-lost"
+	duplicate        fault = "duplicate"
+	delayed          fault = "late"
+	interleaved      fault = "crossed"
+	targetDown       fault = "target-dead"
+	retentionExpired fault = "expired-retention"
+	isolatedFromLog  fault = "cut-from-log"
+	// isolatedFromDomain and concurrentOperators affect no step in this package.
+	isolatedFromDomain  fault = "cut-from-domain"
+	concurrentOperators fault = "operators-racing"
 )
 
 var allFaults = []fault{
-	killBefore, killAfter, pauseLong, logDown, answerLost,
-	duplicate, late, crossed, targetDead, trimmed,
+	killBefore, killAfter, pausePastLease, logDown, answerLost,
+	duplicate, delayed, interleaved, targetDown, retentionExpired,
 }
 
-// matrixFaults are those of single cells. The seeded pairs draw from allFaults
-// alone, so that each seed stays the pair it was.
-var matrixFaults = append(slices.Clone(allFaults), cutFromLog, cutFromDomain, operatorsRacing)
+// matrixFaults are the faults of the cells with a single fault. Pairs are drawn
+// from allFaults only, so that a seed keeps giving the same pairs when a fault is
+// added to matrixFaults.
+var matrixFaults = append(slices.Clone(allFaults), isolatedFromLog, isolatedFromDomain, concurrentOperators)
 
-// everywhere says why some faults are none at any step of batch jobs and calls.
-var everywhere = map[fault]string{
-	cutFromDomain:   "the step calls no other instance; a target that can't be reached is the cell target-dead",
-	operatorsRacing: "no operator takes part in the step",
+// excludedEverywhere gives the reason for each fault that cannot occur at any step
+// of batch jobs and calls.
+var excludedEverywhere = map[fault]string{
+	isolatedFromDomain:  "the step calls no other instance; a target that can't be reached is the cell target-dead",
+	concurrentOperators: "no operator takes part in the step",
 }
 
-// notApplicable logs the cell of a fault that a step can't meet.
+// notApplicable reports whether a fault cannot occur at a step, and logs its cell
+// if so.
 func notApplicable(t *testing.T, step string, none map[fault]string, f fault) bool {
 	reason, no := none[f]
-	if general, all := everywhere[f]; all {
+	if general, all := excludedEverywhere[f]; all {
 		reason, no = general, true
 	}
 	if no {
@@ -58,40 +61,42 @@
 	return no
 }
 
-// Durations of faults. A session ends 8 to 10 s after its last renewal.
+// Durations of faults. A session ends 8 to 10 s after its last renewal, so a
+// pause and an outage outlast it.
 const (
-	pauseTime  = 25 * time.Second
-	outageTime = 30 * time.Second
-	lateTime   = 3 * time.Second
-	deadTime   = 20 * time.Second
+	pauseTime      = 25 * time.Second
+	outageTime     = 30 * time.Second
+	delayTime      = 3 * time.Second
+	targetDownTime = 20 * time.Second
 )
 
-// plan strikes one fault at one point, once.
-type plan struct {
+// injection injects one fault at one point, once.
+type injection struct {
 	mu    sync.Mutex
 	at    point
 	fault fault
-	// armed limits the strike to a moment of the scenario, such as after the
-	// death of the first holder.
+	// armed is set when the fault may be injected, for example after the crash
+	// of the first holder.
 	armed bool
 	done  bool
-	// struck is closed when the fault has struck, victim is whom.
-	struck chan struct{}
-	victim *node
+	// triggered is closed when the fault is injected; victim is the instance.
+	triggered chan struct{}
+	victim    *node
 }
 
-func newPlan(at point, f fault, armed bool) *plan {
-	return &plan{at: at, fault: f, armed: armed, struck: make(chan struct{})}
+func newInjection(at point, f fault, armed bool) *injection {
+	return &injection{at: at, fault: f, armed: armed, triggered: make(chan struct{})}
 }
 
-func (p *plan) arm() {
+func (p *injection) arm() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.armed = true
 }
 
-// take decides whether the fault strikes here and now.
-func (p *plan) take(n *node, at point) bool {
+// trigger reports whether the fault is to be injected into an instance at a
+// point, and marks it as injected.
+func (p *injection) trigger(n *node, at point) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at == "" || p.done || !p.armed || p.at != at || p.fault == noFault {
@@ -99,31 +104,33 @@
 	}
 	p.done = true
 	p.victim = n
-	close(p.struck)
+	close(p.triggered)
 	return true
 }
 
-func (p *plan) happened() bool {
+func (p *injection) wasTriggered() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// strike makes an effect that belongs to some points, with the planned fault if
-// one is due. It is false if the instance gets no answer.
-func (n *node) strike(effect func(), points ...point) bool {
+// inject runs effect, an operation that passes the given points, under the fault
+// that is planned for one of them, if any. It returns false if the instance gets
+// no answer.
+func (n *node) inject(effect func(), points ...point) bool {
 	for _, at := range points {
-		n.world.note(n, at)
-		if p := n.world.due(n, at); p != nil {
-			return n.suffer(p.fault, at, effect)
+		n.fleet.notifyWaiters(n, at)
+		if p := n.fleet.pendingInjection(n, at); p != nil {
+			return n.applyFault(p.fault, at, effect)
 		}
 	}
 	effect()
 	return true
 }
 
-// suffer makes an effect under a fault.
-func (n *node) suffer(f fault, at point, effect func()) bool {
+// applyFault runs effect under a fault and returns false if the instance gets no
+// answer.
+func (n *node) applyFault(f fault, at point, effect func()) bool {
 	switch f {
 	case killBefore:
 		n.crash()
@@ -132,19 +139,19 @@
 		effect()
 		n.crash()
 		return false
-	case pauseLong:
-		n.stopFor(pauseTime)
+	case pausePastLease:
+		n.pauseFor(pauseTime)
 		effect()
 		return true
 	case logDown:
-		n.world.outage(outageTime)
+		n.fleet.outage(outageTime)
 		if at == atDispatch || at == atAnswer {
 			effect()
 			return true
 		}
 		return false
-	case cutFromLog:
-		n.cutOff(outageTime)
+	case isolatedFromLog:
+		n.isolateFromLog(outageTime)
 		if at == atDispatch || at == atAnswer {
 			effect()
 			return true
@@ -157,98 +164,99 @@
 		effect()
 		effect()
 		return true
-	case late:
-		<-time.After(lateTime)
+	case delayed:
+		<-time.After(delayTime)
 		effect()
 		return true
-	case crossed:
+	case interleaved:
 		if at == atDispatch || at == atAnswer {
-			// The answer is that of another call. Its echoed id gives it away,
-			// and the item is left without an answer.
+			// The instance receives the answer of another call, detects this by
+			// the echoed id, and has no answer for the item.
 			effect()
 			return false
 		}
-		n.world.waitForOther(n, at)
+		n.fleet.waitForOther(n, at)
 		effect()
 		return true
-	case targetDead:
-		n.world.targets.die(deadTime)
+	case targetDown:
+		n.fleet.targets.failFor(targetDownTime)
 		effect()
 		return true
-	case trimmed:
-		n.world.expireData()
+	case retentionExpired:
+		n.fleet.expireData()
 		effect()
 		return true
 	}
 	panic("unknown fault " + string(f))
 }
 
-// crash ends an instance like SIGKILL: nothing it does from now on has an
-// effect.
+// crash ends an instance as SIGKILL does: its later operations have no effect.
 func (n *node) crash() { n.cancel() }
 
-// stopFor pauses an instance and its caller for a while.
-func (n *node) stopFor(d time.Duration) {
+// pauseFor pauses an instance and the operation that called it for d.
+func (n *node) pauseFor(d time.Duration) {
 	n.link.pause()
 	select {
 	case <-time.After(d):
 	case <-n.ctx.Done():
 	}
 	n.link.resume()
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
-	n.world.resumed = time.Now()
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	n.fleet.resumedTime = time.Now()
 }
 
-// resumedAt is when a paused instance went on, zero if none was paused.
-func (w *world) resumedAt() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.resumed
+// resumedAt returns when a paused instance resumed, or the zero time if none was
+// paused.
+func (tf *testFleet) resumedAt() time.Time {
+	tf.mu.Lock()
+	defer tf.mu.Unlock()
+	return tf.resumedTime
 }
 
-// cutOff takes the log away from one instance for a while. The others go on and
-// end its session meanwhile.
-func (n *node) cutOff(d time.Duration) {
+// isolateFromLog makes the log unreachable for one instance for d. The other
+// instances keep running and end the session of the isolated one.
+func (n *node) isolateFromLog(d time.Duration) {
 	n.link.setDown(true)
-	n.world.background.Go(func() {
+	n.fleet.background.Go(func() {
 		select {
 		case <-time.After(d):
-		case <-n.world.ctx.Done():
+		case <-n.fleet.ctx.Done():
 		}
 		n.link.setDown(false)
 	})
 }
 
-// outage takes the log away from all instances for a while.
-func (w *world) outage(d time.Duration) {
-	for _, n := range w.nodes {
+// outage makes the log unreachable for all instances for d.
+func (tf *testFleet) outage(d time.Duration) {
+	for _, n := range tf.nodes {
 		n.link.setDown(true)
 	}
-	w.background.Go(func() {
+	tf.background.Go(func() {
 		select {
 		case <-time.After(d):
-		case <-w.ctx.Done():
+		case <-tf.ctx.Done():
 		}
-		for _, n := range w.nodes {
+		for _, n := range tf.nodes {
 			n.link.setDown(false)
 		}
 	})
 }
 
-// due finds the plan that strikes here and now, if any.
-func (w *world) due(n *node, at point) *plan {
-	for _, p := range w.plans {
-		if p.take(n, at) {
+// pendingInjection triggers and returns the injection planned for an instance at a
+// point, or nil.
+func (tf *testFleet) pendingInjection(n *node, at point) *injection {
+	for _, p := range tf.injections {
+		if p.trigger(n, at) {
 			return p
 		}
 	}
 	return nil
 }
 
-// planned says whether a fault is part of the scenario.
-func (w *world) planned(f fault) bool {
-	for _, p := range w.plans {
+// injects reports whether the scenario includes a fault.
+func (tf *testFleet) injects(f fault) bool {
+	for _, p := range tf.injections {
 		if p.fault == f {
 			return true
 		}
@@ -256,36 +264,37 @@
 	return false
 }
 
-// waitForOther holds an operation until another instance has come to the same
-// point, or for a while, so that the two cross. A cancel crosses with results.
-func (w *world) waitForOther(n *node, at point) {
+// waitForOther delays an operation until another instance has reached the same
+// point, at most for delayTime, so that the two operations interleave. A cancel
+// interleaves with a record of results.
+func (tf *testFleet) waitForOther(n *node, at point) {
 	if at == atCancel {
 		at = atResult
 	}
 	passed := make(chan struct{})
-	w.mu.Lock()
-	w.waiting = append(w.waiting, &waiter{at: at, not: n, passed: passed})
-	w.mu.Unlock()
+	tf.mu.Lock()
+	tf.waiting = append(tf.waiting, &waiter{at: at, not: n, passed: passed})
+	tf.mu.Unlock()
 	select {
 	case <-passed:
-		// The other one's operation takes effect first.
+		// The operation of the other instance takes effect first.
 		<-time.After(100 * time.Millisecond)
-	case <-time.After(lateTime):
+	case <-time.After(delayTime):
 	}
 }
 
-// waiter waits for an instance other than one to come to a point.
+// waiter waits until an instance other than not reaches a point.
 type waiter struct {
 	at     point
 	not    *node
 	passed chan struct{}
 }
 
-// note tells waiters that an instance has come to a point.
-func (w *world) note(n *node, at point) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.waiting = slices.DeleteFunc(w.waiting, func(other *waiter) bool {
+// notifyWaiters releases the waiters for a point that an instance has reached.
+func (tf *testFleet) notifyWaiters(n *node, at point) {
+	tf.mu.Lock()
+	defer tf.mu.Unlock()
+	tf.waiting = slices.DeleteFunc(tf.waiting, func(other *waiter) bool {
 		match := other.at == at && other.not != n
 		if match {
 			close(other.passed)
@@ -294,10 +303,10 @@
 	})
 }
 
-// expireData drops all that DataStream holds, as retention does.
-func (w *world) expireData() {
-	page, err := w.log.Read(w.ctx, protocol.DataStream, 0, 1, 0)
+// expireData deletes all entries of DataStream, as retention does.
+func (tf *testFleet) expireData() {
+	page, err := tf.log.Read(tf.ctx, protocol.DataStream, 0, 1, 0)
 	if err == nil {
-		w.log.Trim(protocol.DataStream, page.Next)
+		tf.log.Trim(protocol.DataStream, page.Next)
 	}
 }
--- a/internal/coordination/faulttest/link_test.go
+++ b/internal/coordination/faulttest/link_test.go
@@ -11,11 +11,11 @@
 	"merlintiller/internal/protocol"
 )
 
-// point is a place in a path at which a fault can strike.
+// point is a place in an operation at which a fault can be injected.
 type point string
 
-// The points. Those of a log operation strike the operation, the others the
-// run of an item or call at a target.
+// The points. atDispatch and atAnswer belong to the run of an item or call at a
+// target, the others to operations on the log.
 const (
 	atUpload      point = "upload"
 	atAccept      point = "accept"
@@ -32,8 +32,8 @@
 	atOutcome     point = "outcome"
 )
 
-// pointsOfAppend tells which steps an append belongs to: a frame carries
-// whatever its instance had waiting.
+// pointsOfAppend returns the points that an append belongs to. One frame can hold
+// several records, because an instance sends all pending records together.
 func pointsOfAppend(stream string, payload []byte) (all []point) {
 	if stream == protocol.DataStream {
 		return append(all, pointOfData(payload))
@@ -86,8 +86,8 @@
 	return ""
 }
 
-// pointOfPage tells whether a read brings back a manifest or reservation that
-// its submitter waits for.
+// pointOfPage returns atAcknowledge if a read returns a manifest or a reservation,
+// for which its submitter waits.
 func pointOfPage(stream string, page external.Page) point {
 	if stream != protocol.ControlStream {
 		return ""
@@ -101,14 +101,14 @@
 	return ""
 }
 
-// link is the way of one instance to the log. Faults strike its operations.
+// link connects one instance to the log and injects faults into its operations.
 type link struct {
 	log  external.Log
 	node *node
 
 	mu   sync.Mutex
 	down bool
-	// resumed is closed while the instance is not paused.
+	// resumed is closed unless the instance is paused.
 	resumed chan struct{}
 }
 
@@ -124,8 +124,8 @@
 	l.down = down
 }
 
-// pause stops the instance at its next operation, as SIGSTOP does: the
-// operation is neither made nor refused until resume.
+// pause stops the instance at its next operation, as SIGSTOP does. The operation
+// neither runs nor fails until resume is called.
 func (l *link) pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +138,7 @@
 	close(l.resumed)
 }
 
-// isPaused says that the instance is stopped now, and so hears nobody.
+// isPaused reports whether the instance is paused and so receives no messages.
 func (l *link) isPaused() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,8 +150,9 @@
 	}
 }
 
-// pass waits out a pause and reports whether the log is reachable.
-func (l *link) pass() bool {
+// awaitRunning waits until the instance is not paused and reports whether the log
+// is reachable.
+func (l *link) awaitRunning() bool {
 	l.mu.Lock()
 	resumed := l.resumed
 	l.mu.Unlock()
@@ -167,16 +168,16 @@
 
 // Append implements external.Log.
 func (l *link) Append(ctx context.Context, stream string, payload []byte) (protocol.Offset, error) {
-	if !l.pass() {
+	if !l.awaitRunning() {
 		return protocol.NoOffset, external.ErrUnavailable
 	}
 	offset, err := protocol.NoOffset, external.ErrUnavailable
 	effect := func() {
-		// The operation left the instance: its own time limit no longer stops
-		// the effect.
+		// The operation has left the instance, so the timeout of the instance
+		// does not stop its effect.
 		offset, err = l.log.Append(context.WithoutCancel(ctx), stream, payload)
 	}
-	if !l.node.strike(effect, pointsOfAppend(stream, payload)...) {
+	if !l.node.inject(effect, pointsOfAppend(stream, payload)...) {
 		return protocol.NoOffset, external.ErrUnavailable
 	}
 	if ctx.Err() != nil {
@@ -187,18 +188,18 @@
 
 // Read implements external.Log.
 func (l *link) Read(ctx context.Context, stream string, from protocol.Offset, limit int, wait time.Duration) (external.Page, error) {
-	if !l.pass() {
+	if !l.awaitRunning() {
 		return external.Page{}, external.ErrUnavailable
 	}
 	page, err := l.log.Read(ctx, stream, from, limit, wait)
-	if !l.pass() {
+	if !l.awaitRunning() {
 		return external.Page{}, external.ErrUnavailable
 	}
 	at := pointOfPage(stream, page)
 	if stream == protocol.DataStream && l.node.delivering.Load() {
 		at = atDeliver
 	}
-	if !l.node.strike(func() {}, at) {
+	if !l.node.inject(func() {}, at) {
 		return external.Page{}, external.ErrUnavailable
 	}
 	return page, err
--- a/internal/coordination/faulttest/measure_test.go
+++ b/internal/coordination/faulttest/measure_test.go
@@ -15,35 +15,35 @@
 	"merlintiller/internal/state/replica"
 )
 
-func (w *world) held(n *node) (chunks []ledger.ChunkID) {
+func (tf *testFleet) chunksHeldBy(n *node) (chunks []ledger.ChunkID) {
 	session := n.Session()
 	n.View(func(state *replica.State) { chunks = state.Ledger.HeldBy(session) })
 	return chunks
 }
 
-// appendCount is what a job cost the log.
+// appendCount is the number of log appends for a job.
 type appendCount struct {
-	// appends counts the entries that carry anything of the job.
+	// appends is the number of entries that hold data or records of the job.
 	appends int
-	// itemSteps counts the appends that one for each item and step would take:
-	// input, claim, result and its record.
+	// itemSteps is the number of appends if each item took one for each of its
+	// steps: input, claim, result and result record.
 	itemSteps int
 }
 
-func (w *world) countAppends() (c appendCount) {
-	for _, entry := range w.entries(protocol.DataStream) {
+func (tf *testFleet) countAppends() (c appendCount) {
+	for _, entry := range tf.entries(protocol.DataStream) {
 		decoded, err := bulk.Decode(entry)
-		require.NoError(w.t, err)
+		require.NoError(tf.t, err)
 		c.appends++
 		c.itemSteps += len(decoded.Items)
 		for _, section := range decoded.Results {
 			c.itemSteps += len(section.Results)
 		}
 	}
-	for _, entry := range w.entries(protocol.ControlStream) {
+	for _, entry := range tf.entries(protocol.ControlStream) {
 		if len(pointsOfAppend(protocol.ControlStream, entry)) > 0 {
 			c.appends++
-			c.itemSteps += itemsOfFrame(w.t, entry)
+			c.itemSteps += itemsOfFrame(tf.t, entry)
 		}
 	}
 	return c
@@ -67,9 +67,9 @@
 	return count
 }
 
-func (w *world) entries(stream string) [][]byte {
-	page, err := w.log.Read(w.ctx, stream, 0, 1<<20, 0)
-	require.NoError(w.t, err)
+func (tf *testFleet) entries(stream string) [][]byte {
+	page, err := tf.log.Read(tf.ctx, stream, 0, 1<<20, 0)
+	require.NoError(tf.t, err)
 	var payloads [][]byte
 	for _, entry := range page.Entries {
 		payloads = append(payloads, entry.Payload)
@@ -77,18 +77,19 @@
 	return payloads
 }
 
-// The platform takes several hundred appends a second from the whole fleet. An
-// append for each item and step would use them up with a hundred items a second.
+// The platform accepts several hundred appends per second from the whole fleet.
+// With one append for each item and step, 100 items per second would use up this
+// limit.
 func TestMeasureAppends(t *testing.T) {
 	const jobItems = 20_480
 	for _, fleet := range []int{1, 12} {
 		synctest.Test(t, func(t *testing.T) {
-			w, c, job := submitted(t, fleet, jobItems, "24h", func(w *world) {
-				w.opts = batch.Options{}
-				w.targets.itemTime = 5 * time.Second
+			tf, c, job := submitted(t, fleet, jobItems, "24h", func(tf *testFleet) {
+				tf.opts = batch.Options{}
+				tf.targets.itemTime = 5 * time.Second
 			})
-			w.requireEnd(c, job.ID, 4*time.Hour, jobItems)
-			count := w.countAppends()
+			tf.requireEnd(c, job.ID, 4*time.Hour, jobItems)
+			count := tf.countAppends()
 			now := float64(count.appends) * 1000 / jobItems
 			t.Logf("measure name=log.appends_per_1000_items unit=appends baseline=%.0f now=%.1f instances=%d",
 				float64(count.itemSteps)*1000/jobItems, now, fleet)
@@ -97,18 +98,19 @@
 	}
 }
 
-// An instance dies with chunks. Until another holds them, their items wait. In
-// a fleet with places to spare that must be a matter of seconds; where all
-// places are taken by other chunks, the orphans come when it is their turn.
+// An instance crashes while it holds chunks. Their items wait until another
+// instance claims the chunks. With free slots in the fleet this must take at most
+// 15 s. If all slots are occupied by other chunks, the orphaned chunks wait in
+// order, at most 120 s.
 func TestMeasureTakeover(t *testing.T) {
 	for _, scene := range []struct {
 		name   string
 		chunks int
 		limit  float64
-	}{{"places to spare", 6, 15}, {"all places taken", 24, 120}} {
+	}{{"free slots", 6, 15}, {"all slots occupied", 24, 120}} {
 		t.Run(scene.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				took := takeover(t, scene.chunks)
+				took := measureTakeover(t, scene.chunks)
 				t.Logf("measure name=takeover_s unit=s now=%.1f scene=%q", took, scene.name)
 				require.LessOrEqual(t, took, scene.limit)
 			})
@@ -116,31 +118,31 @@
 	}
 }
 
-func takeover(t *testing.T, chunks int) float64 {
-	w, c, job := submitted(t, 12, chunks*protocol.MaxChunkItems, "24h", func(w *world) {
-		w.opts = batch.Options{}
-		w.targets.itemTime = 5 * time.Second
+func measureTakeover(t *testing.T, chunks int) float64 {
+	tf, c, job := submitted(t, 12, chunks*protocol.MaxChunkItems, "24h", func(tf *testFleet) {
+		tf.opts = batch.Options{}
+		tf.targets.itemTime = 5 * time.Second
 	})
 	<-time.After(20 * time.Second)
-	victim := w.nodes[0]
-	for _, n := range w.nodes {
-		if len(w.held(n)) > 0 {
+	victim := tf.nodes[0]
+	for _, n := range tf.nodes {
+		if len(tf.chunksHeldBy(n)) > 0 {
 			victim = n
 		}
 	}
-	orphans := w.held(victim)
+	orphans := tf.chunksHeldBy(victim)
 	require.NotEmpty(t, orphans)
 	died := time.Now()
 	victim.crash()
-	w.await(5*time.Minute, "others hold the chunks", func() bool { return w.heldByOthers(orphans, victim.Session()) })
+	tf.await(5*time.Minute, "other instances hold the chunks", func() bool { return tf.heldByOthers(orphans, victim.Session()) })
 	took := time.Since(died).Seconds()
-	w.requireEnd(c, job.ID, time.Hour, chunks*protocol.MaxChunkItems)
+	tf.requireEnd(c, job.ID, time.Hour, chunks*protocol.MaxChunkItems)
 	return took
 }
 
-func (w *world) heldByOthers(chunks []ledger.ChunkID, dead protocol.SessionID) bool {
+func (tf *testFleet) heldByOthers(chunks []ledger.ChunkID, dead protocol.SessionID) bool {
 	all := true
-	w.live()[0].View(func(state *replica.State) {
+	tf.live()[0].View(func(state *replica.State) {
 		for _, id := range chunks {
 			view, _ := state.Ledger.Chunk(id)
 			taken := view.Holder != 0 && view.Holder != dead
@@ -150,33 +152,34 @@
 	return all
 }
 
-// A job should take little longer than on one instance that has all places at
-// once. What it takes beyond that is places that stood idle: before the first
-// claims, and at the end, when some instances have nothing left. Targets fall to
-// instances by hash, so that some feed none and others several.
+// Compares the duration of a job with that on a single instance that has all
+// slots. The difference is the time in which slots are idle: before the first
+// claims, and at the end, when some instances have no items left. Targets are
+// assigned to instances by hash, so some instances use no target and others
+// several.
 func TestMeasureJobAgainstOracle(t *testing.T) {
-	for name, places := range map[string][]int{
+	for name, slotCounts := range map[string][]int{
 		"even":   {16, 16, 16, 16, 16, 16, 16, 16, 16, 16, 16, 16},
 		"uneven": {0, 16, 16, 32, 0, 16, 48, 0, 16, 16, 0, 32},
 	} {
 		for _, jobItems := range []int{500, 4_000} {
-			synctest.Test(t, func(t *testing.T) { measureAgainstOracle(t, name, places, jobItems) })
+			synctest.Test(t, func(t *testing.T) { measureAgainstOracle(t, name, slotCounts, jobItems) })
 		}
 	}
 }
 
-func measureAgainstOracle(t *testing.T, name string, places []int, jobItems int) {
+func measureAgainstOracle(t *testing.T, name string, slotCounts []int, jobItems int) {
 	const itemTime = 5 * time.Second
-	w, c, job := submitted(t, len(places), jobItems, "24h", func(w *world) {
-		w.opts = batch.Options{}
-		w.targets.itemTime = itemTime
-		w.uneven = places
+	tf, c, job := submitted(t, len(slotCounts), jobItems, "24h", func(tf *testFleet) {
+		tf.opts = batch.Options{}
+		tf.targets.itemTime = itemTime
+		tf.slotCounts = slotCounts
 	})
 	began := time.Now()
-	w.requireEnd(c, job.ID, 4*time.Hour, jobItems)
+	tf.requireEnd(c, job.ID, 4*time.Hour, jobItems)
 	took := time.Since(began).Seconds()
 	total := 0
-	for _, count := range places {
+	for _, count := range slotCounts {
 		total += count
 	}
 	oracle := math.Ceil(float64(jobItems)/float64(total)) * itemTime.Seconds()
--- a/internal/coordination/faulttest/pairs_test.go
+++ b/internal/coordination/faulttest/pairs_test.go
@@ -6,14 +6,14 @@
 	"testing/synctest"
 )
 
-// pairCount is the number of pairs of faults that are drawn, and pairSeed what
-// they are drawn from.
+// pairCount is the number of fault pairs, and pairSeed the seed from which they
+// are drawn.
 const (
 	pairCount = 40
 	pairSeed  = 20261202
 )
 
-// pair is two faults that strike one after the other or together.
+// pair is two faults injected into the same job, one after the other or together.
 type pair struct{ first, second cell }
 
 type cell struct {
@@ -21,15 +21,15 @@
 	fault fault
 }
 
-// drawPairs draws pairs whose first fault strikes a step of a job and whose
-// second strikes any step. At most one kills, so that the fleet of three lives
-// on, and none loses data, which the single cells cover.
+// drawPairs draws pairs of faults at two different steps of a job. At most one
+// fault of a pair kills an instance, so that two of three instances remain. No
+// fault deletes data: the cells with a single fault cover that.
 func drawPairs() []pair {
 	random := rand.New(rand.NewPCG(pairSeed, 0))
 	var cells []cell
 	for _, s := range batchSteps {
 		for _, f := range allFaults {
-			if _, none := s.none[f]; !none && f != trimmed && s.name != "cancel" && s.name != "takeover" {
+			if _, none := s.excluded[f]; !none && f != retentionExpired && s.name != "cancel" && s.name != "takeover" {
 				cells = append(cells, cell{s, f})
 			}
 		}
@@ -37,7 +37,7 @@
 	var pairs []pair
 	for len(pairs) < pairCount {
 		p := pair{cells[random.IntN(len(cells))], cells[random.IntN(len(cells))]}
-		if p.first.step.at == p.second.step.at || kills(p.first.fault) && kills(p.second.fault) {
+		if p.first.step.at == p.second.step.at || killsInstance(p.first.fault) && killsInstance(p.second.fault) {
 			continue
 		}
 		pairs = append(pairs, p)
@@ -45,10 +45,10 @@
 	return pairs
 }
 
-func kills(f fault) bool { return f == killBefore || f == killAfter }
+func killsInstance(f fault) bool { return f == killBefore || f == killAfter }
 
-// Two faults strike the same job, such as an instance that dies while the log
-// is down. What holds under one must hold under both.
+// Two faults are injected into the same job, for example the crash of an instance
+// while the log is down. The checks are those of a single fault.
 func TestMatrixPairs(t *testing.T) {
 	for _, p := range drawPairs() {
 		step := p.first.step.name + "+" + p.second.step.name
@@ -56,17 +56,17 @@
 		t.Run(step+"/"+name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				first := newPlan(p.first.step.at, p.first.fault, true)
-				second := newPlan(p.second.step.at, p.second.fault, true)
-				w := newWorld(t, nodes, variant{}, first, second)
-				v := runJob(w)
-				if !first.happened() || !second.happened() {
-					v.add("a fault did not strike")
+				first := newInjection(p.first.step.at, p.first.fault, true)
+				second := newInjection(p.second.step.at, p.second.fault, true)
+				tf := newTestFleet(t, nodes, variant{}, first, second)
+				v := runJob(tf)
+				if !first.wasTriggered() || !second.wasTriggered() {
+					v.add("a fault was not injected")
 				}
-				for _, sentence := range v.wrong {
-					t.Error(sentence)
+				for _, violation := range v.messages {
+					t.Error(violation)
 				}
-				if len(v.wrong) == 0 {
+				if len(v.messages) == 0 {
 					t.Logf("matrix step=%s fault=%s result=held reason=%q", step, name, "checked")
 				}
 			})
--- a/internal/coordination/faulttest/targets_test.go
+++ b/internal/coordination/faulttest/targets_test.go
@@ -18,39 +18,39 @@
 	began time.Time
 }
 
-// targets stand for all targets of the fleet: they note what ran.
+// targets simulates all targets of the fleet and records the runs.
 type targets struct {
-	mu   sync.Mutex
-	runs []run
-	dead time.Time
-	// itemTime is how long a run takes; never lists items that always fail.
-	itemTime time.Duration
-	never    map[string]bool
-	// worked is the time that targets spent on items.
-	worked time.Duration
+	mu        sync.Mutex
+	runs      []run
+	downUntil time.Time
+	// itemTime is how long a run takes; alwaysFail lists items that always fail.
+	itemTime   time.Duration
+	alwaysFail map[string]bool
+	// workTime is the time that targets spent on items.
+	workTime time.Duration
 }
 
-func (t *targets) work(d time.Duration) {
+func (t *targets) addWork(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.worked += d
+	t.workTime += d
 }
 
 func newTargets() *targets {
-	return &targets{itemTime: time.Second, never: map[string]bool{}}
+	return &targets{itemTime: time.Second, alwaysFail: map[string]bool{}}
 }
 
-func (t *targets) die(d time.Duration) {
+func (t *targets) failFor(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.dead = time.Now().Add(d)
+	t.downUntil = time.Now().Add(d)
 }
 
-// begin notes a run, and is false if the connection is refused.
+// begin records a run. It returns false if the connection is refused.
 func (t *targets) begin(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if time.Now().Before(t.dead) {
+	if time.Now().Before(t.downUntil) {
 		return false
 	}
 	t.runs = append(t.runs, run{name: name, began: time.Now()})
@@ -60,7 +60,7 @@
 func (t *targets) failing(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.never[name] || time.Now().Before(t.dead)
+	return t.alwaysFail[name] || time.Now().Before(t.downUntil)
 }
 
 func (t *targets) count(name string) int {
@@ -75,25 +75,25 @@
 	return count
 }
 
-// total counts all runs.
+// total returns the number of all runs.
 func (t *targets) total() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.runs)
 }
 
-// last names the run that began last.
+// last returns the name of the run that began last.
 func (t *targets) last() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[len(t.runs)-1].name
 }
 
-// spent is the time that targets worked on items.
-func (t *targets) spent() time.Duration {
+// totalWork returns the time that targets spent on items.
+func (t *targets) totalWork() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.worked
+	return t.workTime
 }
 
 // beganAfter counts the runs that began after a time.
@@ -109,24 +109,24 @@
 	return count
 }
 
-// slots hands out places of one instance and takes them back on demand.
+// slots hands out the slots of one instance and can revoke them.
 type slots struct {
-	places chan struct{}
-	mu     sync.Mutex
-	taken  map[*slot]bool
+	semaphore chan struct{}
+	mu        sync.Mutex
+	taken     map[*slot]bool
 }
 
 // Capacity implements coordination.BatchSlots.
-func (s *slots) Capacity(protocol.ServiceName) int { return cap(s.places) }
+func (s *slots) Capacity(protocol.ServiceName) int { return cap(s.semaphore) }
 
 func newSlots(count int) *slots {
-	return &slots{places: make(chan struct{}, count), taken: map[*slot]bool{}}
+	return &slots{semaphore: make(chan struct{}, count), taken: map[*slot]bool{}}
 }
 
 // Acquire implements coordination.BatchSlots.
 func (s *slots) Acquire(ctx context.Context, _ protocol.ServiceName) (coordination.BatchSlot, error) {
 	select {
-	case s.places <- struct{}{}:
+	case s.semaphore <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -137,7 +137,7 @@
 	return taken, nil
 }
 
-// revokeAll takes every place back, as a burst of online traffic does.
+// revokeAll revokes every slot, as a burst of online traffic does.
 func (s *slots) revokeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +165,7 @@
 		s.from.mu.Lock()
 		delete(s.from.taken, s)
 		s.from.mu.Unlock()
-		<-s.from.places
+		<-s.from.semaphore
 	})
 }
 
@@ -175,9 +175,9 @@
 // Run implements batch.Runner.
 func (r *runner) Run(ctx context.Context, _ coordination.BatchSlot, item batch.Item) batch.ItemOutcome {
 	retry := batch.ItemOutcome{Kind: batch.Retry, Result: bulk.Result{Code: protocol.CodeTargetFailed, Message: "no answer"}}
-	r.node.link.pass()
+	r.node.link.awaitRunning()
 	refused := false
-	if !r.node.strike(func() { refused = !r.node.world.targets.begin(item.CustomID) }, atDispatch) {
+	if !r.node.inject(func() { refused = !r.node.fleet.targets.begin(item.CustomID) }, atDispatch) {
 		return retry
 	}
 	if refused {
@@ -186,16 +186,16 @@
 	if resume, stopped := r.generate(ctx, item.Resume); stopped {
 		return batch.ItemOutcome{Kind: batch.Interrupted, Resume: resume}
 	}
-	r.node.link.pass()
-	if !r.node.strike(func() {}, atAnswer) || r.node.world.targets.failing(item.CustomID) {
+	r.node.link.awaitRunning()
+	if !r.node.inject(func() {}, atAnswer) || r.node.fleet.targets.failing(item.CustomID) {
 		return retry
 	}
 	body, _ := json.Marshal(map[string]string{"echo": item.CustomID})
 	return batch.ItemOutcome{Kind: batch.Done, Result: bulk.Result{Status: 200, RequestID: "r-" + item.CustomID, Body: body}}
 }
 
-// generate lets an item's time pass, less what it had before. A token takes a
-// millisecond.
+// generate waits for the run time of an item, less the time for the tokens it
+// already has. A token takes 1 ms.
 func (r *runner) generate(ctx context.Context, before *batch.Resume) (kept *batch.Resume, stopped bool) {
 	had := 0
 	if before != nil {
@@ -203,11 +203,11 @@
 	}
 	began := time.Now()
 	select {
-	case <-time.After(r.node.world.targets.itemTime - time.Duration(had)*time.Millisecond):
+	case <-time.After(r.node.fleet.targets.itemTime - time.Duration(had)*time.Millisecond):
 	case <-ctx.Done():
 		stopped = true
 	}
 	ran := time.Since(began)
-	r.node.world.targets.work(ran)
+	r.node.fleet.targets.addWork(ran)
 	return &batch.Resume{Tokens: had + int(ran.Milliseconds())}, stopped
 }
