--- a/internal/coordination/faulttest/jobs_test.go
+++ b/internal/coordination/faulttest/jobs_test.go
@@ -260,7 +260,7 @@
 }
 
 // An organisation is removed while its job runs. No more items of the job may
-// start, and the remaining items must end as failed at the deadline.
+// start, and at the deadline the remaining items must end as expired.
 func TestRemovedOrganisationStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tf, c, job := submitted(t, 2, 400, "2m", func(*testFleet) {})
--- a/internal/coordination/faulttest/measure_test.go
+++ b/internal/coordination/faulttest/measure_test.go
@@ -107,7 +107,7 @@
 		name   string
 		chunks int
 		limit  float64
-	}{{"free slots", 6, 15}, {"all slots occupied", 24, 120}} {
+	}{{"places to spare", 6, 15}, {"all places taken", 24, 120}} {
 		t.Run(scene.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				took := measureTakeover(t, scene.chunks)
