--- a/cmd/fleettest/main.go
+++ b/cmd/fleettest/main.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	report.Write(os.Stdout)
-	if report.Count(matrix.Red) > 0 || len(report.Silent) > 0 {
+	if report.Count(matrix.Red) > 0 || len(report.FailedTests) > 0 {
 		os.Exit(1)
 	}
 	return nil
--- a/internal/harness/matrix/matrix.go
+++ b/internal/harness/matrix/matrix.go
@@ -42,7 +42,7 @@
 	Cells []Cell
 	// Silent names failed tests of the matrix that are no cell of their own,
 	// such as a package that did not build.
-	Silent []string
+	FailedTests []string
 }
 
 type event struct {
@@ -106,11 +106,11 @@
 			continue
 		}
 		if !logged[name] {
-			out.Silent = append(out.Silent, name)
+			out.FailedTests = append(out.FailedTests, name)
 		}
 	}
 	sort.Slice(out.Cells, func(i, j int) bool { return out.Cells[i].key() < out.Cells[j].key() })
-	sort.Strings(out.Silent)
+	sort.Strings(out.FailedTests)
 	return out
 }
 
@@ -161,7 +161,7 @@
 			fmt.Fprintf(w, "red step=%s fault=%s test=%q\n", cell.Step, cell.Fault, cell.Test)
 		}
 	}
-	for _, name := range r.Silent {
+	for _, name := range r.FailedTests {
 		fmt.Fprintf(w, "failed test=%q\n", name)
 	}
 	fmt.Fprintf(w, "matrix cases=%d held=%d red=%d not-applicable=%d\n",
--- a/internal/harness/matrix/matrix_test.go
+++ b/internal/harness/matrix/matrix_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, 1, report.Count(Held))
 	require.Equal(t, 2, report.Count(Red))
 	require.Equal(t, 1, report.Count(NotApplicable))
-	require.Equal(t, []string{"m/q "}, report.Silent)
+	require.Equal(t, []string{"m/q "}, report.FailedTests)
 	var out strings.Builder
 	report.Write(&out)
 	require.True(t, strings.HasSuffix(out.String(), "matrix cases=4 held=1 red=2 not-applicable=1\n"))
