--- a/internal/harness/matrix/matrix.go
+++ b/internal/harness/matrix/matrix.go
@@ -1,5 +1,5 @@
-// Package matrix sums up the fault matrix from the events of `go test -json`:
-// a cell is a subtest TestMatrix…/<step>/<fault> that logs one line
+// Package matrix summarises the fault matrix from the events of `go test -json`.
+// A cell is a subtest TestMatrix…/<step>/<fault> that logs one line
 // `matrix step=… fault=… result=held|not-applicable reason="…"`.
 package matrix
 
@@ -13,35 +13,37 @@
 	"strings"
 )
 
-// maxLine bounds one event of the test runner.
+// maxLine is the maximum size in bytes of one event of the test runner.
 const maxLine = 1 << 20
 
-// Result is what became of a cell.
+// Result is the outcome of a cell.
 type Result string
 
-// The results of cells. A cell is red if its test failed, whatever it logged.
+// The results of cells. Held means that the checks passed under the fault. A cell
+// is red if its test failed, whatever result it logged.
 const (
 	Held          Result = "held"
 	Red           Result = "red"
 	NotApplicable Result = "not-applicable"
 )
 
-// Cell is one fault at one step.
+// Cell is the result of one fault injected at one step.
 type Cell struct {
 	Step   string
 	Fault  string
 	Result Result
-	// Reason says why a cell is not applicable.
+	// Reason is the logged reason, which for a cell that is not applicable says
+	// why the fault cannot occur.
 	Reason string
-	// Test is the package and name of the test.
+	// Test is the package and name of the test, separated by a space.
 	Test string
 }
 
 // Report is the whole matrix.
 type Report struct {
 	Cells []Cell
-	// Silent names failed tests of the matrix that are no cell of their own,
-	// such as a package that did not build.
+	// FailedTests holds failed tests that are not a cell, for example of a package
+	// that did not build.
 	FailedTests []string
 }
 
@@ -85,8 +87,8 @@
 	cells[name+" "+match[1]+"/"+match[2]] = &Cell{Step: match[1], Fault: match[2], Result: Result(match[3]), Reason: match[4], Test: name}
 }
 
-// report turns the cells of failed tests red and keeps failures that logged no
-// cell, so that a cell that failed before it could log is not lost.
+// report marks the cells of failed tests as red. It includes failed tests that
+// logged no cell, so that a cell that failed before it could log is not lost.
 func report(cells map[string]*Cell, failed map[string]bool) *Report {
 	out := &Report{}
 	logged := map[string]bool{}
@@ -114,7 +116,7 @@
 	return out
 }
 
-// isParent reports whether a test failed only as the parent of a failed one.
+// isParent reports whether a failed test is the parent of another failed test.
 func isParent(name string, failed map[string]bool) bool {
 	for other := range failed {
 		if strings.HasPrefix(other, name+"/") {
@@ -129,7 +131,8 @@
 
 func (c Cell) key() string { return c.Step + " " + c.Fault + " " + c.Test }
 
-// cellName reads step and fault from the name TestMatrix…/<step>/<fault>.
+// cellName returns a red cell with the step and fault from the test name
+// TestMatrix…/<step>/<fault>, or false if the name has another form.
 func cellName(name string) (Cell, bool) {
 	_, test, _ := strings.Cut(name, " ")
 	parts := strings.Split(test, "/")
@@ -150,7 +153,7 @@
 	return count
 }
 
-// Write prints a row for each step, the reasons, and the sum as last line.
+// Write prints a row for each step, the reasons, and the totals as the last line.
 func (r *Report) Write(w io.Writer) {
 	r.writeRows(w)
 	for _, cell := range r.Cells {
--- a/internal/harness/matrix/matrix_test.go
+++ b/internal/harness/matrix/matrix_test.go
@@ -17,9 +17,9 @@
 {"Action":"fail","Package":"m/q","Test":""}
 `
 
-// A cell's test fails after, or before, it has logged its line, or its package
-// does not build. Each must show as red or failed: a matrix that passes over
-// such a cell would prove nothing.
+// A test fails after or before it has logged its cell, or its package does not
+// build. Each must be reported as red or failed. If the matrix left such a cell
+// out, the matrix would show a defect as passed.
 func TestFailedCellsAreRed(t *testing.T) {
 	report, err := Read(strings.NewReader(events))
 	require.NoError(t, err)
