--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -8,35 +8,36 @@
 	"sync"
 )
 
-// The ports that processes get lie below those that the kernel gives to
+// The ports of the started processes are below the range that the kernel uses for
 // outgoing connections. A port of that range may be free when it is chosen and
-// taken by a connection of another process when it is bound: the process then
-// never becomes ready, once in some hundred starts.
+// used by a connection of another process when it is bound. The started process
+// then never becomes ready, which happened about once in several hundred starts.
 const (
 	firstPort = 12000
 	lastPort  = 32000
-	// portTries bounds the search for a free port.
-	portTries = 200
+	// maxPortAttempts limits the search for a free port.
+	maxPortAttempts = 200
 )
 
-// given are the ports that this process has given out, to nobody twice.
-var given struct {
+// allocatedPorts holds the ports that this process has returned. No port is
+// returned twice.
+var allocatedPorts struct {
 	sync.Mutex
 	ports map[int]bool
 }
 
 var errNoPort = errors.New("no free port")
 
-// FreeAddress returns a loopback address with a port that is free now.
+// FreeAddress returns a loopback address with a port that is currently free.
 func FreeAddress() (string, error) {
-	given.Lock()
-	defer given.Unlock()
-	if given.ports == nil {
-		given.ports = map[int]bool{}
+	allocatedPorts.Lock()
+	defer allocatedPorts.Unlock()
+	if allocatedPorts.ports == nil {
+		allocatedPorts.ports = map[int]bool{}
 	}
-	for range portTries {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort)
-		if given.ports[port] {
+		if allocatedPorts.ports[port] {
 			continue
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
@@ -45,13 +46,13 @@
 			continue
 		}
 		_ = listener.Close()
-		given.ports[port] = true
+		allocatedPorts.ports[port] = true
 		return address, nil
 	}
 	return "", errNoPort
 }
 
-// FreeAddresses returns several addresses that differ.
+// FreeAddresses returns count different addresses, as FreeAddress does.
 func FreeAddresses(count int) ([]string, error) {
 	addresses := make([]string, 0, count)
 	for range count {
--- a/internal/harness/bench/agreement.go
+++ b/internal/harness/bench/agreement.go
@@ -15,12 +15,12 @@
 	"merlintiller/internal/standin/platformsrv"
 )
 
-// watchPeriod is the resolution of the times measured here.
-const watchPeriod = 10 * time.Millisecond
+// pollPeriod is the resolution of the times measured in this file.
+const pollPeriod = 10 * time.Millisecond
 
-// Agreement measures how soon what is agreed is in force over 12 instances,
-// what a batch job costs in appends, and how soon a dead instance's chunks are
-// taken over.
+// Agreement measures, with 12 instances, how long a configuration change and a key
+// withdrawal take to be in force, how many appends a batch job needs, and how long
+// the takeover of a crashed instance's chunks takes.
 func Agreement(ctx context.Context, opts Options) error {
 	f, err := start(ctx, harness.Options{
 		Dir: opts.Dir, Bin: opts.Bin, Domains: domains, PerDomain: 4,
@@ -31,7 +31,7 @@
 	}
 	defer f.Kill()
 	for _, step := range []func(context.Context, Options, *fleet) error{
-		inForce, inForceCut, keyWithdrawn, appendsPerItem, takeover,
+		measureConfigChange, measureConfigChangeIsolated, measureKeyWithdrawal, measureAppends, measureTakeover,
 	} {
 		if err := step(ctx, opts, f); err != nil {
 			return err
@@ -40,9 +40,10 @@
 	return nil
 }
 
-// inForce publishes a change and waits until every instance has it.
-func inForce(ctx context.Context, opts Options, f *fleet) error {
-	took, err := f.change(ctx, "first", f.Instances)
+// measureConfigChange publishes a configuration change and waits until every
+// instance has applied it.
+func measureConfigChange(ctx context.Context, opts Options, f *fleet) error {
+	took, err := f.applyChange(ctx, "first", f.Instances)
 	if err != nil {
 		return err
 	}
@@ -50,13 +51,14 @@
 	return nil
 }
 
-// inForceCut does so with one domain cut off from the platform.
-func inForceCut(ctx context.Context, opts Options, f *fleet) error {
+// measureConfigChangeIsolated does the same while one failure domain is isolated
+// from the platform.
+func measureConfigChangeIsolated(ctx context.Context, opts Options, f *fleet) error {
 	if err := f.SetFaults(ctx, platformsrv.Faults{Cut: []string{string(domains[2])}}); err != nil {
 		return err
 	}
 	time.Sleep(settleTime)
-	took, err := f.change(ctx, "second", f.Instances)
+	took, err := f.applyChange(ctx, "second", f.Instances)
 	if err != nil {
 		return err
 	}
@@ -68,9 +70,9 @@
 	return nil
 }
 
-// change adds an organisation and returns the seconds from the command's start
-// until every instance has the new version.
-func (f *fleet) change(ctx context.Context, name string, instances []*harness.Instance) (float64, error) {
+// applyChange adds an organisation and returns the seconds from the start of the
+// command until every instance has the new version.
+func (f *fleet) applyChange(ctx context.Context, name string, instances []*harness.Instance) (float64, error) {
 	text := fmt.Sprintf("organisations:\n  - {id: %s, rate: 1, burst: 1}\n", name)
 	if err := os.WriteFile(filepath.Join(f.folder, "20-"+name+".yaml"), []byte(text), 0o600); err != nil {
 		return 0, err
@@ -81,15 +83,15 @@
 		return 0, err
 	}
 	for _, instance := range instances {
-		err := await(ctx, func() bool { return f.knows(ctx, instance, name) })
+		err := await(ctx, func() bool { return f.hasOrganisation(ctx, instance, name) })
 		if err != nil {
-			return 0, fmt.Errorf("instance %s has no %s: %w", instance.ID, name, err)
+			return 0, fmt.Errorf("instance %s does not know organisation %s: %w", instance.ID, name, err)
 		}
 	}
 	return seconds(time.Since(began)), nil
 }
 
-func (f *fleet) knows(ctx context.Context, i *harness.Instance, organisation string) bool {
+func (f *fleet) hasOrganisation(ctx context.Context, i *harness.Instance, organisation string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.Operators+"/operator/v1/fleet", nil)
 	if err != nil {
 		return false
@@ -108,26 +110,27 @@
 	return ok
 }
 
-// awaitLimit bounds a wait of the measurements.
-const awaitLimit = 60 * time.Second
+// awaitTimeout limits each wait of the measurements.
+const awaitTimeout = 60 * time.Second
 
 func await(ctx context.Context, done func() bool) error {
-	limit := time.Now().Add(awaitLimit)
+	limit := time.Now().Add(awaitTimeout)
 	for !done() {
 		if time.Now().After(limit) {
-			return fmt.Errorf("not within %s", awaitLimit)
+			return fmt.Errorf("condition not met within %s", awaitTimeout)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(watchPeriod):
+		case <-time.After(pollPeriod):
 		}
 	}
 	return nil
 }
 
-// keyWithdrawn withdraws a key and calls until every instance refuses it.
-func keyWithdrawn(ctx context.Context, opts Options, f *fleet) error {
+// measureKeyWithdrawal withdraws a key and sends calls until every instance rejects
+// it.
+func measureKeyWithdrawal(ctx context.Context, opts Options, f *fleet) error {
 	args := append([]string{"key", "create", organisation, "--output=json"}, f.OperatorFlags()...)
 	out, err := f.Ctl(ctx, "", args...)
 	if err != nil {
@@ -140,7 +143,7 @@
 	callers := map[*harness.Instance]*harness.Caller{}
 	for _, instance := range f.Instances {
 		callers[instance] = harness.NewCaller(created.Secret, func() []string { return []string{instance.Callers} })
-		if err := callers[instance].AwaitAnswer(ctx, model); err != nil {
+		if err := callers[instance].AwaitServed(ctx, model); err != nil {
 			return err
 		}
 	}
@@ -161,9 +164,9 @@
 	return nil
 }
 
-// appendsPerItem counts the appends of a job, less those of an idle fleet in
-// the same time.
-func appendsPerItem(ctx context.Context, opts Options, f *fleet) error {
+// measureAppends counts the appends for a job, less those of an idle fleet in the
+// same time.
+func measureAppends(ctx context.Context, opts Options, f *fleet) error {
 	const items = 20000
 	idleBegan := time.Now()
 	idleBefore, err := f.appends(ctx)
@@ -190,7 +193,8 @@
 		return err
 	}
 	spent := float64(after-before) - idlePerSecond*seconds(time.Since(began))
-	// An append for each item and step: input, claim, result, completion.
+	// The baseline is one append for each item and step: input, claim, result and
+	// completion.
 	baseline := 4000.0
 	opts.print(Measure{Name: "log.appends_per_1000_items", Unit: "1", Baseline: &baseline, Now: spent / items * 1000,
 		Note: fmt.Sprintf("items=%d took_s=%s", items, number(seconds(time.Since(began))))})
@@ -229,7 +233,7 @@
 	return job.ID, json.Unmarshal([]byte(out), &job)
 }
 
-// jobLine is what the measurements read of a job.
+// jobLine holds the fields of a job that the measurements read.
 type jobLine struct {
 	Status        string
 	RequestCounts struct{ Total, Completed, Failed int } `json:"request_counts"`
@@ -257,10 +261,10 @@
 	return nil
 }
 
-// takeover kills an instance that is at work and waits for the end of the job,
-// which holds the dead one's items too. The time is an upper bound of the
-// takeover: the job alone takes several seconds of it.
-func takeover(ctx context.Context, opts Options, f *fleet) error {
+// measureTakeover kills an instance that runs items of a job and waits until the
+// job ends, including the items of the killed instance. The time is an upper bound
+// of the takeover time: the job alone takes several seconds of it.
+func measureTakeover(ctx context.Context, opts Options, f *fleet) error {
 	const items = 40 * protocol.MaxChunkItems
 	job, err := f.submit(ctx, "taken", items, 32)
 	if err != nil {
@@ -276,18 +280,18 @@
 		return err
 	}
 	took := time.Since(began)
-	if took < sessionExpire {
-		return fmt.Errorf("the job ended %s after the kill, before the session could expire: nothing was taken over", took)
+	if took < sessionTimeout {
+		return fmt.Errorf("job ended %s after the kill, before the session could expire: no chunk was taken over", took)
 	}
 	opts.print(Measure{Name: "takeover_s", Unit: "s", Now: seconds(took), Note: "from=kill to=job_completed"})
 	return nil
 }
 
-// sessionExpire is the default of timings.expire: what a dead instance held
-// can't be taken over sooner.
-const sessionExpire = 8 * time.Second
+// sessionTimeout is the default of timings.expire. The chunks of a crashed instance
+// cannot be taken over earlier.
+const sessionTimeout = 8 * time.Second
 
-// awaitBusy waits until an instance has begun with items of the job.
+// awaitBusy waits until the last instance has started items of the job.
 func (f *fleet) awaitBusy(ctx context.Context) (*harness.Instance, error) {
 	candidate := f.Instances[len(f.Instances)-1]
 	before, err := candidate.Counter("headroom", "placed")
--- a/internal/harness/bench/bench.go
+++ b/internal/harness/bench/bench.go
@@ -1,6 +1,6 @@
 // Package bench measures the system as processes on one machine and prints
-// lines of the form `measure name=NAME unit=UNIT baseline=X now=Y`. A field
-// without a value to compare with is printed as "-".
+// lines of the form `measure name=NAME unit=UNIT baseline=X now=Y`. A missing
+// baseline is printed as "-".
 package bench
 
 import (
@@ -16,8 +16,9 @@
 	"merlintiller/internal/protocol"
 )
 
-// Options of a measurement.
+// Options holds the options of a measurement.
 type Options struct {
+	// Dir is the folder for settings and logs, Bin that of the built programs.
 	Dir, Bin string
 	Out      io.Writer
 }
@@ -27,7 +28,7 @@
 	Name, Unit string
 	Baseline   *float64
 	Now        float64
-	// Note is a further key=value pair, such as the size measured at.
+	// Note holds additional key=value pairs, such as the measured fleet size.
 	Note string
 }
 
@@ -45,8 +46,8 @@
 
 func number(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
-// Run takes the measurements, one after another so that they don't disturb
-// each other. only names a single group, or is empty for all.
+// Run runs the measurements one after another, so that they do not influence each
+// other. only selects a single group; all groups run if it is empty.
 func Run(ctx context.Context, opts Options, only string) error {
 	steps := []struct {
 		name string
@@ -66,16 +67,16 @@
 		if err := os.RemoveAll(dir); err != nil {
 			return err
 		}
-		one := opts
-		one.Dir = dir
-		if err := step.run(ctx, one); err != nil {
+		stepOpts := opts
+		stepOpts.Dir = dir
+		if err := step.run(ctx, stepOpts); err != nil {
 			return fmt.Errorf("measuring %s: %w", step.name, err)
 		}
 	}
 	return nil
 }
 
-// The names that the measurements use.
+// Names in the measured configuration.
 const (
 	service      = "bench-models"
 	model        = "bench-model"
@@ -84,7 +85,8 @@
 
 var domains = []protocol.Domain{"pnw-sea", "pnw-pdx", "pnw-spk"}
 
-// configuration is a folder with one organisation whose rate never bounds.
+// configuration writes a configuration folder with one organisation, whose rate is
+// too high to limit the measurements, and returns the path of the folder.
 func configuration(dir string) (string, error) {
 	folder := filepath.Join(dir, "fleet")
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -104,7 +106,7 @@
 	return folder, os.WriteFile(filepath.Join(folder, "10-all.yaml"), []byte(text), 0o600)
 }
 
-// fleet is a started and configured fleet with a key.
+// fleet is a running and configured fleet with an API key.
 type fleet struct {
 	*harness.Fleet
 	secret string
@@ -138,16 +140,16 @@
 		return err
 	}
 	for _, instance := range f.Instances {
-		one := harness.NewCaller(f.secret, func() []string { return []string{instance.Callers} })
-		if err := one.AwaitAnswer(ctx, model); err != nil {
+		caller := harness.NewCaller(f.secret, func() []string { return []string{instance.Callers} })
+		if err := caller.AwaitServed(ctx, model); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// instantTarget makes a target that costs next to nothing, so that what the
-// instance adds stands out.
+// instantTarget holds the flags of a target that answers without delay, so that the
+// time added by the instance can be measured.
 var instantTarget = []string{"--token-time=0s", "--token-time-per-stream=0s", "--prefill-time=0s"}
 
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/internal/harness/bench/control.go
+++ b/internal/harness/bench/control.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// settleTime lets start-up work end before an idle fleet is measured.
+	// settleTime is the wait for the end of start-up work before an idle fleet is
+	// measured.
 	settleTime = 5 * time.Second
-	// idleTime is measured; it holds several of every period but snapshots.
+	// idleTime is the measured time. It covers several cycles of all periodic work
+	// except snapshots.
 	idleTime = 15 * time.Second
 )
 
-// size is a fleet to measure.
-type size struct{ instances, targets int }
+// fleetSize is the size of a fleet to measure.
+type fleetSize struct{ instances, targets int }
 
-// Control measures what an idle instance costs at the users' sizes of today,
-// with the default settings.
+// Control measures the resource usage of an idle instance at the current fleet
+// sizes of the users, with the default settings.
 func Control(ctx context.Context, opts Options) error {
-	return controlAt(ctx, opts, "", "default", []size{{3, 10}, {6, 10}, {12, 10}})
+	return measureControlSizes(ctx, opts, "", "default", []fleetSize{{3, 10}, {6, 10}, {12, 10}})
 }
 
-// largeSettings are the periods for 340 instances, as docs/CAPACITY.md gives
-// them.
+// largeSettings holds the intervals for 340 instances, as in docs/CAPACITY.md.
 const largeSettings = `timings:
   renew: 10s
   hold: 30s
@@ -42,22 +43,22 @@
   loads_per_second: 5
 `
 
-// Scale measures the slopes of the capacity page: more instances, and more
-// targets, with the settings of the target size.
+// Scale measures how resource usage grows with the number of instances and of
+// targets, with largeSettings, for the slopes in docs/CAPACITY.md.
 func Scale(ctx context.Context, opts Options) error {
-	return controlAt(ctx, opts, largeSettings, "large", []size{{12, 20}, {24, 20}, {48, 20}, {96, 20}, {12, 60}, {12, 120}})
+	return measureControlSizes(ctx, opts, largeSettings, "large", []fleetSize{{12, 20}, {24, 20}, {48, 20}, {96, 20}, {12, 60}, {12, 120}})
 }
 
-func controlAt(ctx context.Context, opts Options, settings, profile string, sizes []size) error {
+func measureControlSizes(ctx context.Context, opts Options, settings, profile string, sizes []fleetSize) error {
 	for _, one := range sizes {
-		if err := control(ctx, opts, settings, profile, one); err != nil {
+		if err := measureControl(ctx, opts, settings, profile, one); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func control(ctx context.Context, opts Options, settings, profile string, size size) error {
+func measureControl(ctx context.Context, opts Options, settings, profile string, size fleetSize) error {
 	f, err := start(ctx, harness.Options{
 		Dir: fmt.Sprintf("%s-%d-%d", opts.Dir, size.instances, size.targets), Bin: opts.Bin,
 		Domains: domains, PerDomain: size.instances / len(domains),
@@ -69,12 +70,12 @@
 	}
 	defer f.Kill()
 	time.Sleep(settleTime)
-	before, err := totals(f)
+	before, err := totalUsage(f)
 	if err != nil {
 		return err
 	}
 	time.Sleep(idleTime)
-	after, err := totals(f)
+	after, err := totalUsage(f)
 	if err != nil {
 		return err
 	}
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// totals adds up the usage of all instances.
-func totals(f *fleet) (harness.Usage, error) {
+// totalUsage returns the sum of the usage of all instances.
+func totalUsage(f *fleet) (harness.Usage, error) {
 	var sum harness.Usage
 	for _, instance := range f.Instances {
 		usage, err := instance.Process.Usage()
--- a/internal/harness/bench/entry.go
+++ b/internal/harness/bench/entry.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// warmCalls are not counted: connections open and caches fill.
-	warmCalls = 300
-	// latencyCalls are counted on each way, in turn so that noise of the
-	// machine meets both alike.
+	// warmupCalls is the number of calls that are not counted, while connections
+	// are opened and caches are filled.
+	warmupCalls = 300
+	// latencyCalls is the number of calls that are counted on each path. The paths
+	// alternate, so that noise on the machine affects both equally.
 	latencyCalls = 4000
-	// loadTime and loadCallers give the throughput of one instance.
+	// loadTime and loadCallers are the duration and the number of concurrent
+	// callers of a throughput measurement.
 	loadTime    = 4 * time.Second
 	loadCallers = 24
 )
 
-// Entry measures what one instance adds to a call, and its throughput.
+// Entry measures the latency that one instance adds to a call, and its throughput.
 func Entry(ctx context.Context, opts Options) error {
 	f, err := start(ctx, harness.Options{
 		Dir: opts.Dir, Bin: opts.Bin, Domains: domains[:1], PerDomain: 1,
@@ -35,7 +37,7 @@
 	defer f.Kill()
 	through := harness.NewCaller(f.secret, func() []string { return []string{f.Instances[0].Callers} })
 	direct := harness.NewCaller("none", func() []string { return []string{f.Targets[0].Listed.Address} })
-	directTimes, throughTimes, err := latencies(ctx, direct, through)
+	directTimes, throughTimes, err := measureLatencies(ctx, direct, through)
 	if err != nil {
 		return err
 	}
@@ -43,18 +45,19 @@
 		name string
 		q    float64
 	}{{"entry.added_p50_ms", 0.5}, {"entry.added_p99_ms", 0.99}} {
-		base := at(directTimes, quantile.q)
-		added := at(throughTimes, quantile.q) - base
+		base := valueAtQuantile(directTimes, quantile.q)
+		added := valueAtQuantile(throughTimes, quantile.q) - base
 		opts.print(Measure{Name: quantile.name, Unit: "ms", Baseline: &base, Now: added, Note: "baseline_is=direct_call"})
 	}
-	if err := throughput(ctx, opts, f, through); err != nil {
+	if err := measureThroughput(ctx, opts, f, through); err != nil {
 		return err
 	}
-	return streaming(ctx, opts, f, through)
+	return measureStreaming(ctx, opts, f, through)
 }
 
-// latencies calls both ways in turn and returns the sorted times in ms.
-func latencies(ctx context.Context, direct, through *harness.Caller) (directTimes, throughTimes []float64, err error) {
+// measureLatencies calls the target directly and through the instance in turn and
+// returns the sorted times in ms.
+func measureLatencies(ctx context.Context, direct, through *harness.Caller) (directTimes, throughTimes []float64, err error) {
 	body := harness.ChatBody(model, "valve", 1, false)
 	one := func(caller *harness.Caller) (float64, error) {
 		answer, err := caller.Post(ctx, "/v1/chat/completions", body, nil)
@@ -63,7 +66,7 @@
 		}
 		return float64(answer.Took) / float64(time.Millisecond), nil
 	}
-	for n := range warmCalls + latencyCalls {
+	for n := range warmupCalls + latencyCalls {
 		base, err := one(direct)
 		if err != nil {
 			return nil, nil, err
@@ -72,7 +75,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if n >= warmCalls {
+		if n >= warmupCalls {
 			directTimes = append(directTimes, base)
 			throughTimes = append(throughTimes, took)
 		}
@@ -82,18 +85,18 @@
 	return directTimes, throughTimes, nil
 }
 
-func at(sorted []float64, quantile float64) float64 {
+func valueAtQuantile(sorted []float64, quantile float64) float64 {
 	return sorted[int(quantile*float64(len(sorted)-1))]
 }
 
-// streamTokens is the length of the measured streams.
+// streamTokens is the length in tokens of the measured streams.
 const streamTokens = 256
 
-// streaming divides the tokens relayed in streams by the processor time that
-// the instance took for them.
-func streaming(ctx context.Context, opts Options, f *fleet, caller *harness.Caller) error {
+// measureStreaming divides the number of tokens relayed in streams by the processor
+// time that the instance used for them.
+func measureStreaming(ctx context.Context, opts Options, f *fleet, caller *harness.Caller) error {
 	body := harness.ChatBody(model, "riser", streamTokens, true)
-	served, cores, err := underLoad(ctx, f, caller, body)
+	served, cores, err := runLoad(ctx, f, caller, body)
 	if err != nil {
 		return err
 	}
@@ -101,10 +104,10 @@
 	return nil
 }
 
-// throughput divides the calls served under load by the processor time that
-// the instance took for them.
-func throughput(ctx context.Context, opts Options, f *fleet, caller *harness.Caller) error {
-	served, cores, err := underLoad(ctx, f, caller, harness.ChatBody(model, "valve", 1, false))
+// measureThroughput divides the number of calls served under load by the processor
+// time that the instance used for them.
+func measureThroughput(ctx context.Context, opts Options, f *fleet, caller *harness.Caller) error {
+	served, cores, err := runLoad(ctx, f, caller, harness.ChatBody(model, "valve", 1, false))
 	if err != nil {
 		return err
 	}
@@ -112,9 +115,9 @@
 	return nil
 }
 
-// underLoad sends a request again and again for some seconds and returns how
-// many were served whole, and the processor time of the instance in seconds.
-func underLoad(ctx context.Context, f *fleet, caller *harness.Caller, body []byte) (calls int64, cores float64, err error) {
+// runLoad sends a request repeatedly for loadTime. It returns the number of calls
+// that were served completely, and the processor time of the instance in seconds.
+func runLoad(ctx context.Context, f *fleet, caller *harness.Caller, body []byte) (calls int64, cores float64, err error) {
 	before, err := f.Instances[0].Process.Usage()
 	if err != nil {
 		return 0, 0, err
@@ -126,7 +129,7 @@
 		running.Go(func() {
 			for time.Now().Before(until) {
 				answer, err := caller.Post(ctx, "/v1/chat/completions", body, nil)
-				if err == nil && answer.Status == http.StatusOK && answer.Whole {
+				if err == nil && answer.Status == http.StatusOK && answer.Complete {
 					served.Add(1)
 				}
 			}
--- a/internal/harness/bench/start.go
+++ b/internal/harness/bench/start.go
@@ -12,19 +12,19 @@
 
 const (
 	liveItems = 1_000_000
-	// itemsPerJob makes jobs of the size that letter 1 names as the largest,
-	// rounded to whole chunks.
+	// itemsPerJob is the size of the largest jobs that the requirements (letter 1)
+	// name, rounded to full chunks.
 	itemsPerJob = 250_112
 )
 
-// Start measures how long a new instance takes to replay a stream with a
-// million live items, and what it holds then.
+// Start measures how long a new instance takes to replay a stream with a million
+// unfinished items, and its memory afterwards.
 func Start(ctx context.Context, opts Options) error {
-	empty, err := startWith(ctx, opts, 0)
+	empty, err := measureStart(ctx, opts, 0)
 	if err != nil {
 		return err
 	}
-	full, err := startWith(ctx, opts, liveItems)
+	full, err := measureStart(ctx, opts, liveItems)
 	if err != nil {
 		return err
 	}
@@ -35,46 +35,46 @@
 	return nil
 }
 
-type started struct{ seconds, megabytes float64 }
+type startResult struct{ seconds, megabytes float64 }
 
-func startWith(ctx context.Context, opts Options, items int) (started, error) {
+func measureStart(ctx context.Context, opts Options, items int) (startResult, error) {
 	f, err := harness.StartFleet(ctx, harness.Options{
 		Dir: fmt.Sprintf("%s-%d", opts.Dir, items), Bin: opts.Bin, Domains: domains[:1],
 		PlatformArgs: []string{"--appends-per-second=0"},
 	})
 	if err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
 	defer f.Kill()
-	entries, err := fill(ctx, platformhttp.New(f.Addresses[domains[0]]), items)
+	entries, err := appendJobs(ctx, platformhttp.New(f.Addresses[domains[0]]), items)
 	if err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
 	began := time.Now()
 	if err := f.AddInstance("measured", domains[0]); err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
 	if err := f.WaitReady(ctx); err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
 	took := seconds(time.Since(began))
 	applied, err := f.Instances[0].Counter("journal", "entries_applied")
 	if err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
 	if applied < float64(entries) {
-		return started{}, fmt.Errorf("ready after %g of %d entries", applied, entries)
+		return startResult{}, fmt.Errorf("instance ready after applying %g of %d entries", applied, entries)
 	}
 	usage, err := f.Instances[0].Process.Usage()
 	if err != nil {
-		return started{}, err
+		return startResult{}, err
 	}
-	return started{seconds: took, megabytes: float64(usage.ResidentBytes) / 1e6}, nil
+	return startResult{seconds: took, megabytes: float64(usage.ResidentBytes) / 1e6}, nil
 }
 
-// fill appends jobs with their claims, as an instance would have, and returns
-// the number of entries.
-func fill(ctx context.Context, log *platformhttp.Client, items int) (entries int, err error) {
+// appendJobs appends jobs with their claims, as an instance would, and returns the
+// number of entries.
+func appendJobs(ctx context.Context, log *platformhttp.Client, items int) (entries int, err error) {
 	const writer = protocol.SessionID(1)
 	seq := uint64(0)
 	put := func(rec protocol.Record) error {
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -15,10 +15,11 @@
 	"merlintiller/internal/standin/target"
 )
 
-// callTimeout bounds a call of the harness, far above any deadline in it.
+// callTimeout limits a call of the harness. It is far above all deadlines in the
+// tests and measurements.
 const callTimeout = 60 * time.Second
 
-// Caller sends online calls as a caller would, through all instances in turn.
+// Caller sends online calls to all instances in turn.
 type Caller struct {
 	Secret    string
 	addresses func() []string
@@ -26,8 +27,8 @@
 	client    *http.Client
 }
 
-// NewCaller returns a caller. addresses gives the instances behind the
-// platform's balancer now.
+// NewCaller returns a Caller. addresses returns the addresses of the instances that
+// are currently behind the platform's load balancer.
 func NewCaller(secret string, addresses func() []string) *Caller {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	return &Caller{Secret: secret, addresses: addresses, client: &http.Client{Transport: transport, Timeout: callTimeout}}
@@ -44,11 +45,13 @@
 	RunState   string
 	RetryAfter string
 	Body       []byte
-	// Text is the joined text of a stream.
+	// Text is the concatenated text of a stream.
 	Text string
-	// Whole says that a stream came with its end mark.
-	Whole bool
-	// FirstByte and Took are times since the request was sent.
+	// Complete reports whether a stream ended with its end marker, or another
+	// body was read to its end.
+	Complete bool
+	// FirstByte and Took are the times from sending the request to the first
+	// byte of the response and to its end.
 	FirstByte, Took time.Duration
 }
 
@@ -79,7 +82,7 @@
 		err = answer.readStream(resp.Body)
 	} else {
 		answer.Body, err = io.ReadAll(resp.Body)
-		answer.Whole = err == nil
+		answer.Complete = err == nil
 	}
 	answer.Took = time.Since(started)
 	return answer, err
@@ -94,7 +97,7 @@
 			return err
 		}
 		if event.Done {
-			a.Whole = true
+			a.Complete = true
 			a.Text = text.String()
 			return nil
 		}
@@ -115,7 +118,8 @@
 	return chunk.Choices[0].Delta.Content
 }
 
-// ChatBody is a chat request whose whole answer the harness knows beforehand.
+// ChatBody returns the body of a chat request for which the harness can compute
+// the expected answer.
 func ChatBody(model, prompt string, tokens int, stream bool) []byte {
 	body, err := json.Marshal(map[string]any{
 		"model":      model,
@@ -129,43 +133,44 @@
 	return body
 }
 
-// IsOwnAnswer reports whether the answer is the whole one to the prompt.
-func (a *Answer) IsOwnAnswer(prompt string, tokens int, stream bool) bool {
+// MatchesPrompt reports whether the answer is the complete expected answer to the
+// prompt.
+func (a *Answer) MatchesPrompt(prompt string, tokens int, stream bool) bool {
 	want := target.Text(target.ChatText(prompt), tokens)
 	if stream {
-		return a.Whole && a.Text == want
+		return a.Complete && a.Text == want
 	}
-	var whole struct {
+	var completion struct {
 		Choices []struct {
 			Message struct{ Content string }
 		}
 	}
-	if json.Unmarshal(a.Body, &whole) != nil || len(whole.Choices) != 1 {
+	if json.Unmarshal(a.Body, &completion) != nil || len(completion.Choices) != 1 {
 		return false
 	}
-	return whole.Choices[0].Message.Content == want
+	return completion.Choices[0].Message.Content == want
 }
 
-// String sums the answer up for an error message.
+// String returns a summary of the answer for error messages.
 func (a *Answer) String() string {
-	return fmt.Sprintf("status=%d run_state=%s whole=%t body=%.200s", a.Status, a.RunState, a.Whole, a.Body)
+	return fmt.Sprintf("status=%d run_state=%s complete=%t body=%.200s", a.Status, a.RunState, a.Complete, a.Body)
 }
 
-// answerPatience is how long AwaitAnswer tries: the targets' list lags.
-const answerPatience = 15 * time.Second
+// answerTimeout is how long AwaitServed retries. The list of targets is delayed.
+const answerTimeout = 15 * time.Second
 
-// AwaitAnswer waits until a call is served: the key is in force and targets
-// are known.
-func (c *Caller) AwaitAnswer(ctx context.Context, model string) error {
+// AwaitServed waits until a call is served. The instance then accepts the key and
+// knows targets.
+func (c *Caller) AwaitServed(ctx context.Context, model string) error {
 	const prompt = "ready?"
-	limit := time.Now().Add(answerPatience)
+	limit := time.Now().Add(answerTimeout)
 	for {
 		answer, err := c.Post(ctx, "/v1/chat/completions", ChatBody(model, prompt, 1, false), nil)
-		if err == nil && answer.IsOwnAnswer(prompt, 1, false) {
+		if err == nil && answer.MatchesPrompt(prompt, 1, false) {
 			return nil
 		}
 		if time.Now().After(limit) {
-			return fmt.Errorf("no answer within %s: %v %w", answerPatience, answer, err)
+			return fmt.Errorf("no call was served within %s: last answer %v: %w", answerTimeout, answer, err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/harness/certs.go
+++ b/internal/harness/certs.go
@@ -16,9 +16,9 @@
 	"github.com/gravitational/trace"
 )
 
-// certificateLife is long enough for any run, and short enough that a
-// certificate that was left behind opens nothing for long.
-const certificateLife = 30 * 24 * time.Hour
+// certificateLifetime is longer than any run, but limits how long a leaked or
+// leftover certificate can be used.
+const certificateLifetime = 30 * 24 * time.Hour
 
 // Authority signs certificates for a fleet on loopback.
 type Authority struct {
@@ -27,12 +27,12 @@
 	pem  []byte
 }
 
-// CertFiles are the PEM files of one certificate.
+// CertFiles holds the paths of the PEM files of a certificate, its key and its CA.
 type CertFiles struct {
 	Cert, Key, CA string
 }
 
-// NewAuthority makes an authority that lives in memory only.
+// NewAuthority returns a new authority whose key is held in memory only.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,7 +42,7 @@
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: "fleet on loopback"},
 		NotBefore:             time.Unix(0, 0),
-		NotAfter:              time.Now().Add(certificateLife),
+		NotAfter:              time.Now().Add(certificateLifetime),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -58,8 +58,8 @@
 	return &Authority{cert: cert, key: key, pem: pemBlock("CERTIFICATE", der)}, nil
 }
 
-// Issue writes a certificate for 127.0.0.1 with its key, and the authority's
-// own, to a folder. It may write over former ones, as a rotation does.
+// Issue writes a certificate for 127.0.0.1, its key and the authority's certificate
+// to a folder. It overwrites existing files, as a rotation does.
 func (a *Authority) Issue(dir string, serial int64) (CertFiles, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -69,7 +69,7 @@
 		SerialNumber: big.NewInt(serial),
 		Subject:      pkix.Name{CommonName: "instance on loopback"},
 		NotBefore:    time.Unix(0, 0),
-		NotAfter:     time.Now().Add(certificateLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		IPAddresses:  []net.IP{net.IPv4(127, 0, 0, 1)},
 	}
--- a/internal/harness/counter.go
+++ b/internal/harness/counter.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// Counter reads a number of an instance's expvar map.
+// Counter returns a number from an expvar map of the instance.
 func (i *Instance) Counter(group, name string) (float64, error) {
 	resp, err := http.Get("http://" + i.Operators + "/debug/vars")
 	if err != nil {
--- a/internal/harness/ctl.go
+++ b/internal/harness/ctl.go
@@ -9,25 +9,27 @@
 	"os/exec"
 )
 
-// Ctl runs tillerctl and returns what it printed to its standard output.
+// Ctl runs tillerctl and returns its standard output.
 func (f *Fleet) Ctl(ctx context.Context, callerSecret string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, f.program("tillerctl"), args...)
 	cmd.Env = append(os.Environ(), "TILLER_OPERATOR_SECRET="+f.OperatorSecret, "TILLER_CALLER_SECRET="+callerSecret)
-	var out, problems bytes.Buffer
+	var out, stderr bytes.Buffer
 	cmd.Stdout = &out
-	cmd.Stderr = &problems
+	cmd.Stderr = &stderr
 	if err := cmd.Run(); err != nil {
-		return out.String(), fmt.Errorf("tillerctl %v: %w: %s", args, err, problems.String())
+		return out.String(), fmt.Errorf("tillerctl %v: %w: %s", args, err, stderr.String())
 	}
 	return out.String(), nil
 }
 
-// OperatorFlags name the operators' addresses of the instances that run.
+// OperatorFlags returns --instance flags with the operator addresses of the running
+// instances.
 func (f *Fleet) OperatorFlags() []string {
 	return f.flags(func(i *Instance) string { return i.Operators })
 }
 
-// CallerFlags name the callers' addresses of the instances that run.
+// CallerFlags returns --instance flags with the caller addresses of the running
+// instances.
 func (f *Fleet) CallerFlags() []string {
 	return f.flags(func(i *Instance) string { return i.Callers })
 }
--- a/internal/harness/demo/batch.go
+++ b/internal/harness/demo/batch.go
@@ -39,11 +39,11 @@
 	if err := json.Unmarshal([]byte(out), &job); err != nil || job.ID == "" {
 		return "", fmt.Errorf("batch submit printed %q: %w", out, err)
 	}
-	d.say("job accepted items=%d took=%s", batchItems, time.Since(began).Round(time.Millisecond))
+	d.printf("job accepted items=%d took=%s", batchItems, time.Since(began).Round(time.Millisecond))
 	return job.ID, nil
 }
 
-// jobState is what the demonstration reads of a job.
+// jobState holds the fields of a job that the demonstration reads.
 type jobState struct {
 	Status        string `json:"status"`
 	RequestCounts struct {
@@ -61,9 +61,9 @@
 	return state, json.Unmarshal([]byte(out), &state)
 }
 
-// killSome kills an instance and a target without warning, once the job is
-// under way.
-func (d *demo) killSome(ctx context.Context, job string) error {
+// killInstanceAndTarget kills an instance and a target as soon as killAfterItems
+// items of the job are completed.
+func (d *demo) killInstanceAndTarget(ctx context.Context, job string) error {
 	for {
 		state, err := d.job(ctx, job)
 		if err != nil {
@@ -78,11 +78,11 @@
 	target := d.fleet.Targets[1]
 	instance.Process.Kill()
 	target.Process.Kill()
-	d.say("killed instance=%s target=%s", instance.ID, target.Listed.ID)
+	d.printf("killed instance=%s target=%s", instance.ID, target.Listed.ID)
 	return nil
 }
 
-// finishJob waits for the end of the job and checks its results.
+// finishJob waits until the job ends and checks its results.
 func (d *demo) finishJob(ctx context.Context, job string) error {
 	began := time.Now()
 	for {
@@ -91,7 +91,7 @@
 			return err
 		}
 		if state.Status != "in_progress" && state.Status != "finalizing" && state.Status != "validating" {
-			d.say("job ended status=%s completed=%d failed=%d after_kill=%s", state.Status,
+			d.printf("job ended status=%s completed=%d failed=%d after_kill=%s", state.Status,
 				state.RequestCounts.Completed, state.RequestCounts.Failed, time.Since(began).Round(time.Millisecond))
 			return d.checkResults(ctx, job)
 		}
@@ -99,7 +99,8 @@
 	}
 }
 
-// checkResults reads the output: every item once, with its own whole answer.
+// checkResults reads the output file and checks that every item has exactly one
+// result with the complete expected answer.
 func (d *demo) checkResults(ctx context.Context, job string) error {
 	path := filepath.Join(d.Dir, "results.jsonl")
 	args := append([]string{"batch", "results", job, "--to=" + path}, d.fleet.CallerFlags()...)
@@ -111,20 +112,20 @@
 		return err
 	}
 	seen := map[string]int{}
-	wrong := 0
+	mismatched := 0
 	scanner := bufio.NewScanner(bytes.NewReader(data))
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
-		id, whole := checkLine(scanner.Bytes())
+		id, complete := checkLine(scanner.Bytes())
 		seen[id]++
-		if !whole {
-			wrong++
+		if !complete {
+			mismatched++
 		}
 	}
-	return d.judge(seen, wrong)
+	return d.checkCounts(seen, mismatched)
 }
 
-func checkLine(line []byte) (id string, whole bool) {
+func checkLine(line []byte) (id string, complete bool) {
 	var result struct {
 		CustomID string `json:"custom_id"`
 		Response struct {
@@ -146,7 +147,7 @@
 	return result.CustomID, result.Response.Body.Choices[0].Message.Content == want
 }
 
-func (d *demo) judge(seen map[string]int, wrong int) error {
+func (d *demo) checkCounts(seen map[string]int, mismatched int) error {
 	missing, doubled := 0, 0
 	for n := range batchItems {
 		switch count := seen[itemID(n)]; {
@@ -156,9 +157,9 @@
 			doubled++
 		}
 	}
-	d.say("results items=%d missing=%d doubled=%d wrong=%d", len(seen), missing, doubled, wrong)
-	if missing+doubled+wrong > 0 {
-		return fmt.Errorf("batch: %d missing, %d doubled, %d wrong of %d", missing, doubled, wrong, batchItems)
+	d.printf("results items=%d missing=%d doubled=%d wrong=%d", len(seen), missing, doubled, mismatched)
+	if missing+doubled+mismatched > 0 {
+		return fmt.Errorf("batch: %d missing, %d doubled, %d mismatched of %d", missing, doubled, mismatched, batchItems)
 	}
 	return nil
 }
--- a/internal/harness/demo/demo.go
+++ b/internal/harness/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo shows the whole system at work and at fault on one machine: a
-// configuration is applied, online calls and a batch job run at the same time,
-// an instance and a target are killed in the middle, and every answer and
-// every result is checked.
+// Package demo demonstrates the whole system on one machine, including failures. It
+// applies a configuration, runs online calls and a batch job at the same time,
+// kills an instance and a target meanwhile, and checks every answer and every
+// result.
 package demo
 
 import (
@@ -17,7 +17,7 @@
 	"merlintiller/internal/protocol"
 )
 
-// The sizes of the demonstration: Cascadia's three failure domains.
+// Sizes and names of the demonstration, with three failure domains as at Cascadia.
 const (
 	perDomain      = 3
 	modelTargets   = 10
@@ -32,15 +32,16 @@
 	organisation   = "hollister-field"
 )
 
-// Options of the demonstration.
+// Options holds the options of the demonstration.
 type Options struct {
+	// Dir is the folder for settings and logs, Bin that of the built programs.
 	Dir, Bin string
 	// Examples is the configuration folder to apply.
 	Examples string
 	Out      io.Writer
 }
 
-// demo is one run.
+// demo is one run of the demonstration.
 type demo struct {
 	Options
 	fleet  *harness.Fleet
@@ -48,7 +49,7 @@
 	caller *harness.Caller
 }
 
-// Run returns an error unless every promise held.
+// Run runs the demonstration and returns an error if any check fails.
 func Run(ctx context.Context, opts Options) error {
 	if err := os.RemoveAll(opts.Dir); err != nil {
 		return err
@@ -58,18 +59,18 @@
 		return err
 	}
 	defer d.fleet.Kill()
-	if err := d.traffic(ctx); err != nil {
+	if err := d.runTraffic(ctx); err != nil {
 		return err
 	}
 	began := time.Now()
 	if err := d.fleet.Stop(); err != nil {
 		return fmt.Errorf("graceful stop: %w", err)
 	}
-	d.say("stopped took=%s", time.Since(began).Round(time.Millisecond))
+	d.printf("stopped took=%s", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) printf(format string, args ...any) {
 	fmt.Fprintf(d.Out, "demo "+format+"\n", args...)
 }
 
@@ -90,7 +91,7 @@
 		return err
 	}
 	d.fleet = fleet
-	d.say("started instances=%d targets=%d took=%s", len(fleet.Instances), len(fleet.Targets), time.Since(began).Round(time.Millisecond))
+	d.printf("started instances=%d targets=%d took=%s", len(fleet.Instances), len(fleet.Targets), time.Since(began).Round(time.Millisecond))
 	if err := d.configure(ctx); err != nil {
 		fleet.Kill()
 		return err
@@ -98,13 +99,13 @@
 	return nil
 }
 
-// configure applies the folder and creates a key, both through tillerctl.
+// configure applies the configuration folder and creates a key, both with tillerctl.
 func (d *demo) configure(ctx context.Context) error {
 	began := time.Now()
 	if _, err := d.fleet.Ctl(ctx, "", append([]string{"config", "apply", d.Examples}, d.fleet.OperatorFlags()...)...); err != nil {
 		return err
 	}
-	d.say("configuration applied took=%s", time.Since(began).Round(time.Millisecond))
+	d.printf("configuration applied took=%s", time.Since(began).Round(time.Millisecond))
 	secret, err := d.fleet.CreateKey(ctx, organisation)
 	if err != nil {
 		return err
@@ -114,7 +115,8 @@
 	return d.awaitFirstAnswer(ctx)
 }
 
-// callerAddresses are the instances that the platform's balancer would use.
+// callerAddresses returns the caller addresses of the running instances, among which
+// the platform's load balancer would choose.
 func (d *demo) callerAddresses() []string {
 	var out []string
 	for _, instance := range d.fleet.Instances {
@@ -125,30 +127,30 @@
 	return out
 }
 
-// awaitFirstAnswer waits until each instance has served a call: the key is in
-// force there and the targets' list has come, which lags.
+// awaitFirstAnswer waits until each instance has served a call. The instance then
+// accepts the key and has received the list of targets, which is delayed.
 func (d *demo) awaitFirstAnswer(ctx context.Context) error {
 	began := time.Now()
 	for _, address := range d.callerAddresses() {
-		one := harness.NewCaller(d.secret, func() []string { return []string{address} })
-		if err := one.AwaitAnswer(ctx, model); err != nil {
+		caller := harness.NewCaller(d.secret, func() []string { return []string{address} })
+		if err := caller.AwaitServed(ctx, model); err != nil {
 			return err
 		}
 	}
-	d.say("every instance serves took=%s", time.Since(began).Round(time.Millisecond))
+	d.printf("every instance serves took=%s", time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-// traffic runs the batch job, online calls and filings at the same time, and
-// kills an instance and a target while they run.
-func (d *demo) traffic(ctx context.Context) error {
+// runTraffic runs the batch job, online calls and filings at the same time, and
+// kills an instance and a target meanwhile.
+func (d *demo) runTraffic(ctx context.Context) error {
 	job, err := d.submit(ctx)
 	if err != nil {
 		return err
 	}
 	online := d.startOnline(ctx)
 	filed := d.startFilings(ctx)
-	if err := d.killSome(ctx, job); err != nil {
+	if err := d.killInstanceAndTarget(ctx, job); err != nil {
 		return err
 	}
 	jobErr := d.finishJob(ctx, job)
--- a/internal/harness/demo/filings.go
+++ b/internal/harness/demo/filings.go
@@ -13,48 +13,48 @@
 	"merlintiller/internal/protocol"
 )
 
-// filingLoad is calls that may not be repeated. Each is sent again with the
-// same idempotency key until its fate is known, as a careful caller would.
+// filingLoad sends non-idempotent calls. Each call is resent with the same
+// idempotency key until its outcome is known or the instance reports it as unknown.
 type filingLoad struct {
 	running  sync.WaitGroup
 	mu       sync.Mutex
 	answered int
 	unknown  int
-	problem  error
+	err      error
 }
 
 func (d *demo) startFilings(ctx context.Context) *filingLoad {
 	load := &filingLoad{}
 	load.running.Go(func() {
 		for n := range filings {
-			load.one(ctx, d, n)
+			load.send(ctx, d, n)
 		}
 	})
 	return load
 }
 
-func (l *filingLoad) one(ctx context.Context, d *demo, n int) {
-	const patience = 30 * time.Second
+func (l *filingLoad) send(ctx context.Context, d *demo, n int) {
+	const timeout = 30 * time.Second
 	body := []byte(fmt.Sprintf(`{"filing":%d}`, n))
 	header := map[string]string{"Idempotency-Key": fmt.Sprintf("filing-%d", n)}
-	for limit := time.Now().Add(patience); time.Now().Before(limit); {
+	for limit := time.Now().Add(timeout); time.Now().Before(limit); {
 		answer, err := d.caller.Post(ctx, "/v1/services/report-filing/file", body, header)
 		if err == nil && answer.Status == http.StatusOK {
-			l.note(func() { l.answered++ })
+			l.update(func() { l.answered++ })
 			return
 		}
 		if err == nil && outcomeUnknown(answer) {
-			l.note(func() { l.unknown++ })
+			l.update(func() { l.unknown++ })
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	l.note(func() {
-		l.problem = errors.Join(l.problem, fmt.Errorf("filing %d: no final answer within %s", n, patience))
+	l.update(func() {
+		l.err = errors.Join(l.err, fmt.Errorf("filing %d: no final answer within %s", n, timeout))
 	})
 }
 
-func (l *filingLoad) note(change func()) {
+func (l *filingLoad) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
@@ -67,18 +67,19 @@
 	return json.Unmarshal(answer.Body, &reply) == nil && reply.Error.Code == protocol.CodeOutcomeUnknown
 }
 
-// finish counts the executions at the plain targets that still run.
+// finish waits for all filings and counts their executions at the plain targets that
+// are still running.
 func (l *filingLoad) finish(ctx context.Context, d *demo) error {
 	l.running.Wait()
 	executions, most, err := d.executions(ctx)
 	if err != nil {
 		return err
 	}
-	d.say("filings answered=%d outcome_unknown=%d executions=%d most_of_one=%d", l.answered, l.unknown, executions, most)
+	d.printf("filings answered=%d outcome_unknown=%d executions=%d most_of_one=%d", l.answered, l.unknown, executions, most)
 	if most > 1 {
-		l.problem = errors.Join(l.problem, fmt.Errorf("a call that may not be repeated ran %d times", most))
+		l.err = errors.Join(l.err, fmt.Errorf("a non-idempotent call ran %d times", most))
 	}
-	return l.problem
+	return l.err
 }
 
 func (d *demo) executions(ctx context.Context) (total, most int, err error) {
--- a/internal/harness/demo/online.go
+++ b/internal/harness/demo/online.go
@@ -13,17 +13,18 @@
 	"merlintiller/internal/harness"
 )
 
-// onlineLoad is calls that run one after another in several callers.
+// onlineLoad sends online calls from several concurrent callers, each of which sends
+// one call after another.
 type onlineLoad struct {
 	stop    context.CancelFunc
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	whole   int
-	refused int
-	resent  int
-	problem error
-	first   []time.Duration
+	mu         sync.Mutex
+	answered   int
+	refused    int
+	resent     int
+	err        error
+	firstBytes []time.Duration
 }
 
 func (d *demo) startOnline(ctx context.Context) *onlineLoad {
@@ -38,17 +39,18 @@
 func (l *onlineLoad) run(ctx context.Context, d *demo, caller int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		prompt := fmt.Sprintf("deficiencies of riser %d of caller %d", n, caller)
-		l.one(ctx, d, prompt, n%2 == 0)
+		l.send(ctx, d, prompt, n%2 == 0)
 	}
 }
 
-// one sends a call until it is answered. It comes back after a refusal, as the
-// refusal says, and after a connection that its instance's death cut.
-func (l *onlineLoad) one(ctx context.Context, d *demo, prompt string, stream bool) {
+// send sends a call until it is answered. After a refusal, send waits for the time
+// in the refusal before it resends the call. It also resends the call when the
+// connection breaks because the instance was killed.
+func (l *onlineLoad) send(ctx context.Context, d *demo, prompt string, stream bool) {
 	body := harness.ChatBody(model, prompt, onlineTokens, stream)
 	for ctx.Err() == nil {
 		answer, err := d.caller.Post(context.WithoutCancel(ctx), "/v1/chat/completions", body, nil)
-		wait := resendWait
+		wait := resendDelay
 		l.mu.Lock()
 		switch {
 		case err != nil:
@@ -56,14 +58,14 @@
 		case answer.Status == http.StatusTooManyRequests || answer.Status == http.StatusServiceUnavailable:
 			l.refused++
 			l.checkRefusal(answer)
-			wait = max(wait, comeBack(answer))
-		case answer.IsOwnAnswer(prompt, onlineTokens, stream):
-			l.whole++
-			l.first = append(l.first, answer.FirstByte)
+			wait = max(wait, retryAfter(answer))
+		case answer.MatchesPrompt(prompt, onlineTokens, stream):
+			l.answered++
+			l.firstBytes = append(l.firstBytes, answer.FirstByte)
 			l.mu.Unlock()
 			return
 		default:
-			l.problem = errors.Join(l.problem, fmt.Errorf("online answer is not its own: %s", answer))
+			l.err = errors.Join(l.err, fmt.Errorf("online answer does not match its prompt: %s", answer))
 			l.mu.Unlock()
 			return
 		}
@@ -72,11 +74,11 @@
 	}
 }
 
-// resendWait is the wait before a call is sent again that got no answer.
-const resendWait = 20 * time.Millisecond
+// resendDelay is the delay before a call without an answer is resent.
+const resendDelay = 20 * time.Millisecond
 
-// comeBack is when a refused caller was told to come back.
-func comeBack(answer *harness.Answer) time.Duration {
+// retryAfter returns the delay that a refusal asks for.
+func retryAfter(answer *harness.Answer) time.Duration {
 	var refusal struct {
 		Error struct {
 			RetryAfterMS int64 `json:"retry_after_ms"`
@@ -90,18 +92,18 @@
 
 func (l *onlineLoad) checkRefusal(answer *harness.Answer) {
 	if answer.RetryAfter == "" {
-		l.problem = errors.Join(l.problem, fmt.Errorf("refusal without Retry-After: %s", answer))
+		l.err = errors.Join(l.err, fmt.Errorf("refusal without Retry-After: %s", answer))
 	}
 }
 
 func (l *onlineLoad) finish(d *demo) error {
 	l.stop()
 	l.running.Wait()
-	if l.whole == 0 {
-		return errors.Join(l.problem, errors.New("no online call was answered"))
+	if l.answered == 0 {
+		return errors.Join(l.err, errors.New("no online call was answered"))
 	}
-	slices.Sort(l.first)
-	d.say("online whole=%d refused=%d resent=%d first_byte_p50=%s first_byte_p99=%s", l.whole, l.refused, l.resent,
-		l.first[len(l.first)/2].Round(10*time.Microsecond), l.first[len(l.first)*99/100].Round(10*time.Microsecond))
-	return l.problem
+	slices.Sort(l.firstBytes)
+	d.printf("online whole=%d refused=%d resent=%d first_byte_p50=%s first_byte_p99=%s", l.answered, l.refused, l.resent,
+		l.firstBytes[len(l.firstBytes)/2].Round(10*time.Microsecond), l.firstBytes[len(l.firstBytes)*99/100].Round(10*time.Microsecond))
+	return l.err
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -20,38 +20,40 @@
 	"merlintiller/internal/standin/platformsrv"
 )
 
-// readyPatience only ends a hang: an instance is ready within a second.
-const readyPatience = 60 * time.Second
+// readyTimeout only ends a test that hangs: an instance is ready within a second.
+const readyTimeout = 60 * time.Second
 
-// pollPeriod is how often the harness looks whether a process is ready.
+// pollPeriod is the interval at which the harness checks whether a process is
+// ready.
 const pollPeriod = 50 * time.Millisecond
 
-// TargetGroup asks for a number of like targets.
+// TargetGroup describes a number of identical targets to start.
 type TargetGroup struct {
 	Service protocol.ServiceName
 	Kind    protocol.ServiceKind
 	Count   int
-	// Args are further flags of `standin target`.
+	// Args holds additional flags of `standin target`.
 	Args []string
 }
 
-// Options describe a fleet on loopback.
+// Options describes a fleet on loopback.
 type Options struct {
-	// Dir holds settings and logs; Bin the built programs.
+	// Dir is the folder for settings and logs, Bin that of the built programs.
 	Dir, Bin  string
 	Domains   []protocol.Domain
 	PerDomain int
 	Targets   []TargetGroup
-	// PlatformArgs are further flags of `standin platform`.
+	// PlatformArgs holds additional flags of `standin platform`.
 	PlatformArgs []string
-	// Settings are further lines of every settings file.
+	// Settings holds additional lines of every settings file.
 	Settings string
 }
 
-// Instance is an entry instance as a process.
+// Instance is an entry instance that runs as a process.
 type Instance struct {
-	ID        protocol.InstanceID
-	Domain    protocol.Domain
+	ID     protocol.InstanceID
+	Domain protocol.Domain
+	// Callers, Peers and Operators are the listen addresses for them.
 	Callers   string
 	Peers     string
 	Operators string
@@ -59,25 +61,27 @@
 	settings  string
 }
 
-// Target is a target stand-in as a process.
+// Target is a simulated target that runs as a process.
 type Target struct {
+	// Listed is the target's entry on the platform's list.
 	Listed  external.ListedTarget
 	Process *Process
 }
 
-// Fleet is a running system of processes.
+// Fleet is a running system of platform, targets and instances.
 type Fleet struct {
-	opts      Options
-	Platform  *Process
+	opts     Options
+	Platform *Process
+	// Addresses holds the platform's address for each failure domain.
 	Addresses map[protocol.Domain]string
 	Instances []*Instance
 	Targets   []*Target
-	// OperatorSecret authorises operators' calls at every instance.
+	// OperatorSecret authorises operator calls to every instance.
 	OperatorSecret string
 }
 
-// StartFleet starts the platform, the targets and the instances, and waits
-// until every instance is alive.
+// StartFleet starts the platform, the targets and the instances, and waits until
+// every instance is ready.
 func StartFleet(ctx context.Context, opts Options) (*Fleet, error) {
 	if err := os.MkdirAll(opts.Dir, 0o755); err != nil {
 		return nil, err
@@ -152,19 +156,19 @@
 		return err
 	}
 	f.Targets = append(f.Targets, &Target{Listed: listed, Process: process})
-	return f.List(ctx, listed)
+	return f.ListTarget(ctx, listed)
 }
 
-// List puts a target on the platform's list.
-func (f *Fleet) List(ctx context.Context, target external.ListedTarget) error {
+// ListTarget adds a target to the platform's list.
+func (f *Fleet) ListTarget(ctx context.Context, target external.ListedTarget) error {
 	address := f.Addresses[f.opts.Domains[0]]
-	return put(ctx, http.MethodPut, "http://"+address+"/list/targets/"+string(target.ID), target)
+	return sendJSON(ctx, http.MethodPut, "http://"+address+"/list/targets/"+string(target.ID), target)
 }
 
-// SetFaults sets the platform's fault switches.
+// SetFaults sets the injected faults of the platform.
 func (f *Fleet) SetFaults(ctx context.Context, faults platformsrv.Faults) error {
 	address := f.Addresses[f.opts.Domains[0]]
-	return put(ctx, http.MethodPost, "http://"+address+"/faults", faults)
+	return sendJSON(ctx, http.MethodPost, "http://"+address+"/faults", faults)
 }
 
 func (f *Fleet) startInstances(ctx context.Context) error {
@@ -179,7 +183,7 @@
 	return f.WaitReady(ctx)
 }
 
-// AddInstance starts one more instance, with the names of its addresses new.
+// AddInstance starts another instance on new addresses.
 func (f *Fleet) AddInstance(id protocol.InstanceID, domain protocol.Domain) error {
 	addresses, err := FreeAddresses(3)
 	if err != nil {
@@ -209,7 +213,7 @@
 	return out.Bytes()
 }
 
-// Restart starts an instance's process again with the same settings.
+// Restart starts a new process of an instance with the same settings.
 func (f *Fleet) Restart(i *Instance) error {
 	process, err := StartProcess(f.opts.Dir, string(i.ID), f.program("tillerd"), "--settings="+i.settings)
 	if err != nil {
@@ -219,9 +223,9 @@
 	return nil
 }
 
-// WaitReady waits until every instance that runs says that it is ready.
+// WaitReady waits until every running instance reports that it is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyPatience)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, instance := range f.Instances {
 		if instance.Process.Exited() {
@@ -234,7 +238,7 @@
 	return nil
 }
 
-// Stop ends every process gracefully, instances first.
+// Stop stops all instances gracefully and then kills the other processes.
 func (f *Fleet) Stop() error {
 	var mu sync.Mutex
 	var failed error
@@ -255,7 +259,7 @@
 	return failed
 }
 
-// Kill ends every process at once.
+// Kill kills every process.
 func (f *Fleet) Kill() {
 	for _, instance := range f.Instances {
 		if instance.Process != nil {
@@ -288,7 +292,7 @@
 	}
 }
 
-func put(ctx context.Context, method, url string, value any) error {
+func sendJSON(ctx context.Context, method, url string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
--- a/internal/harness/poll.go
+++ b/internal/harness/poll.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Poll looks again and again until look says that it is done or ctx ends. An
-// error of look is a reason to look again, since processes come and go; the
-// last one is named when ctx ends.
-func Poll(ctx context.Context, look func(context.Context) (done bool, err error)) error {
+// Poll calls check every pollPeriod until check returns done or ctx ends. Poll
+// continues after an error of check, because processes may be stopped or starting.
+// When ctx ends, the returned error includes the last error of check.
+func Poll(ctx context.Context, check func(context.Context) (done bool, err error)) error {
 	for {
-		done, err := look(ctx)
+		done, err := check(ctx)
 		if done {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w; last look: %v", ctx.Err(), err)
+			return fmt.Errorf("%w; last check: %v", ctx.Err(), err)
 		case <-time.After(pollPeriod):
 		}
 	}
 }
 
-// Let lets the processes run for a while.
-func Let(ctx context.Context, d time.Duration) error {
+// Sleep waits for d or until ctx ends, while the processes run.
+func Sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -1,7 +1,7 @@
-// Package harness starts the whole system as separate processes on loopback,
-// for the demonstration, the measurements and the tests with real processes.
-// It is the only code of the project that starts other processes, and it ends
-// only those it started.
+// Package harness starts the whole system as separate processes on loopback, for
+// the demonstration, the measurements and the tests with real processes. Only the
+// harness and its tests start other processes, and they end only processes that
+// they started.
 package harness
 
 import (
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// stopPatience is how long Stop waits for a graceful end before it kills.
-const stopPatience = 20 * time.Second
+// stopTimeout is how long Stop waits for a graceful exit before it kills the
+// process.
+const stopTimeout = 20 * time.Second
 
 // Process is a started program.
 type Process struct {
 	Name string
-	// LogFile holds what the process printed.
+	// LogFile is the path of the file with the output of the process.
 	LogFile string
 	cmd     *exec.Cmd
 	done    chan struct{}
 	err     error
 }
 
-// StartProcess runs a program with its output in a file below dir.
+// StartProcess starts a program with its output in the file name.log in dir.
 func StartProcess(dir, name, program string, args ...string) (*Process, error) {
 	path := filepath.Join(dir, name+".log")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -37,7 +38,8 @@
 	cmd := exec.Command(program, args...)
 	cmd.Stdout = out
 	cmd.Stderr = out
-	// A harness that is itself killed must leave no process behind.
+	// The kernel kills the process when the harness itself is killed, so that no
+	// process is left over.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
@@ -52,35 +54,37 @@
 	close(p.done)
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Kill ends the process at once, as a lost instance would.
+// Kill kills the process and waits for its end, to simulate the crash of an
+// instance.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Pause freezes the process.
+// Pause suspends the process.
 func (p *Process) Pause() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Continue lets a frozen process run on.
+// Continue resumes a suspended process.
 func (p *Process) Continue() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Stop asks the process to end gracefully and reports how it ended.
+// Stop requests a graceful exit and returns the error with which the process
+// exited.
 func (p *Process) Stop() error {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		p.Kill()
-		return fmt.Errorf("%s did not end within %s", p.Name, stopPatience)
+		return fmt.Errorf("%s did not exit within %s", p.Name, stopTimeout)
 	}
 }
 
-// Exited reports whether the process has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.done:
--- a/internal/harness/proctest/diagnostics_test.go
+++ b/internal/harness/proctest/diagnostics_test.go
@@ -11,9 +11,9 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// showEvidence logs what the processes of a failed test said and counted, since
-// their folder is removed with the test.
-func (f *fleet) showEvidence() {
+// logDiagnostics prints the logs, counters and status pages of all instances if the
+// test failed, because the folder with the logs is removed after the test.
+func (f *fleet) logDiagnostics() {
 	if !f.t.Failed() {
 		return
 	}
@@ -21,17 +21,18 @@
 		text, err := os.ReadFile(instance.Process.LogFile)
 		f.t.Logf("log of %s (%v):\n%s", instance.ID, err, text)
 		for _, path := range []string{"/debug/vars", operatorapi.PathStatus, operatorapi.PathTargets} {
-			f.t.Logf("%s of %s:\n%s", path, instance.ID, f.page(instance, path))
+			f.t.Logf("%s of %s:\n%s", path, instance.ID, f.fetchPage(instance, path))
 		}
 	}
 }
 
-// pageLimit bounds the wait for a process that is paused or stuck.
-const pageLimit = 3 * time.Second
+// pageTimeout limits the wait for a process that is paused or does not respond.
+const pageTimeout = 3 * time.Second
 
-// page is what an instance serves to operators, or why it does not.
-func (f *fleet) page(i *harness.Instance, path string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), pageLimit)
+// fetchPage returns a page of the operator listener of an instance, or the text of
+// the error.
+func (f *fleet) fetchPage(i *harness.Instance, path string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.Operators+path, nil)
 	if err != nil {
--- a/internal/harness/proctest/drain_test.go
+++ b/internal/harness/proctest/drain_test.go
@@ -13,22 +13,22 @@
 	"merlintiller/internal/harness"
 )
 
-// An instance is replaced while callers use it. Each call that it takes must
-// end whole; a caller whose stream breaks off at a deployment would show half a
-// summary in a boiler room.
+// An instance is stopped gracefully while callers use it, as in a deployment. Each
+// call that the instance accepts must end with a complete answer: a truncated
+// stream would show the user half a summary.
 func TestGracefulStopCutsNoRequest(t *testing.T) {
 	const callers, tokens = 12, 60
 	f := start(t, options{settings: shortTimings})
 	leaving := f.Instances[0]
 	job := f.submit(f.client(leaving, f.secret), 200, 40)
 	var mu sync.Mutex
-	var wrong []string
+	var failures []string
 	var running sync.WaitGroup
-	whole := 0
+	complete := 0
 	enough := make(chan struct{})
 	for n := range callers {
 		running.Go(func() {
-			caller := f.at(leaving, f.secret)
+			caller := f.callerFor(leaving, f.secret)
 			for turn := 0; ; turn++ {
 				prompt := fmt.Sprintf("riser %d of caller %d", turn, n)
 				stream := (turn+n)%2 == 0
@@ -39,17 +39,17 @@
 					mu.Unlock()
 					return
 				case err != nil:
-					wrong = append(wrong, err.Error())
+					failures = append(failures, err.Error())
 					mu.Unlock()
 					return
-				case answer.Status == http.StatusOK && answer.IsOwnAnswer(prompt, tokens, stream):
-					whole++
-					if whole == 2*callers {
+				case answer.Status == http.StatusOK && answer.MatchesPrompt(prompt, tokens, stream):
+					complete++
+					if complete == 2*callers {
 						close(enough)
 					}
 				case answer.Status == http.StatusServiceUnavailable && answer.RunState == "not_run" && answer.RetryAfter != "":
 				default:
-					wrong = append(wrong, answer.String())
+					failures = append(failures, answer.String())
 				}
 				mu.Unlock()
 			}
@@ -61,6 +61,6 @@
 	}
 	require.NoError(t, leaving.Process.Stop(), "must exit with 0")
 	running.Wait()
-	require.Empty(t, wrong)
-	f.requireWhole(f.client(f.Instances[1], f.secret), job, 200, 40)
+	require.Empty(t, failures)
+	f.requireComplete(f.client(f.Instances[1], f.secret), job, 200, 40)
 }
--- a/internal/harness/proctest/fleet_test.go
+++ b/internal/harness/proctest/fleet_test.go
@@ -18,15 +18,15 @@
 	model        = "tiller-reports"
 	filing       = "report-filing"
 	organisation = "hollister-field"
-	// hang ends a test that waits for something that never comes. It is far
-	// above what any state takes also on a busy machine.
-	hang = time.Minute
+	// testTimeout ends a test that waits for a condition that is never met. It is
+	// far above the time that any condition takes, also on a busy machine.
+	testTimeout = time.Minute
 )
 
 var domains = []protocol.Domain{"pnw-sea", "pnw-pdx", "pnw-spk"}
 
-// configuration is the fleet's folder. tacoma-harbor is held to one request a
-// second.
+// configuration is the fleet configuration. Organisation tacoma-harbor is limited
+// to one request per second.
 const configuration = `
 domains:
   - {domain: pnw-sea, region: pnw, share: 1}
@@ -42,7 +42,7 @@
   - {id: tacoma-harbor, rate: 1, burst: 1}
 `
 
-// shortTimings make a session end within seconds.
+// shortTimings holds settings with which a session expires after 2 s.
 const shortTimings = `
 timings:
   renew: 300ms
@@ -61,9 +61,9 @@
   renewal_late: 600ms
 `
 
-// patientTimings keep a session for longer than a busy machine holds a process
-// up, for tests in which no session may end.
-const patientTimings = `
+// longTimings holds settings for tests in which no session may expire. The session
+// outlasts the delays that a busy machine causes for a process.
+const longTimings = `
 timings:
   renew: 500ms
   hold: 3s
@@ -77,7 +77,7 @@
   renewal_late: 1s
 `
 
-// fleet is a running fleet with the configuration in force and a key.
+// fleet is a running fleet with the configuration in force and an API key.
 type fleet struct {
 	*harness.Fleet
 	t      *testing.T
@@ -87,14 +87,14 @@
 
 type options struct {
 	settings string
-	// modelArgs and plainArgs are further flags of the targets.
+	// modelArgs and plainArgs hold additional flags of the targets.
 	modelArgs, plainArgs []string
 }
 
-// start runs one instance and one model target in each of three failure
-// domains, and a plain target.
+// start starts one instance and one model target in each of three failure domains,
+// and one plain target.
 func start(t *testing.T, opts options) *fleet {
-	ctx, cancel := context.WithTimeout(t.Context(), hang)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	running, err := harness.StartFleet(ctx, harness.Options{
 		Dir: t.TempDir(), Bin: programs, Domains: domains, PerDomain: 1,
@@ -108,7 +108,7 @@
 	require.NoError(t, err)
 	t.Cleanup(running.Kill)
 	f := &fleet{Fleet: running, t: t, ctx: ctx}
-	t.Cleanup(f.showEvidence)
+	t.Cleanup(f.logDiagnostics)
 	f.configure()
 	f.secret, _ = f.createKey(organisation)
 	f.awaitServing()
@@ -136,12 +136,12 @@
 	return created.Secret, created.ID
 }
 
-// at gives a caller that uses one instance only.
-func (f *fleet) at(i *harness.Instance, secret string) *harness.Caller {
+// callerFor returns a caller that uses one instance only.
+func (f *fleet) callerFor(i *harness.Instance, secret string) *harness.Caller {
 	return harness.NewCaller(secret, func() []string { return []string{i.Callers} })
 }
 
-// awaitServing waits until every instance knows targets and the key.
+// awaitServing waits until every instance knows targets and accepts the key.
 func (f *fleet) awaitServing() {
 	for _, instance := range f.Instances {
 		f.awaitServed(instance, f.secret)
@@ -151,27 +151,27 @@
 func (f *fleet) awaitServed(i *harness.Instance, secret string) {
 	f.t.Helper()
 	f.poll(func(ctx context.Context) (bool, error) {
-		answer, err := f.ask(i, secret, "ready?")
-		return err == nil && answer.IsOwnAnswer("ready?", askTokens, false), err
+		answer, err := f.call(i, secret, "ready?")
+		return err == nil && answer.MatchesPrompt("ready?", callTokens, false), err
 	})
 }
 
-// askTokens is the length of the answer to a short call.
-const askTokens = 2
+// callTokens is the length in tokens of the answer to a short call.
+const callTokens = 2
 
-// ask makes a short call.
-func (f *fleet) ask(i *harness.Instance, secret, prompt string) (*harness.Answer, error) {
-	body := harness.ChatBody(model, prompt, askTokens, false)
-	return f.at(i, secret).Post(f.ctx, "/v1/chat/completions", body, nil)
+// call sends a short call to an instance.
+func (f *fleet) call(i *harness.Instance, secret, prompt string) (*harness.Answer, error) {
+	body := harness.ChatBody(model, prompt, callTokens, false)
+	return f.callerFor(i, secret).Post(f.ctx, "/v1/chat/completions", body, nil)
 }
 
-func (f *fleet) poll(look func(context.Context) (bool, error)) {
+func (f *fleet) poll(check func(context.Context) (bool, error)) {
 	f.t.Helper()
-	require.NoError(f.t, harness.Poll(f.ctx, look))
+	require.NoError(f.t, harness.Poll(f.ctx, check))
 }
 
-// session is the session that an instance has now, and whether it may do
-// exclusive work.
+// session returns the current session of an instance, and whether the instance may
+// do exclusive work.
 func (f *fleet) session(i *harness.Instance) (id string, mayHold bool, err error) {
 	own, err := f.OwnStatus(f.ctx, i)
 	return own.Session, own.MayHold, err
--- a/internal/harness/proctest/job_test.go
+++ b/internal/harness/proctest/job_test.go
@@ -15,7 +15,7 @@
 	"merlintiller/internal/standin/target"
 )
 
-// client is the published client library on one instance.
+// client returns a client of the published OpenAI library for one instance.
 func (f *fleet) client(i *harness.Instance, secret string, opts ...option.RequestOption) openai.Client {
 	all := []option.RequestOption{
 		option.WithBaseURL("http://" + i.Callers + "/v1"),
@@ -55,7 +55,7 @@
 	})
 }
 
-// submit uploads a job's items and submits it.
+// submit uploads the items of a job and submits the job.
 func (f *fleet) submit(client openai.Client, items, tokens int) string {
 	f.t.Helper()
 	job, err := f.create(client, f.upload(client, inputLines(items, tokens)))
@@ -63,7 +63,8 @@
 	return job.ID
 }
 
-// awaitCompleted waits for the end of a job and gives its output file.
+// awaitCompleted waits until a job is completed and returns the id of its output
+// file.
 func (f *fleet) awaitCompleted(client openai.Client, job string) string {
 	f.t.Helper()
 	var last *openai.Batch
@@ -89,9 +90,9 @@
 	return string(data)
 }
 
-// requireWhole checks that the job ends with exactly one result for each item,
-// the item's own whole answer.
-func (f *fleet) requireWhole(client openai.Client, job string, items, tokens int) {
+// requireComplete checks that the job completes with exactly one result for each
+// item, which is the complete expected answer.
+func (f *fleet) requireComplete(client openai.Client, job string, items, tokens int) {
 	f.t.Helper()
 	output := f.content(client, f.awaitCompleted(client, job))
 	want := map[string]string{}
@@ -101,7 +102,7 @@
 	got := map[string]string{}
 	for _, line := range strings.Split(strings.TrimSpace(output), "\n") {
 		id, text := resultOf(line)
-		require.NotContains(f.t, got, id, "two results of one item")
+		require.NotContains(f.t, got, id, "two results for one item")
 		got[id] = text
 	}
 	require.Equal(f.t, want, got)
--- a/internal/harness/proctest/main_test.go
+++ b/internal/harness/proctest/main_test.go
@@ -1,6 +1,6 @@
-// Package proctest holds the tests with real processes: a small fleet on
-// loopback whose processes are killed, paused and cut off by signals and fault
-// switches. The verdicts are counts and values; a time limit only ends a hang.
+// Package proctest tests a small fleet of real processes on loopback. The processes
+// are killed or paused by signals, and isolated from the platform by injected
+// faults. The tests check counts and values; time limits only end tests that hang.
 package proctest
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// programs is the folder of the built programs.
+// programs is the path of the folder with the built programs.
 var programs string
 
 // TestMain builds the programs once for all tests.
--- a/internal/harness/proctest/openai_test.go
+++ b/internal/harness/proctest/openai_test.go
@@ -18,19 +18,19 @@
 func chat(question string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:     model,
-		MaxTokens: openai.Int(askTokens),
+		MaxTokens: openai.Int(callTokens),
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage(question)},
 	}
 }
 
-// The published client library meets a daemon as its users run it.
+// Tests the published OpenAI client library against a daemon with real processes.
 func TestPublishedClient(t *testing.T) {
-	f := start(t, options{settings: patientTimings})
+	f := start(t, options{settings: longTimings})
 	client := f.client(f.Instances[0], f.secret)
-	t.Run("whole chat", func(t *testing.T) {
+	t.Run("chat", func(t *testing.T) {
 		answer, err := client.Chat.Completions.New(f.ctx, chat("riser 4"))
 		require.NoError(t, err)
-		require.Equal(t, target.Text(target.ChatText("riser 4"), askTokens), answer.Choices[0].Message.Content)
+		require.Equal(t, target.Text(target.ChatText("riser 4"), callTokens), answer.Choices[0].Message.Content)
 	})
 	t.Run("streamed chat", func(t *testing.T) {
 		stream := client.Chat.Completions.NewStreaming(f.ctx, chat("pump 2"))
@@ -41,7 +41,7 @@
 			}
 		}
 		require.NoError(t, stream.Err())
-		require.Equal(t, target.Text(target.ChatText("pump 2"), askTokens), text)
+		require.Equal(t, target.Text(target.ChatText("pump 2"), callTokens), text)
 	})
 	t.Run("models", func(t *testing.T) {
 		page, err := client.Models.List(f.ctx)
@@ -60,19 +60,19 @@
 		require.Contains(t, refusal.RawJSON(), `"run_state":"not_run"`)
 	})
 	t.Run("batch", func(t *testing.T) {
-		job := f.submit(client, 20, askTokens)
-		f.requireWhole(f.client(f.Instances[1], f.secret), job, 20, askTokens)
+		job := f.submit(client, 20, callTokens)
+		f.requireComplete(f.client(f.Instances[1], f.secret), job, 20, callTokens)
 	})
 	t.Run("batch cancelled", func(t *testing.T) {
 		job := f.submit(client, 2000, 200)
 		ended, err := client.Batches.Cancel(f.ctx, job)
 		require.NoError(t, err)
 		require.Equal(t, openai.BatchStatusCancelled, ended.Status)
-		elsewhere := f.client(f.Instances[2], f.secret)
-		// Another instance reads the cancel some milliseconds later. Until then
-		// it may only show the job as it was, and never as anything else.
+		otherClient := f.client(f.Instances[2], f.secret)
+		// Another instance reads the cancel some milliseconds later. Until then it
+		// may report the job only as in progress.
 		f.poll(func(ctx context.Context) (bool, error) {
-			seen, err := elsewhere.Batches.Get(ctx, job)
+			seen, err := otherClient.Batches.Get(ctx, job)
 			require.NoError(t, err)
 			require.Contains(t, []openai.BatchStatus{openai.BatchStatusInProgress, openai.BatchStatusCancelled}, seen.Status)
 			return seen.Status == openai.BatchStatusCancelled, nil
@@ -80,15 +80,15 @@
 	})
 }
 
-// attempts counts the requests that a client library makes, by the status of
-// their answers.
+// attempts records the status and the Retry-After header of the response to each
+// request of a client library.
 type attempts struct {
-	mu     sync.Mutex
-	status []int
-	after  []string
+	mu         sync.Mutex
+	status     []int
+	retryAfter []string
 }
 
-func (a *attempts) watch(r *http.Request, next option.MiddlewareNext) (*http.Response, error) {
+func (a *attempts) record(r *http.Request, next option.MiddlewareNext) (*http.Response, error) {
 	answer, err := next(r)
 	if err != nil {
 		return answer, err
@@ -96,69 +96,69 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.status = append(a.status, answer.StatusCode)
-	a.after = append(a.after, answer.Header.Get("Retry-After"))
+	a.retryAfter = append(a.retryAfter, answer.Header.Get("Retry-After"))
 	return answer, nil
 }
 
-// A call above the organisation's rate is refused with the time at which it may
-// come again. The library waits as it is told, and its user sees an answer.
-func TestPublishedClientComesBackAfterARefusedRate(t *testing.T) {
-	f := start(t, options{settings: patientTimings})
+// A call above the organisation's rate limit must be rejected with a Retry-After
+// header. The library then waits and retries, and its user gets an answer.
+func TestPublishedClientRetriesAfterRateLimit(t *testing.T) {
+	f := start(t, options{settings: longTimings})
 	secret, _ := f.createKey("tacoma-harbor")
 	seen := &attempts{}
-	client := f.client(f.Instances[0], secret, option.WithMaxRetries(4), option.WithMiddleware(seen.watch))
+	client := f.client(f.Instances[0], secret, option.WithMaxRetries(4), option.WithMiddleware(seen.record))
 	for range 2 {
 		answer, err := client.Chat.Completions.New(f.ctx, chat("riser 4"))
 		require.NoError(t, err)
 		require.NotEmpty(t, answer.Choices[0].Message.Content)
 	}
 	require.Contains(t, seen.status, http.StatusTooManyRequests)
-	seen.requireToldWhen(t)
+	seen.requireRetryAfter(t)
 }
 
-// All targets refuse for a moment. The library gets a refusal with a time, comes
-// back by itself, and its user sees an answer.
-func TestPublishedClientComesBackAfterBusyTargets(t *testing.T) {
-	f := start(t, options{settings: patientTimings})
+// Each target refuses its next request. The library must get an error with a
+// Retry-After header. The library then retries, and its user gets an answer.
+func TestPublishedClientRetriesAfterBusyTargets(t *testing.T) {
+	f := start(t, options{settings: longTimings})
 	for _, one := range f.Targets[:3] {
 		require.NoError(t, f.SetTargetFaults(f.ctx, one, target.Faults{Refuse: true, Times: 1}))
 	}
 	seen := &attempts{}
-	client := f.client(f.Instances[0], f.secret, option.WithMaxRetries(4), option.WithMiddleware(seen.watch))
+	client := f.client(f.Instances[0], f.secret, option.WithMaxRetries(4), option.WithMiddleware(seen.record))
 	answer, err := client.Chat.Completions.New(f.ctx, chat("riser 4"))
 	require.NoError(t, err)
 	require.NotEmpty(t, answer.Choices[0].Message.Content)
 	require.Equal(t, []int{http.StatusBadGateway, http.StatusOK}, seen.status)
-	seen.requireToldWhen(t)
+	seen.requireRetryAfter(t)
 }
 
-// The log is down when a job's file is uploaded, and back soon after. The
-// library is told that nothing was kept and when to come back, and its user gets
-// the job.
-func TestPublishedClientComesBackAfterAnOutage(t *testing.T) {
-	f := start(t, options{settings: patientTimings})
+// The log is down when the file of a job is uploaded, and is restored after the
+// first rejection. The rejection must have a Retry-After header. The library then
+// retries, and its user gets the job.
+func TestPublishedClientRetriesAfterOutage(t *testing.T) {
+	f := start(t, options{settings: longTimings})
 	require.NoError(t, f.SetFaults(f.ctx, platformsrv.Faults{Log: "down"}))
 	f.awaitLog(f.Instances, false)
 	seen := &attempts{}
-	mend := func(r *http.Request, next option.MiddlewareNext) (*http.Response, error) {
-		answer, err := seen.watch(r, next)
+	restoreLog := func(r *http.Request, next option.MiddlewareNext) (*http.Response, error) {
+		answer, err := seen.record(r, next)
 		if err == nil && answer.StatusCode == http.StatusServiceUnavailable {
 			err = f.SetFaults(f.ctx, platformsrv.Faults{})
 		}
 		return answer, err
 	}
-	client := f.client(f.Instances[0], f.secret, option.WithMaxRetries(4), option.WithMiddleware(mend))
-	job := f.submit(client, 10, askTokens)
+	client := f.client(f.Instances[0], f.secret, option.WithMaxRetries(4), option.WithMiddleware(restoreLog))
+	job := f.submit(client, 10, callTokens)
 	require.Contains(t, seen.status, http.StatusServiceUnavailable)
-	seen.requireToldWhen(t)
-	f.requireWhole(f.client(f.Instances[1], f.secret), job, 10, askTokens)
+	seen.requireRetryAfter(t)
+	f.requireComplete(f.client(f.Instances[1], f.secret), job, 10, callTokens)
 }
 
-func (a *attempts) requireToldWhen(t *testing.T) {
+func (a *attempts) requireRetryAfter(t *testing.T) {
 	t.Helper()
 	for n, status := range a.status {
 		if status != http.StatusOK {
-			require.NotEmpty(t, a.after[n], "answer %d with status %d", n, status)
+			require.NotEmpty(t, a.retryAfter[n], "answer %d with status %d", n, status)
 		}
 	}
 }
--- a/internal/harness/proctest/outage_test.go
+++ b/internal/harness/proctest/outage_test.go
@@ -14,13 +14,13 @@
 	"merlintiller/internal/protocol"
 )
 
-// The platform stands still for longer than a session lasts, and comes back.
-// Online callers must not notice; a job that can't be kept must be refused as
-// not run; and work that was claimed goes on. If every session were ended for
-// the outage, all work would begin anew.
-func TestPlatformStopsAndComesBack(t *testing.T) {
+// The platform is paused for longer than a session lasts without renewal. Online
+// calls must still be served, a new job must be rejected as not run, and claimed
+// items must keep running. No session may be expired because of the outage, since
+// all work would then start again.
+func TestPlatformOutage(t *testing.T) {
 	const items, tokens = 900, 100
-	f := start(t, options{settings: patientTimings})
+	f := start(t, options{settings: longTimings})
 	client := f.client(f.Instances[1], f.secret)
 	file := f.upload(client, inputLines(3, 1))
 	others := f.modelRuns()
@@ -32,9 +32,9 @@
 	runs := f.modelRuns()
 	for n, instance := range f.Instances {
 		prompt := fmt.Sprintf("leak %d", n)
-		answer, err := f.ask(instance, f.secret, prompt)
+		answer, err := f.call(instance, f.secret, prompt)
 		require.NoError(t, err)
-		require.True(t, answer.IsOwnAnswer(prompt, askTokens, false), "%s", answer)
+		require.True(t, answer.MatchesPrompt(prompt, callTokens, false), "%s", answer)
 	}
 	_, err := f.create(client, file)
 	var refusal *openai.Error
@@ -43,14 +43,14 @@
 	require.Equal(t, string(protocol.NotRun), refusal.Response.Header.Get("X-Run-State"))
 	require.NotEmpty(t, refusal.Response.Header.Get("Retry-After"))
 	f.awaitRuns(runs + 20)
-	require.NoError(t, harness.Let(f.ctx, outage))
+	require.NoError(t, harness.Sleep(f.ctx, outage))
 	require.NoError(t, f.Platform.Continue())
 	f.awaitLog(f.Instances, true)
-	f.requireWhole(client, job, items, tokens)
+	f.requireComplete(client, job, items, tokens)
 	require.Equal(t, before, f.sessions())
 }
 
-// outage is longer than a session of patientTimings lasts without a renewal.
+// outage is longer than a session with longTimings lasts without a renewal.
 const outage = 6 * time.Second
 
 func (f *fleet) sessions() map[protocol.InstanceID]string {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// awaitLog waits until the instances say that they see the log, or not.
+// awaitLog waits until the instances report the log as reachable or unreachable.
 func (f *fleet) awaitLog(instances []*harness.Instance, up bool) {
 	f.t.Helper()
 	for _, instance := range instances {
@@ -77,7 +77,7 @@
 	}
 }
 
-// modelRuns counts the calls that took effect at the model targets.
+// modelRuns returns the number of calls that the model targets executed.
 func (f *fleet) modelRuns() int {
 	f.t.Helper()
 	sum := 0
--- a/internal/harness/proctest/pause_test.go
+++ b/internal/harness/proctest/pause_test.go
@@ -13,10 +13,10 @@
 	"merlintiller/internal/standin/target"
 )
 
-// An instance stands still for longer than its session lasts, as a machine does
-// that is moved to other hardware, and wakes with a batch of results that others
-// have long produced. A user would notice a report that is sent twice.
-func TestPausePastTheSessionLeavesEachItemOnce(t *testing.T) {
+// An instance is paused for longer than its session lasts, for example by a live
+// migration of its machine. When it resumes, it holds results of items that other
+// instances have completed meanwhile. Each item must have one result only.
+func TestPausePastSessionLeavesOneResultPerItem(t *testing.T) {
 	const items, tokens = 240, 100
 	f := start(t, options{settings: shortTimings})
 	paused, other := f.Instances[0], f.Instances[1]
@@ -32,8 +32,8 @@
 		return err == nil && mayHold && now != before, err
 	})
 	f.awaitServed(paused, f.secret)
-	f.requireWhole(f.client(other, f.secret), job, items, tokens)
-	f.requireWhole(f.client(paused, f.secret), job, items, tokens)
+	f.requireComplete(f.client(other, f.secret), job, items, tokens)
+	f.requireComplete(f.client(paused, f.secret), job, items, tokens)
 }
 
 // awaitClaim waits until an instance has won a claim on chunks.
@@ -45,8 +45,9 @@
 	})
 }
 
-// awaitExpired waits until an instance sees that another's session has ended.
-func (f *fleet) awaitExpired(at *harness.Instance, gone protocol.InstanceID) {
+// awaitExpired waits until an instance reports the session of another instance as
+// ended.
+func (f *fleet) awaitExpired(at *harness.Instance, paused protocol.InstanceID) {
 	f.t.Helper()
 	f.poll(func(ctx context.Context) (bool, error) {
 		status, err := f.Status(ctx, at)
@@ -54,7 +55,7 @@
 			return false, err
 		}
 		for _, silent := range status.Unreached {
-			if silent.Instance == gone {
+			if silent.Instance == paused {
 				return !silent.SessionOpen, nil
 			}
 		}
@@ -62,16 +63,17 @@
 	})
 }
 
-// A filing is under way through an instance that stands still, and its caller
-// sends it again through another one. Filed twice it is billed twice; and an
-// answer "not run" would make the caller file it anew under another key.
+// An instance is paused while a filing, a non-idempotent call, is in flight through
+// it. The caller resends the filing through another instance. The filing must run
+// once, because a second run is billed again. No instance may answer "not run",
+// because the caller would then file it again under another key.
 func TestResendWhileTheFirstInstanceIsPausedRunsOnce(t *testing.T) {
 	f := start(t, options{settings: shortTimings, plainArgs: []string{"--call-time=1500ms"}})
 	paused, other := f.Instances[0], f.Instances[1]
 	body := []byte(`{"filing":7}`)
 	header := map[string]string{"Idempotency-Key": "filing-7"}
 	post := func(i *harness.Instance) (*harness.Answer, error) {
-		return f.at(i, f.secret).Post(f.ctx, "/v1/services/"+filing+"/file", body, header)
+		return f.callerFor(i, f.secret).Post(f.ctx, "/v1/services/"+filing+"/file", body, header)
 	}
 	first := make(chan *harness.Answer, 1)
 	go func() {
@@ -90,12 +92,12 @@
 	f.awaitServed(paused, f.secret)
 	answers = append(answers, f.finalAnswer(func() (*harness.Answer, error) { return post(paused) }))
 	for _, answer := range answers {
-		require.NotEqual(t, string(protocol.NotRun), answer.RunState, "it ran: %s", answer)
+		require.NotEqual(t, string(protocol.NotRun), answer.RunState, "the call ran: %s", answer)
 	}
 	require.Equal(t, 1, f.executions(body))
 }
 
-// finalAnswer sends a call again as long as it is told to come back.
+// finalAnswer resends a call as long as the answer has a Retry-After header.
 func (f *fleet) finalAnswer(post func() (*harness.Answer, error)) (last *harness.Answer) {
 	f.t.Helper()
 	f.poll(func(context.Context) (bool, error) {
@@ -114,7 +116,7 @@
 	f.poll(func(context.Context) (bool, error) { return f.executions(body) >= want, nil })
 }
 
-// executions is how often a body took effect at any plain target.
+// executions returns how often the plain targets executed a call with a body.
 func (f *fleet) executions(body []byte) int {
 	f.t.Helper()
 	sum := 0
@@ -129,7 +131,7 @@
 	return sum
 }
 
-// refusalCode is the stable code of a refusal.
+// refusalCode returns the error code of a refusal, or "" for another answer.
 func refusalCode(answer *harness.Answer) protocol.Code {
 	var reply struct {
 		Error struct{ Code protocol.Code }
--- a/internal/harness/status.go
+++ b/internal/harness/status.go
@@ -11,37 +11,37 @@
 	"merlintiller/internal/transport/operatorapi"
 )
 
-// Status asks an instance what it knows of itself and of the others.
+// Status returns the fleet status as an instance reports it.
 func (f *Fleet) Status(ctx context.Context, i *Instance) (fleetstatus.Status, error) {
 	var status fleetstatus.Status
 	err := f.getJSON(ctx, "http://"+i.Operators+operatorapi.PathStatus, &status)
 	return status, err
 }
 
-// OwnStatus is what an instance says of itself.
+// OwnStatus returns the status that an instance reports of itself.
 func (f *Fleet) OwnStatus(ctx context.Context, i *Instance) (fleetstatus.Instance, error) {
 	status, err := f.Status(ctx, i)
 	if err != nil {
 		return fleetstatus.Instance{}, err
 	}
-	for _, one := range status.Instances {
-		if one.Instance == i.ID {
-			return one, nil
+	for _, instance := range status.Instances {
+		if instance.Instance == i.ID {
+			return instance, nil
 		}
 	}
 	return fleetstatus.Instance{}, fmt.Errorf("instance %s does not list itself", i.ID)
 }
 
-// Executions counts the calls that took effect at a target.
+// Executions returns the counts of calls that a target executed.
 func (f *Fleet) Executions(ctx context.Context, t *Target) (target.Executions, error) {
 	var runs target.Executions
 	err := f.getJSON(ctx, "http://"+t.Listed.Address+"/executions", &runs)
 	return runs, err
 }
 
-// SetTargetFaults sets the fault switches of a target.
+// SetTargetFaults sets the injected faults of a target.
 func (f *Fleet) SetTargetFaults(ctx context.Context, t *Target, faults target.Faults) error {
-	return put(ctx, http.MethodPost, "http://"+t.Listed.Address+"/faults", faults)
+	return sendJSON(ctx, http.MethodPost, "http://"+t.Listed.Address+"/faults", faults)
 }
 
 func (f *Fleet) getJSON(ctx context.Context, url string, value any) error {
--- a/internal/harness/usage.go
+++ b/internal/harness/usage.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// clockTick is the unit of processor time in /proc: Linux gives user space 100
-// ticks a second on every machine.
+// clockTick is the unit of processor time in /proc. Linux reports 100 ticks per
+// second to user space on every machine.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
+	// CPU is the processor time since the start, in user and system mode.
 	CPU time.Duration
-	// ResidentBytes is the memory that the process holds now.
+	// ResidentBytes is the current resident memory in bytes.
 	ResidentBytes int64
-	// IOBytes is all that the process has read and written: sockets, its log
-	// and its settings.
+	// IOBytes is the number of bytes that the process has read and written:
+	// sockets, its log and its settings.
 	IOBytes int64
 }
 
-// Usage reads the process's processor time and memory.
+// Usage reads the processor time, memory and I/O counters of the process.
 func (p *Process) Usage() (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -55,7 +56,7 @@
 	return Usage{CPU: cpu, ResidentBytes: pages * int64(os.Getpagesize()), IOBytes: moved}, nil
 }
 
-// ioBytes adds what went through read and write calls, sockets included.
+// ioBytes returns the bytes of all read and write calls, including sockets.
 func ioBytes(text string) (int64, error) {
 	var sum int64
 	for line := range strings.Lines(text) {
@@ -72,8 +73,8 @@
 	return sum, nil
 }
 
-// cpuTime adds user and system time: fields 14 and 15 of the line, which are
-// the 12th and 13th after the closing parenthesis of the program's name.
+// cpuTime returns the sum of user and system time. These are fields 14 and 15 of
+// the line: the 12th and 13th after the closing parenthesis of the program name.
 func cpuTime(stat string) (time.Duration, error) {
 	_, rest, ok := strings.Cut(stat, ") ")
 	fields := strings.Fields(rest)
