--- a/internal/coordination/faulttest/faults_test.go
+++ b/internal/coordination/faulttest/faults_test.go
@@ -273,7 +273,7 @@
 	}
 	passed := make(chan struct{})
 	tf.mu.Lock()
-	tf.waiting = append(tf.waiting, &waiter{at: at, not: n, passed: passed})
+	tf.waiting = append(tf.waiting, &waiter{at: at, except: n, passed: passed})
 	tf.mu.Unlock()
 	select {
 	case <-passed:
@@ -283,10 +283,10 @@
 	}
 }
 
-// waiter waits until an instance other than not reaches a point.
+// waiter waits until an instance other than except reaches a point.
 type waiter struct {
 	at     point
-	not    *node
+	except    *node
 	passed chan struct{}
 }
 
@@ -295,7 +295,7 @@
 	tf.mu.Lock()
 	defer tf.mu.Unlock()
 	tf.waiting = slices.DeleteFunc(tf.waiting, func(other *waiter) bool {
-		match := other.at == at && other.not != n
+		match := other.at == at && other.except != n
 		if match {
 			close(other.passed)
 		}
