--- a/internal/coordination/faulttest/faults_test.go
+++ b/internal/coordination/faulttest/faults_test.go
@@ -286,7 +286,7 @@
 // waiter waits until an instance other than except reaches a point.
 type waiter struct {
 	at     point
-	except    *node
+	except *node
 	passed chan struct{}
 }
 
