--- a/internal/policybench/virtual/clock.go
+++ b/internal/policybench/virtual/clock.go
@@ -1,5 +1,5 @@
-// Package virtual runs events in virtual time, so that what is played takes no longer
-// than its decisions and is the same on every machine.
+// Package virtual runs scheduled events in virtual time. A simulation takes only the
+// processor time of its events and gives the same result on every machine.
 package virtual
 
 import (
@@ -10,34 +10,35 @@
 // Start is the virtual time at which every run begins.
 var Start = time.Unix(1_700_000_000, 0)
 
-// event is something that happens at a virtual time.
+// event is a function to be called at a virtual time. seq orders events of the same
+// time.
 type event struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
-// Clock runs events in the order of their times, and of their making. It is not safe
-// for concurrent use.
+// Clock runs events in order of time; events of the same time run in the order in
+// which they were scheduled. A Clock is not safe for concurrent use.
 type Clock struct {
 	now    time.Time
 	seq    int
 	events eventHeap
 }
 
-// NewClock returns a clock that stands at Start.
+// NewClock returns a clock set to Start.
 func NewClock() *Clock { return &Clock{now: Start} }
 
-// Now is the virtual time.
+// Now returns the current virtual time.
 func (c *Clock) Now() time.Time { return c.now }
 
-// After runs do when a virtual time has passed.
+// After schedules do to run after the virtual duration d.
 func (c *Clock) After(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
-// Every runs do again and again.
+// Every schedules do to run periodically, for the first time after d.
 func (c *Clock) Every(d time.Duration, do func()) {
 	c.After(d, func() {
 		do()
@@ -45,7 +46,8 @@
 	})
 }
 
-// Run runs the events of a time.
+// Run advances the clock by d and runs all events that become due, including those
+// scheduled meanwhile.
 func (c *Clock) Run(d time.Duration) {
 	end := c.now.Add(d)
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
