--- a/internal/policybench/bench.go
+++ b/internal/policybench/bench.go
@@ -2,11 +2,11 @@
 
 import "io"
 
-// Run measures everything and prints a line for each figure. It takes about
-// half a minute of a core.
+// Run takes all measurements and writes one line for each. It uses one core for
+// about 30 seconds.
 func Run(w io.Writer) {
-	for _, u := range users() {
-		for _, m := range append(measureRates(u), measureServing(u)...) {
+	for _, d := range deployments() {
+		for _, m := range append(measureRates(d), measureServing(d)...) {
 			m.print(w)
 		}
 	}
--- a/internal/policybench/bench_test.go
+++ b/internal/policybench/bench_test.go
@@ -11,45 +11,47 @@
 )
 
 func shortRates() rateRun {
-	return rateRun{user: users()[0], length: 30 * time.Second, policy: slotPolicy(), overload: 2}
+	return rateRun{deployment: deployments()[0], length: 30 * time.Second, policy: slotPolicy(), overload: 2}
 }
 
 func shortServing() servingRun {
 	return servingRun{
-		user: users()[0], length: 20 * time.Second, online: true, bursts: true,
-		batch: batchYields, overload: -1, headroom: headroom.Defaults(),
+		deployment: deployments()[0], length: 20 * time.Second, online: true, bursts: true,
+		batch: batchPreemptible, overload: -1, headroom: headroom.Defaults(),
 	}
 }
 
-// A figure that differs from run to run can't tell a better policy from luck.
-func TestRunsAreTheSameBySeed(t *testing.T) {
+// Results that differ between runs with the same seed could not show which of two
+// policies is better.
+func TestRunsAreDeterministicBySeed(t *testing.T) {
 	require.Equal(t, shortRates().run(), shortRates().run())
 	require.Equal(t, shortServing().run(), shortServing().run())
 }
 
-func TestNothingIsAdmittedAboveTheExactBucket(t *testing.T) {
+func TestNoTokensAdmittedAboveGlobalBucket(t *testing.T) {
 	run := shortRates()
-	run.cut, run.kills = true, true
-	require.Zero(t, run.run().above)
+	run.partition, run.kills = true, true
+	require.Zero(t, run.run().admittedAbove)
 }
 
-// The bench must see a fault of the limiter: a fleet whose instances each hold
-// the whole rate lets through several times the rate.
-func TestBenchSeesTokensAboveTheRate(t *testing.T) {
-	bucket := newExactBucket(users()[0].organisation(0))
+// The benchmark must detect a limiter that admits too much. A fleet whose instances
+// each apply the full rate admits several times the rate.
+func TestBucketCountsTokensAboveRate(t *testing.T) {
+	bucket := newTokenBucket(deployments()[0].organisation(0))
 	excess := 0.0
 	for range 1000 {
-		excess += bucket.above(virtual.Start)
+		excess += bucket.takeExcess(virtual.Start)
 	}
 	require.Greater(t, excess, 500.0)
 }
 
-// Batch that stays in the way is what the bench is there to see.
-func TestBenchSeesBatchInTheWayOfOnline(t *testing.T) {
+// The benchmark must detect that batch items which are not preempted slow down
+// online requests.
+func TestBenchDetectsBatchDelayingOnline(t *testing.T) {
 	run := shortServing()
-	yields := run.run()
-	run.batch = batchStays
-	stays := run.run()
-	require.Greater(t, quantile(stays.firstToken, 0.99), 3*quantile(yields.firstToken, 0.99))
-	require.Greater(t, quantile(stays.between, 0.95), 1.1*quantile(yields.between, 0.95))
+	preemptible := run.run()
+	run.batch = batchNonPreemptible
+	nonPreemptible := run.run()
+	require.Greater(t, quantile(nonPreemptible.firstToken, 0.99), 3*quantile(preemptible.firstToken, 0.99))
+	require.Greater(t, quantile(nonPreemptible.betweenTokens, 0.95), 1.1*quantile(preemptible.betweenTokens, 0.95))
 }
--- a/internal/policybench/cost.go
+++ b/internal/policybench/cost.go
@@ -17,81 +17,81 @@
 	"merlintiller/internal/protocol"
 )
 
-// The size of the target: 340 instances in four failure domains, 3,400
-// organisations that send 3,400 requests a second, 850 targets.
+// The size that the design has to reach: 340 instances in four failure domains,
+// 3,400 organisations that send 3,400 requests per second together, 850 targets.
 const (
-	bigInstances = 340
-	bigOrgs      = 3400
-	bigTargets   = 850
-	bigRequests  = 3400.0
-	bigLength    = 10 * time.Second
-	costRounds   = 200_000
+	largeInstances     = 340
+	largeOrganisations = 3400
+	largeTargets       = 850
+	largeRequestRate   = 3400.0
+	largeRunLength     = 10 * time.Second
+	decisionRounds     = 200_000
 )
 
-// bigUser is a fleet of the target's size. Its rates fall off like 1/n: a few
-// organisations are large.
-func bigUser() user {
-	u := user{
-		name: "target", service: "big", instances: bigInstances, targets: bigTargets, seed: 3,
+// largeDeployment returns a deployment of the size above. The rates of its
+// organisations fall off roughly as 1/n, so a few organisations are large.
+func largeDeployment() deployment {
+	d := deployment{
+		name: "large", service: "big", instances: largeInstances, targets: largeTargets, seed: 3,
 		domains: []protocol.Domain{"r1-a", "r1-b", "r2-a", "r2-b"},
 	}
 	sum := 0.0
-	for i := range bigOrgs {
-		u.rates = append(u.rates, 1/float64(i+10))
-		sum += u.rates[i]
+	for i := range largeOrganisations {
+		d.rates = append(d.rates, 1/float64(i+10))
+		sum += d.rates[i]
 	}
-	for i := range u.rates {
-		u.rates[i] *= bigRequests / meanUse / sum
+	for i := range d.rates {
+		d.rates[i] *= largeRequestRate / meanRateUse / sum
 	}
-	return u
+	return d
 }
 
-// measureLimiterCost runs the limiter at the target's size.
+// measureLimiterCost measures the limiter in the large deployment.
 func measureLimiterCost() []measure {
-	u := bigUser()
-	run := rateRun{user: u, length: bigLength, policy: slotPolicy(), overload: -1, even: true}
+	d := largeDeployment()
+	run := rateRun{deployment: d, length: largeRunLength, policy: slotPolicy(), overload: -1, evenLoad: true}
 	result := run.run()
-	perInstance := float64(result.requests) / bigLength.Seconds() / bigInstances
-	exchanges := float64(result.exchanges) / bigLength.Seconds() / bigInstances
+	perInstance := float64(result.requests) / largeRunLength.Seconds() / largeInstances
+	exchanges := float64(result.exchanges) / largeRunLength.Seconds() / largeInstances
 	size := exchangeBytes()
-	now, bytesNow := limiterCost(u)
-	base, bytesBase := splitCost(u)
+	nsCurrent, bytesCurrent := limiterCost(d)
+	nsBaseline, bytesBaseline := equalSplitCost(d)
 	return []measure{
-		{name: "limiter.ns_per_decision", unit: "ns", baseline: base, now: now},
-		{name: "limiter.state_bytes", unit: "bytes", baseline: bytesBase, now: bytesNow},
-		// Each exchange is sent by one instance and received by another.
-		{name: "limiter.control_bytes_per_s", unit: "bytes/s", baseline: 2 * perInstance * size, now: 2 * exchanges * size},
+		{name: "limiter.ns_per_decision", unit: "ns", baseline: nsBaseline, current: nsCurrent},
+		{name: "limiter.state_bytes", unit: "bytes", baseline: bytesBaseline, current: bytesCurrent},
+		// Each exchange counts twice: one instance sends it and another receives it.
+		{name: "limiter.control_bytes_per_s", unit: "bytes/s", baseline: 2 * perInstance * size, current: 2 * exchanges * size},
 	}
 }
 
-// limiterCost is the time of a decision with all organisations in use, answers
-// included, and the bytes of state.
-func limiterCost(u user) (ns, state float64) {
-	random := rand.New(rand.NewPCG(u.seed, 5))
+// limiterCost returns the time of one decision with all organisations in use,
+// including the handling of replies, and the size of one instance's state in bytes.
+func limiterCost(d deployment) (ns, state float64) {
+	random := rand.New(rand.NewPCG(d.seed, 5))
 	before := heapBytes()
-	fleet := newRateFleet(u, slotPolicy(), virtual.NewClock(), random)
+	fleet := newRateFleet(d, slotPolicy(), virtual.NewClock(), random)
 	shared := heapBytes() - before
 	core := fleet.instances[0].core
 	clock := virtual.Start.Add(warmUp)
-	ids := make([]protocol.OrganisationID, len(u.rates))
+	ids := make([]protocol.OrganisationID, len(d.rates))
 	for i := range ids {
-		ids[i] = u.organisation(i).ID
-		decideOnce(core, clock, ids[i])
+		ids[i] = d.organisation(i).ID
+		decide(core, clock, ids[i])
 	}
 	state = heapBytes() - before - shared
 	order := random.Perm(len(ids))
 	begin := time.Now()
-	for i := range costRounds {
+	for i := range decisionRounds {
 		clock = clock.Add(100 * time.Microsecond)
-		decideOnce(core, clock, ids[order[i%len(order)]])
+		decide(core, clock, ids[order[i%len(order)]])
 	}
-	ns = float64(time.Since(begin).Nanoseconds()) / costRounds
+	ns = float64(time.Since(begin).Nanoseconds()) / decisionRounds
 	runtime.KeepAlive(fleet)
 	return ns, state
 }
 
-// decideOnce makes a decision; a holder elsewhere always has a token.
-func decideOnce(core *limiter.Core, now time.Time, id protocol.OrganisationID) {
+// decide takes one decision. A slot holder on another instance always grants the token.
+func decide(core *limiter.Core, now time.Time, id protocol.OrganisationID) {
 	request := &limiter.Request{Organisation: id, Tokens: 1}
 	for {
 		verdict := core.Decide(now, request)
@@ -103,24 +103,24 @@
 	}
 }
 
-// splitCost is the same for an equal split: a local bucket for each
-// organisation.
-func splitCost(u user) (ns, state float64) {
+// equalSplitCost returns the same figures as limiterCost for an equal split of the
+// rates, where each instance has a local bucket for each organisation.
+func equalSplitCost(d deployment) (ns, state float64) {
 	before := heapBytes()
-	buckets := make(map[protocol.OrganisationID]*exactBucket, len(u.rates))
-	ids := make([]protocol.OrganisationID, len(u.rates))
+	buckets := make(map[protocol.OrganisationID]*tokenBucket, len(d.rates))
+	ids := make([]protocol.OrganisationID, len(d.rates))
 	for i := range ids {
-		ids[i] = u.organisation(i).ID
-		buckets[ids[i]] = newExactBucket(u.organisation(i))
+		ids[i] = d.organisation(i).ID
+		buckets[ids[i]] = newTokenBucket(d.organisation(i))
 	}
 	state = heapBytes() - before
 	clock := virtual.Start
 	begin := time.Now()
-	for i := range costRounds {
+	for i := range decisionRounds {
 		clock = clock.Add(100 * time.Microsecond)
 		buckets[ids[i%len(ids)]].take(clock)
 	}
-	return float64(time.Since(begin).Nanoseconds()) / costRounds, state
+	return float64(time.Since(begin).Nanoseconds()) / decisionRounds, state
 }
 
 func heapBytes() float64 {
@@ -130,8 +130,9 @@
 	return float64(stats.HeapAlloc)
 }
 
-// exchangeBytes is the size of a Take and its answer by net/rpc with gob, once
-// the connection has sent its types.
+// exchangeBytes returns the size in bytes of a Take call and its reply, as net/rpc
+// sends them with gob. The type descriptions, which gob sends once per connection,
+// are not counted.
 func exchangeBytes() float64 {
 	var wire bytes.Buffer
 	encoder := gob.NewEncoder(&wire)
@@ -154,20 +155,20 @@
 	return float64(wire.Len())
 }
 
-// measureRouterCost is the time of a routing decision at the target's size,
-// against a look at every target.
+// measureRouterCost measures the time of a routing decision in the large
+// deployment. The baseline is a linear scan over all targets.
 func measureRouterCost() measure {
 	core := routing.NewCore(routing.Options{Domain: "r1-a", Seed: 1})
-	u := bigUser()
+	d := largeDeployment()
 	listing := external.Listing{}
-	for i := range bigTargets {
+	for i := range largeTargets {
 		listing.Targets = append(listing.Targets, external.ListedTarget{
-			ID: protocol.TargetID(fmt.Sprintf("t%03d", i)), Service: u.service, Domain: u.domainOf(i),
+			ID: protocol.TargetID(fmt.Sprintf("t%03d", i)), Service: d.service, Domain: d.domainOf(i),
 		})
 	}
-	core.SetServices(map[protocol.ServiceName]protocol.Service{u.service: {Name: u.service, Slots: slotsPerTarget}})
+	core.SetServices(map[protocol.ServiceName]protocol.Service{d.service: {Name: d.service, Slots: slotsPerTarget}})
 	core.ApplyListing(virtual.Start, listing)
-	loads := make([]int, bigTargets)
+	loads := make([]int, largeTargets)
 	random := rand.New(rand.NewPCG(1, 1))
 	for i, listed := range listing.Targets {
 		loads[i] = random.IntN(slotsPerTarget)
@@ -175,20 +176,22 @@
 	}
 	now := virtual.Start
 	begin := time.Now()
-	for range costRounds {
+	for range decisionRounds {
 		now = now.Add(100 * time.Microsecond)
-		choice, ok := core.Pick(now, coordination.PickRequest{Service: u.service})
+		choice, ok := core.Pick(now, coordination.PickRequest{Service: d.service})
 		if !ok {
-			panic("policybench: no target")
+			panic("policybench: router found no usable target")
 		}
 		core.Done(now, choice, coordination.CallResult{FirstByte: time.Millisecond})
 	}
-	ns := float64(time.Since(begin).Nanoseconds()) / costRounds
-	return measure{name: "router.ns_per_decision", unit: "ns", baseline: scanCost(loads), now: ns}
+	ns := float64(time.Since(begin).Nanoseconds()) / decisionRounds
+	return measure{name: "router.ns_per_decision", unit: "ns", baseline: linearScanCost(loads), current: ns}
 }
 
-func scanCost(loads []int) float64 {
-	const rounds = costRounds / 10
+// linearScanCost returns the time in nanoseconds of finding the least loaded target by
+// a linear scan.
+func linearScanCost(loads []int) float64 {
+	const rounds = decisionRounds / 10
 	begin := time.Now()
 	least := 0
 	for round := range rounds {
--- a/internal/policybench/doc.go
+++ b/internal/policybench/doc.go
@@ -1,5 +1,6 @@
-// Package policybench measures the policies under load and faults in virtual
-// time: the real decision cores of limiter, admission, headroom and routing
-// drive a small model of targets and callers, so the figures are the same on
-// every machine. It is part of make bench and decides nothing by itself.
+// Package policybench measures the scheduling policies under load and faults in
+// virtual time. The production decision cores of limiter, admission, headroom and
+// routing run against a simplified model of targets and callers, so the results
+// are the same on every machine, except for the measured cost of a decision. The
+// package is part of make bench; production code doesn't use it.
 package policybench
--- a/internal/policybench/engine.go
+++ b/internal/policybench/engine.go
@@ -7,45 +7,49 @@
 	"merlintiller/internal/protocol"
 )
 
-// The model of an engine that batches continuously: streams share it evenly,
-// and up to slotsPerTarget of them run at full speed. Prefills share one
-// processor and know no priorities.
+// Parameters of the model of an engine with continuous batching. Streams share the
+// engine evenly, and up to slotsPerTarget streams run at full speed. All prefills
+// share one processor, without priorities.
 const (
 	slotsPerTarget = 16
 	engineStep     = 5 * time.Millisecond
-	// tokenTime is the time between tokens of a stream at full speed.
+	// tokenTime is the time between two tokens of a stream at full speed.
 	tokenTime = 25 * time.Millisecond
-	// onlinePrefill and batchPrefill are the times to read a prompt alone.
+	// onlinePrefill and batchPrefill are the prefill times of a prompt when no
+	// other prefill runs.
 	onlinePrefill = 40 * time.Millisecond
 	batchPrefill  = 60 * time.Millisecond
-	// resumePrefill is the time to read back one token of partial output.
+	// resumePrefill is the additional prefill time for each token of partial
+	// output when an item is resumed.
 	resumePrefill = 100 * time.Microsecond
 	onlineTokens  = 100
 	batchTokens   = 200
 )
 
-// stream is one request at an engine.
+// stream is one request running on an engine.
 type stream struct {
 	online  bool
 	arrived time.Time
 	prefill time.Duration
-	// tokens is the length of the output, made what there is of it.
-	tokens, made float64
-	firstAt      time.Time
-	// ended is called when the stream is whole.
-	ended func(*stream)
+	// tokens is the length of the output, generated the part produced so far,
+	// both in tokens.
+	tokens, generated float64
+	firstAt           time.Time
+	// onEnd is called when all tokens have been generated.
+	onEnd func(*stream)
 }
 
-// engine is one target.
+// engine is the model of one target.
 type engine struct {
 	id      protocol.TargetID
 	domain  protocol.Domain
 	streams []*stream
-	// second is the number of streams a second ago and before, for reports.
-	history []int
+	// streamHistory has the number of streams at each report interval, oldest
+	// first. Load reports use it to be reportDelay late.
+	streamHistory []int
 }
 
-// step runs the engine for one step.
+// step advances the engine by engineStep.
 func (e *engine) step(now time.Time) {
 	prefilling := 0
 	for _, s := range e.streams {
@@ -53,8 +57,8 @@
 			prefilling++
 		}
 	}
-	slow := max(1, float64(len(e.streams))/slotsPerTarget)
-	made := float64(engineStep) / float64(tokenTime) / slow
+	slowdown := max(1, float64(len(e.streams))/slotsPerTarget)
+	generated := float64(engineStep) / float64(tokenTime) / slowdown
 	var done []*stream
 	for _, s := range e.streams {
 		if s.prefill > 0 {
@@ -64,13 +68,13 @@
 			}
 			continue
 		}
-		if s.made += made; s.made >= s.tokens {
+		if s.generated += generated; s.generated >= s.tokens {
 			done = append(done, s)
 		}
 	}
 	for _, s := range done {
 		e.remove(s)
-		s.ended(s)
+		s.onEnd(s)
 	}
 }
 
@@ -80,7 +84,7 @@
 	}
 }
 
-func (e *engine) online() int {
+func (e *engine) onlineStreams() int {
 	count := 0
 	for _, s := range e.streams {
 		if s.online {
--- a/internal/policybench/measure.go
+++ b/internal/policybench/measure.go
@@ -6,26 +6,27 @@
 	"strconv"
 )
 
-// measure is one line of the report.
+// measure is one line of the report: a value of the current policy beside the
+// value of a simpler baseline.
 type measure struct {
-	name, unit    string
-	baseline, now float64
-	// oracle is what a policy that sees all could reach; hasOracle says that it
-	// was computed.
-	oracle    float64
-	hasOracle bool
-	user      string
+	name, unit        string
+	baseline, current float64
+	// oracle is the value that a policy with full knowledge of the fleet could
+	// reach. It is only printed if hasOracle is set.
+	oracle     float64
+	hasOracle  bool
+	deployment string
 }
 
 func (m measure) print(w io.Writer) {
-	fmt.Fprintf(w, "measure name=%s unit=%s baseline=%s now=%s", m.name, m.unit, figure(m.baseline), figure(m.now))
+	fmt.Fprintf(w, "measure name=%s unit=%s baseline=%s now=%s", m.name, m.unit, formatFigure(m.baseline), formatFigure(m.current))
 	if m.hasOracle {
-		fmt.Fprintf(w, " oracle=%s", figure(m.oracle))
+		fmt.Fprintf(w, " oracle=%s", formatFigure(m.oracle))
 	}
-	if m.user != "" {
-		fmt.Fprintf(w, " user=%s", m.user)
+	if m.deployment != "" {
+		fmt.Fprintf(w, " user=%s", m.deployment)
 	}
 	fmt.Fprintln(w)
 }
 
-func figure(x float64) string { return strconv.FormatFloat(x, 'g', 5, 64) }
+func formatFigure(x float64) string { return strconv.FormatFloat(x, 'g', 5, 64) }
--- a/internal/policybench/ratefleet.go
+++ b/internal/policybench/ratefleet.go
@@ -9,123 +9,130 @@
 	"merlintiller/internal/protocol"
 )
 
-// Times of the model.
+// Message delays and recovery times of the model.
 const (
-	hopInside  = 100 * time.Microsecond
-	hopBetween = 400 * time.Microsecond
-	// takeover is the time from a death to the claim of its slots: the expiry
-	// of its session and the look of its mates.
-	takeover = 9 * time.Second
-	// restart is the time from a death to the replacement.
-	restart = 30 * time.Second
+	// sameDomainDelay and crossDomainDelay are the one-way message delays within
+	// a failure domain and between two.
+	sameDomainDelay  = 100 * time.Microsecond
+	crossDomainDelay = 400 * time.Microsecond
+	// takeoverDelay is the time from the end of a process until its peers claim
+	// its slots: the expiry of the session, then the peers' next check.
+	takeoverDelay = 9 * time.Second
+	// restartDelay is the time from the end of a process until its replacement
+	// runs.
+	restartDelay = 30 * time.Second
 )
 
-// ratePolicy is one way of holding organisations to their rates.
+// ratePolicy is a configuration of the limiter.
 type ratePolicy struct {
 	name     string
 	settings limiter.Settings
-	// homeOnly leaves out the slots of other failure domains.
-	homeOnly bool
+	// ownDomainOnly hides the slots of other failure domains from an instance.
+	ownDomainOnly bool
 }
 
-// rateInstance is one instance of the model.
+// rateInstance has the limiter core of one instance.
 type rateInstance struct {
-	core  *limiter.Core
-	alive bool
+	core    *limiter.Core
+	running bool
 }
 
-// rateFleet runs the real limiter cores of a fleet.
+// rateFleet runs the production limiter cores of all instances of a fleet.
 type rateFleet struct {
-	clock     *virtual.Clock
-	random    *rand.Rand
-	user      user
-	fleet     *protocol.Fleet
-	policy    ratePolicy
-	instances []*rateInstance
-	ids       map[protocol.InstanceID]*rateInstance
-	// slots is who holds each slot, as the log has it.
-	slots map[protocol.Domain]limiter.Assignment
-	fence protocol.Offset
-	// cut is the failure domain that reaches neither the others nor the log.
-	cut       protocol.Domain
+	clock         *virtual.Clock
+	random        *rand.Rand
+	deployment    deployment
+	fleet         *protocol.Fleet
+	policy        ratePolicy
+	instances     []*rateInstance
+	instancesByID map[protocol.InstanceID]*rateInstance
+	// assignments are the slot holders of each failure domain, as recorded in the
+	// log.
+	assignments map[protocol.Domain]limiter.Assignment
+	fence       protocol.Offset
+	// isolated is the failure domain that can reach neither the other domains nor
+	// the log, empty if there is none.
+	isolated  protocol.Domain
 	exchanges int
 }
 
-func newRateFleet(u user, policy ratePolicy, c *virtual.Clock, random *rand.Rand) *rateFleet {
+func newRateFleet(d deployment, policy ratePolicy, c *virtual.Clock, random *rand.Rand) *rateFleet {
 	f := &rateFleet{
-		clock: c, random: random, user: u, fleet: u.fleet(), policy: policy,
-		slots: map[protocol.Domain]limiter.Assignment{},
+		clock: c, random: random, deployment: d, fleet: d.fleet(), policy: policy,
+		assignments: map[protocol.Domain]limiter.Assignment{},
 	}
-	f.ids = map[protocol.InstanceID]*rateInstance{}
-	for i := range u.instances {
-		f.instances = append(f.instances, &rateInstance{alive: true})
-		f.ids[u.instance(i)] = f.instances[i]
-		f.start(i)
+	f.instancesByID = map[protocol.InstanceID]*rateInstance{}
+	for i := range d.instances {
+		f.instances = append(f.instances, &rateInstance{running: true})
+		f.instancesByID[d.instanceID(i)] = f.instances[i]
+		f.startInstance(i)
 	}
-	for _, domain := range u.domains {
+	for _, domain := range d.domains {
 		f.assign(domain)
 	}
 	return f
 }
 
-// boot replaces a process; the new one holds nothing.
-func (f *rateFleet) boot(i int) {
-	f.start(i)
-	f.tell()
+// restartInstance starts a replacement process, which holds no slots.
+func (f *rateFleet) restartInstance(i int) {
+	f.startInstance(i)
+	f.publishHolders()
 }
 
-func (f *rateFleet) start(i int) {
-	core := limiter.NewCore(f.user.instance(i), f.user.domainOf(i), f.policy.settings)
+func (f *rateFleet) startInstance(i int) {
+	core := limiter.NewCore(f.deployment.instanceID(i), f.deployment.domainOf(i), f.policy.settings)
 	core.Configure(f.clock.Now(), f.fleet, true)
 	f.instances[i].core = core
-	f.instances[i].alive = true
+	f.instances[i].running = true
 }
 
-// assign moves the slots of a domain as its instances would claim them.
+// assign distributes the slots of a failure domain in the way its instances would
+// claim them.
 func (f *rateFleet) assign(domain protocol.Domain) {
-	if f.cut == domain {
+	if f.isolated == domain {
 		return
 	}
 	var ids []protocol.InstanceID
 	for i, inst := range f.instances {
-		if inst.alive && f.user.domainOf(i) == domain {
-			ids = append(ids, f.user.instance(i))
+		if inst.running && f.deployment.domainOf(i) == domain {
+			ids = append(ids, f.deployment.instanceID(i))
 		}
 	}
-	before := f.slots[domain]
+	before := f.assignments[domain]
 	wanted := limiter.Assign(domain, ids, before)
 	for slot, id := range wanted {
 		if before[slot] != id {
-			f.move(limiter.SlotKey{Domain: domain, Slot: slot}, before[slot], id)
+			f.moveSlot(limiter.SlotKey{Domain: domain, Slot: slot}, before[slot], id)
 		}
 	}
-	f.slots[domain] = wanted
-	f.tell()
+	f.assignments[domain] = wanted
+	f.publishHolders()
 }
 
-// move hands a slot over from an instance that lives.
-func (f *rateFleet) move(key limiter.SlotKey, from, to protocol.InstanceID) {
-	target := f.byID(to)
-	if old := f.byID(from); old != nil && old.alive {
+// moveSlot moves a slot to another instance, with its token balances if the previous
+// holder is still running.
+func (f *rateFleet) moveSlot(key limiter.SlotKey, from, to protocol.InstanceID) {
+	receiver := f.byID(to)
+	if old := f.byID(from); old != nil && old.running {
 		old.core.SetUsableUntil(f.clock.Now().Add(time.Hour))
 		if balances, ok := old.core.CloseSlot(f.clock.Now(), key); ok {
-			target.core.ReceiveHandover(f.clock.Now(), balances)
+			receiver.core.ReceiveHandover(f.clock.Now(), balances)
 		}
 		old.core.RemoveSlot(key)
 	}
 	f.fence++
-	target.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
-	target.core.AddSlot(f.clock.Now(), key, f.fence)
+	receiver.core.SetUsableUntil(f.clock.Now().Add(24 * time.Hour))
+	receiver.core.AddSlot(f.clock.Now(), key, f.fence)
 }
 
-func (f *rateFleet) byID(id protocol.InstanceID) *rateInstance { return f.ids[id] }
+func (f *rateFleet) byID(id protocol.InstanceID) *rateInstance { return f.instancesByID[id] }
 
-// tell shows every instance who holds what.
-func (f *rateFleet) tell() {
+// publishHolders gives every instance the current slot holders.
+func (f *rateFleet) publishHolders() {
 	for i, inst := range f.instances {
 		holders := map[limiter.SlotKey]protocol.InstanceID{}
-		for domain, slots := range f.slots {
-			if f.policy.homeOnly && domain != f.user.domainOf(i) {
+		for domain, slots := range f.assignments {
+			if f.policy.ownDomainOnly && domain != f.deployment.domainOf(i) {
 				continue
 			}
 			for slot, id := range slots {
@@ -136,42 +143,43 @@
 	}
 }
 
-// kill ends a process; its replacement comes later at the same address.
+// kill terminates a process. A replacement starts restartDelay later under the same
+// instance ID.
 func (f *rateFleet) kill(i int) {
-	f.instances[i].alive = false
-	domain := f.user.domainOf(i)
-	dead := f.user.instance(i)
-	f.clock.After(takeover, func() {
-		slots := f.slots[domain]
-		if f.cut == domain || f.instances[i].alive {
+	f.instances[i].running = false
+	domain := f.deployment.domainOf(i)
+	killed := f.deployment.instanceID(i)
+	f.clock.After(takeoverDelay, func() {
+		slots := f.assignments[domain]
+		if f.isolated == domain || f.instances[i].running {
 			return
 		}
 		for slot := range slots {
-			if slots[slot] == dead {
+			if slots[slot] == killed {
 				slots[slot] = ""
 			}
 		}
-		f.slots[domain] = slots
+		f.assignments[domain] = slots
 		f.assign(domain)
 	})
-	f.clock.After(restart, func() {
-		f.boot(i)
+	f.clock.After(restartDelay, func() {
+		f.restartInstance(i)
 		f.assign(domain)
 	})
 }
 
-// alive are the instances that the balancer may choose.
-func (f *rateFleet) choose(weights []float64) int {
+// chooseInstance picks a running instance at random by the balancer's weights.
+func (f *rateFleet) chooseInstance(weights []float64) int {
 	sum := 0.0
 	for i, inst := range f.instances {
-		if inst.alive {
+		if inst.running {
 			sum += weights[i]
 		}
 	}
 	point := f.random.Float64() * sum
 	last := 0
 	for i, inst := range f.instances {
-		if !inst.alive {
+		if !inst.running {
 			continue
 		}
 		last = i
@@ -190,8 +198,8 @@
 
 func (f *rateFleet) decide(i int, request *limiter.Request, deadline time.Time, decided func(bool)) {
 	verdict := f.instances[i].core.Decide(f.clock.Now(), request)
-	for _, back := range verdict.Returns {
-		f.exchange(i, back, func() {})
+	for _, returned := range verdict.Returns {
+		f.exchange(i, returned, func() {})
 	}
 	if verdict.Prefetch != nil {
 		f.exchange(i, verdict.Prefetch, func() {})
@@ -206,32 +214,33 @@
 	}
 }
 
-// exchange carries a Take to its holder and the answer back.
-func (f *rateFleet) exchange(i int, ask *limiter.TakeCall, then func()) {
+// exchange sends a Take call to the slot holder and handles the reply, or a timeout
+// if the holder can't be reached.
+func (f *rateFleet) exchange(i int, call *limiter.TakeCall, done func()) {
 	f.exchanges++
-	asker := f.instances[i]
-	holder := f.byID(ask.Holder)
-	if !holder.alive || f.isCut(i, ask.Args.Slot.Domain) {
+	sender := f.instances[i]
+	holder := f.byID(call.Holder)
+	if !holder.running || f.isPartitioned(i, call.Args.Slot.Domain) {
 		f.clock.After(f.policy.settings.CallTimeout, func() {
-			asker.core.HandleReply(f.clock.Now(), ask, limiter.TakeReply{}, true)
-			then()
+			sender.core.HandleReply(f.clock.Now(), call, limiter.TakeReply{}, true)
+			done()
 		})
 		return
 	}
-	hop := hopInside
-	if ask.Args.Slot.Domain != f.user.domainOf(i) {
-		hop = hopBetween
+	delay := sameDomainDelay
+	if call.Args.Slot.Domain != f.deployment.domainOf(i) {
+		delay = crossDomainDelay
 	}
-	f.clock.After(hop, func() {
-		reply := holder.core.Take(f.clock.Now(), ask.Args)
-		f.clock.After(hop, func() {
-			asker.core.HandleReply(f.clock.Now(), ask, reply, false)
-			then()
+	f.clock.After(delay, func() {
+		reply := holder.core.Take(f.clock.Now(), call.Args)
+		f.clock.After(delay, func() {
+			sender.core.HandleReply(f.clock.Now(), call, reply, false)
+			done()
 		})
 	})
 }
 
-func (f *rateFleet) isCut(i int, domain protocol.Domain) bool {
-	own := f.user.domainOf(i)
-	return own != domain && (own == f.cut || domain == f.cut)
+func (f *rateFleet) isPartitioned(i int, domain protocol.Domain) bool {
+	own := f.deployment.domainOf(i)
+	return own != domain && (own == f.isolated || domain == f.isolated)
 }
--- a/internal/policybench/rates.go
+++ b/internal/policybench/rates.go
@@ -9,23 +9,24 @@
 	"merlintiller/internal/protocol"
 )
 
-// exactBucket is one token bucket over the whole fleet.
-type exactBucket struct {
+// tokenBucket is a token bucket without the approximations of the distributed
+// limiter. One bucket can cover the whole fleet or a part of it.
+type tokenBucket struct {
 	rate, burst, level float64
-	at                 time.Time
+	updatedAt          time.Time
 }
 
-func newExactBucket(org protocol.Organisation) *exactBucket {
-	return &exactBucket{rate: org.Rate, burst: org.Burst, level: org.Burst, at: virtual.Start}
+func newTokenBucket(org protocol.Organisation) *tokenBucket {
+	return &tokenBucket{rate: org.Rate, burst: org.Burst, level: org.Burst, updatedAt: virtual.Start}
 }
 
-func (b *exactBucket) advance(now time.Time) {
-	b.level = min(b.burst, b.level+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
+func (b *tokenBucket) advance(now time.Time) {
+	b.level = min(b.burst, b.level+b.rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
-// take admits a token if the bucket holds one.
-func (b *exactBucket) take(now time.Time) bool {
+// take removes one token and reports whether the bucket held one.
+func (b *tokenBucket) take(now time.Time) bool {
 	b.advance(now)
 	if b.level < 1 {
 		return false
@@ -34,8 +35,9 @@
 	return true
 }
 
-// above takes a token in any case and returns by how much that is too much.
-func (b *exactBucket) above(now time.Time) float64 {
+// takeExcess removes one token in any case and returns the number of tokens that
+// the bucket lacked. Rounding errors up to 1e-6 tokens are ignored.
+func (b *tokenBucket) takeExcess(now time.Time) float64 {
 	b.advance(now)
 	b.level--
 	excess := max(0, -b.level-1e-6)
@@ -43,85 +45,102 @@
 	return excess
 }
 
-// sidedBucket is an exact bucket that a cut divides in two.
-type sidedBucket struct {
-	inner, outer *exactBucket
+// partitionedBucket is a token bucket over the whole fleet that a network partition
+// splits in two: one part for the isolated failure domain, one for the rest.
+type partitionedBucket struct {
+	isolated, remaining *tokenBucket
 }
 
-// cutShare is the share of the domain that is cut off.
-const cutShare = 1.0 / 3
+// isolatedShare is the share of the rate that belongs to the isolated domain.
+const isolatedShare = 1.0 / 3
 
-func newSidedBucket(org protocol.Organisation) *sidedBucket {
-	outer, inner := org, org
-	inner.Rate, inner.Burst = org.Rate*cutShare, org.Burst*cutShare
-	outer.Rate, outer.Burst = org.Rate-inner.Rate, org.Burst-inner.Burst
-	return &sidedBucket{inner: newExactBucket(inner), outer: newExactBucket(outer)}
+func newPartitionedBucket(org protocol.Organisation) *partitionedBucket {
+	remaining, isolated := org, org
+	isolated.Rate, isolated.Burst = org.Rate*isolatedShare, org.Burst*isolatedShare
+	remaining.Rate, remaining.Burst = org.Rate-isolated.Rate, org.Burst-isolated.Burst
+	return &partitionedBucket{isolated: newTokenBucket(isolated), remaining: newTokenBucket(remaining)}
 }
 
-// take admits a token at an instance. Without a cut each side uses the other's.
-func (b *sidedBucket) take(now time.Time, f *rateFleet, at int) bool {
-	b.inner.advance(now)
-	b.outer.advance(now)
-	if f.cut == "" {
-		b.level()
-		return b.inner.take(now) || b.outer.take(now)
+// take removes one token for a request at an instance and reports whether there was
+// one. Without a network partition each part can use the tokens of the other.
+func (b *partitionedBucket) take(now time.Time, f *rateFleet, at int) bool {
+	b.isolated.advance(now)
+	b.remaining.advance(now)
+	if f.isolated == "" {
+		b.rebalance()
+		return b.isolated.take(now) || b.remaining.take(now)
 	}
-	if f.user.domainOf(at) == f.cut {
-		return b.inner.take(now)
+	if f.deployment.domainOf(at) == f.isolated {
+		return b.isolated.take(now)
 	}
-	return b.outer.take(now)
+	return b.remaining.take(now)
 }
 
-// level spreads the tokens evenly, as if there were one bucket.
-func (b *sidedBucket) level() {
-	part := (b.inner.level + b.outer.level) / (b.inner.burst + b.outer.burst)
-	b.inner.level, b.outer.level = part*b.inner.burst, part*b.outer.burst
+// rebalance distributes the tokens in proportion to the bursts, as if there were
+// only one bucket.
+func (b *partitionedBucket) rebalance() {
+	fill := (b.isolated.level + b.remaining.level) / (b.isolated.burst + b.remaining.burst)
+	b.isolated.level, b.remaining.level = fill*b.isolated.burst, fill*b.remaining.burst
 }
 
-// rateRun is a load with faults.
+// rateRun configures a simulation of the limiter under load, with or without
+// faults.
 type rateRun struct {
-	user   user
-	length time.Duration
-	policy ratePolicy
-	cut    bool
-	kills  bool
-	equal  bool
-	// oracle admits by one exact bucket for each side of the cut, with the
-	// sides' shares: what a policy can do that knows all on its side.
+	deployment deployment
+	length     time.Duration
+	policy     ratePolicy
+	// partition isolates one failure domain for partitionLength.
+	partition bool
+	// kills terminates a random instance every killInterval.
+	kills bool
+	// equalSplit replaces the policy by local buckets, each with an equal part
+	// of the rate.
+	equalSplit bool
+	// oracle replaces the policy by one bucket for each side of the network
+	// partition, with that side's share of the rate. No policy that knows only
+	// the state of its own side can do better.
 	oracle bool
-	// overload is the organisation that sends five times its rate, -1 for none.
+	// overload is the index of the organisation that sends five times its rate
+	// (overloadFactor), -1 for none.
 	overload int
-	// even leaves out the balancer's skew.
-	even bool
+	// evenLoad gives all instances the same weight in the load balancer, instead
+	// of balancerSkew.
+	evenLoad bool
 }
 
-// rateResult is what came of a run.
+// rateResult has the measurements of one run.
 type rateResult struct {
-	inside, refusedInside int
-	above                 float64
-	// shortPercent is what the overloading organisation got less than its rate.
-	shortPercent float64
-	requests     int
-	exchanges    int
+	// inRate counts the requests within the organisation's rate, rejectedInRate
+	// those of them that were rejected.
+	inRate, rejectedInRate int
+	// admittedAbove is the number of tokens admitted above the rates.
+	admittedAbove float64
+	// shortfallPercent is the part of its rate that the overloading organisation
+	// did not receive.
+	shortfallPercent float64
+	requests         int
+	// exchanges counts the Take calls between instances.
+	exchanges int
 }
 
-func (r rateResult) refusedPercent() float64 {
-	return 100 * float64(r.refusedInside) / float64(max(1, r.inside))
+func (r rateResult) rejectedPercent() float64 {
+	return 100 * float64(r.rejectedInRate) / float64(max(1, r.inRate))
 }
 
-// warmUp lets the slots fill before anything is counted.
+// warmUp is the time for the slots to fill before requests are counted.
 const warmUp = 20 * time.Second
 
-// Shape of the load: organisations use most of their rate, at random, and now
-// and then half of their burst within a second.
+// Parameters of the load. Organisations use meanRateUse of their rate at random
+// times. In addition, every meanBurstInterval on average, an organisation sends
+// half of its burst (burstFraction) within one second.
 const (
-	meanUse     = 0.7
-	burstEvery  = 40 * time.Second
-	burstPart   = 0.5
-	overloadUse = 5.0
-	killEvery   = time.Minute
-	cutFrom     = 30 * time.Second
-	cutLength   = 4 * time.Minute
+	meanRateUse       = 0.7
+	meanBurstInterval = 40 * time.Second
+	burstFraction     = 0.5
+	overloadFactor    = 5.0
+	killInterval      = time.Minute
+	partitionStart    = 30 * time.Second
+	partitionLength   = 4 * time.Minute
 )
 
 type rateSim struct {
@@ -130,158 +149,161 @@
 	random  *rand.Rand
 	fleet   *rateFleet
 	weights []float64
-	// inside decides which requests are inside the rate; exact whether the
-	// admitted ones were too many.
-	inside, exact []*exactBucket
-	// split is the baseline: an equal part of each organisation per instance.
-	split [][]*exactBucket
-	// sides is the oracle in a cut.
-	sides   []*sidedBucket
-	granted []int
-	result  rateResult
+	// inRateBuckets decide which requests are within the rate, globalBuckets
+	// whether more requests were admitted than the rate allows. Both have one
+	// bucket for each organisation.
+	inRateBuckets, globalBuckets []*tokenBucket
+	// splitBuckets are the baseline: for each organisation, one bucket per instance
+	// with an equal part of the rate.
+	splitBuckets [][]*tokenBucket
+	// partitionedBuckets have the buckets of the oracle, one for each organisation.
+	partitionedBuckets []*partitionedBucket
+	granted            []int
+	result             rateResult
 }
 
 func (r rateRun) run() rateResult {
-	random := rand.New(rand.NewPCG(r.user.seed, 7))
-	s := &rateSim{rateRun: r, clock: virtual.NewClock(), random: random, weights: r.user.balancer()}
-	if r.even {
+	random := rand.New(rand.NewPCG(r.deployment.seed, 7))
+	s := &rateSim{rateRun: r, clock: virtual.NewClock(), random: random, weights: r.deployment.balancerWeights()}
+	if r.evenLoad {
 		for i := range s.weights {
 			s.weights[i] = 1
 		}
 	}
-	s.fleet = newRateFleet(r.user, r.policy, s.clock, random)
-	s.granted = make([]int, len(r.user.rates))
-	for i := range r.user.rates {
-		org := r.user.organisation(i)
-		s.inside = append(s.inside, newExactBucket(org))
-		s.exact = append(s.exact, newExactBucket(org))
-		s.split = append(s.split, s.equalParts(org))
-		s.sides = append(s.sides, newSidedBucket(org))
+	s.fleet = newRateFleet(r.deployment, r.policy, s.clock, random)
+	s.granted = make([]int, len(r.deployment.rates))
+	for i := range r.deployment.rates {
+		org := r.deployment.organisation(i)
+		s.inRateBuckets = append(s.inRateBuckets, newTokenBucket(org))
+		s.globalBuckets = append(s.globalBuckets, newTokenBucket(org))
+		s.splitBuckets = append(s.splitBuckets, s.newSplitBuckets(org))
+		s.partitionedBuckets = append(s.partitionedBuckets, newPartitionedBucket(org))
 	}
 	s.clock.Run(warmUp)
-	for i := range r.user.rates {
-		s.arrive(i)
-		s.bursts(i)
+	for i := range r.deployment.rates {
+		s.scheduleArrival(i)
+		s.scheduleBurst(i)
 	}
-	s.faults()
+	s.scheduleFaults()
 	s.clock.Run(r.length)
 	return s.finish()
 }
 
-func (s *rateSim) equalParts(org protocol.Organisation) []*exactBucket {
-	parts := make([]*exactBucket, s.user.instances)
-	org.Rate /= float64(s.user.instances)
-	org.Burst /= float64(s.user.instances)
-	for i := range parts {
-		parts[i] = newExactBucket(org)
+func (s *rateSim) newSplitBuckets(org protocol.Organisation) []*tokenBucket {
+	buckets := make([]*tokenBucket, s.deployment.instances)
+	org.Rate /= float64(s.deployment.instances)
+	org.Burst /= float64(s.deployment.instances)
+	for i := range buckets {
+		buckets[i] = newTokenBucket(org)
 	}
-	return parts
+	return buckets
 }
 
-// arrive makes an organisation's steady requests.
-func (s *rateSim) arrive(org int) {
-	use := meanUse
+// scheduleArrival schedules the next steady request of an organisation.
+func (s *rateSim) scheduleArrival(org int) {
+	rateUse := meanRateUse
 	if org == s.overload {
-		use = overloadUse
+		rateUse = overloadFactor
 	}
-	gap := s.random.ExpFloat64() / (use * s.user.rates[org])
+	gap := s.random.ExpFloat64() / (rateUse * s.deployment.rates[org])
 	s.clock.After(time.Duration(gap*float64(time.Second)), func() {
 		s.request(org)
-		s.arrive(org)
+		s.scheduleArrival(org)
 	})
 }
 
-// bursts makes an organisation's bursts.
-func (s *rateSim) bursts(org int) {
-	gap := time.Duration(s.random.ExpFloat64() * float64(burstEvery))
+// scheduleBurst schedules the next burst of an organisation.
+func (s *rateSim) scheduleBurst(org int) {
+	gap := time.Duration(s.random.ExpFloat64() * float64(meanBurstInterval))
 	s.clock.After(gap, func() {
-		count := int(burstPart * s.user.organisation(org).Burst)
+		count := int(burstFraction * s.deployment.organisation(org).Burst)
 		for range count {
 			s.clock.After(time.Duration(s.random.Float64()*float64(time.Second)), func() { s.request(org) })
 		}
-		s.bursts(org)
+		s.scheduleBurst(org)
 	})
 }
 
-func (s *rateSim) faults() {
-	if s.cut {
-		s.clock.After(cutFrom, func() { s.fleet.cut = s.user.domains[2] })
-		s.clock.After(cutFrom+cutLength, func() {
-			s.fleet.cut = ""
-			for _, domain := range s.user.domains {
+func (s *rateSim) scheduleFaults() {
+	if s.partition {
+		s.clock.After(partitionStart, func() { s.fleet.isolated = s.deployment.domains[2] })
+		s.clock.After(partitionStart+partitionLength, func() {
+			s.fleet.isolated = ""
+			for _, domain := range s.deployment.domains {
 				s.fleet.assign(domain)
 			}
 		})
 	}
 	if s.kills {
-		s.clock.Every(killEvery, func() { s.fleet.kill(s.random.IntN(s.user.instances)) })
+		s.clock.Every(killInterval, func() { s.fleet.kill(s.random.IntN(s.deployment.instances)) })
 	}
 }
 
 func (s *rateSim) request(org int) {
 	now := s.clock.Now()
-	inside := s.inside[org].take(now) && org != s.overload
+	inRate := s.inRateBuckets[org].take(now) && org != s.overload
 	s.result.requests++
-	if inside {
-		s.result.inside++
+	if inRate {
+		s.result.inRate++
 	}
-	at := s.fleet.choose(s.weights)
-	if s.equal {
-		s.decided(org, inside, s.split[org][at].take(now))
+	at := s.fleet.chooseInstance(s.weights)
+	if s.equalSplit {
+		s.recordDecision(org, inRate, s.splitBuckets[org][at].take(now))
 		return
 	}
 	if s.oracle {
-		s.decided(org, inside, s.sides[org].take(now, s.fleet, at))
+		s.recordDecision(org, inRate, s.partitionedBuckets[org].take(now, s.fleet, at))
 		return
 	}
-	s.fleet.admit(at, s.user.organisation(org).ID, func(granted bool) { s.decided(org, inside, granted) })
+	s.fleet.admit(at, s.deployment.organisation(org).ID, func(granted bool) { s.recordDecision(org, inRate, granted) })
 }
 
-func (s *rateSim) decided(org int, inside, granted bool) {
+func (s *rateSim) recordDecision(org int, inRate, granted bool) {
 	if granted {
 		s.granted[org]++
-		s.result.above += s.exact[org].above(s.clock.Now())
-	} else if inside {
-		s.result.refusedInside++
+		s.result.admittedAbove += s.globalBuckets[org].takeExcess(s.clock.Now())
+	} else if inRate {
+		s.result.rejectedInRate++
 	}
 }
 
 func (s *rateSim) finish() rateResult {
 	s.result.exchanges = s.fleet.exchanges
 	if s.overload >= 0 {
-		org := s.user.organisation(s.overload)
-		full := org.Rate*s.length.Seconds() + org.Burst
-		s.result.shortPercent = 100 * (1 - float64(s.granted[s.overload])/full)
+		org := s.deployment.organisation(s.overload)
+		entitled := org.Rate*s.length.Seconds() + org.Burst
+		s.result.shortfallPercent = 100 * (1 - float64(s.granted[s.overload])/entitled)
 	}
 	return s.result
 }
 
-// slotPolicy is the one in use.
+// slotPolicy returns the current policy, which distributes the tokens by slots.
 func slotPolicy() ratePolicy {
 	return ratePolicy{name: "slots", settings: limiter.Defaults()}
 }
 
 const rateRunLength = 5 * time.Minute
 
-// measureRates compares the policy in use with an equal split.
-func measureRates(u user) []measure {
-	run := rateRun{user: u, length: rateRunLength, policy: slotPolicy(), overload: 2}
-	calm := run.run()
-	run.equal = true
-	calmSplit := run.run()
-	run.equal, run.cut, run.kills = false, true, true
+// measureRates compares the current policy with an equal split of the rates, with
+// and without faults.
+func measureRates(d deployment) []measure {
+	run := rateRun{deployment: d, length: rateRunLength, policy: slotPolicy(), overload: 2}
+	faultless := run.run()
+	run.equalSplit = true
+	faultlessSplit := run.run()
+	run.equalSplit, run.partition, run.kills = false, true, true
 	faults := run.run()
-	run.equal = true
+	run.equalSplit = true
 	faultsSplit := run.run()
-	run.equal, run.oracle = false, true
+	run.equalSplit, run.oracle = false, true
 	faultsOracle := run.run()
 	return []measure{
-		{name: "rate.refused_inside_percent", unit: "percent", user: u.name,
-			baseline: calmSplit.refusedPercent(), now: calm.refusedPercent()},
-		{name: "rate.refused_inside_cut_percent", unit: "percent", user: u.name,
-			baseline: faultsSplit.refusedPercent(), now: faults.refusedPercent(),
-			oracle: faultsOracle.refusedPercent(), hasOracle: true},
-		{name: "rate.admitted_above", unit: "tokens", user: u.name,
-			baseline: calmSplit.above + faultsSplit.above, now: calm.above + faults.above, hasOracle: true},
+		{name: "rate.refused_inside_percent", unit: "percent", deployment: d.name,
+			baseline: faultlessSplit.rejectedPercent(), current: faultless.rejectedPercent()},
+		{name: "rate.refused_inside_cut_percent", unit: "percent", deployment: d.name,
+			baseline: faultsSplit.rejectedPercent(), current: faults.rejectedPercent(),
+			oracle: faultsOracle.rejectedPercent(), hasOracle: true},
+		{name: "rate.admitted_above", unit: "tokens", deployment: d.name,
+			baseline: faultlessSplit.admittedAbove + faultsSplit.admittedAbove, current: faultless.admittedAbove + faults.admittedAbove, hasOracle: true},
 	}
 }
--- a/internal/policybench/serving.go
+++ b/internal/policybench/serving.go
@@ -14,59 +14,63 @@
 	"merlintiller/internal/protocol"
 )
 
-// batchMode is how batch shares the targets with online traffic.
+// batchMode selects how batch items share the targets with online traffic.
 type batchMode int
 
 const (
 	noBatch batchMode = iota
-	// batchYields is the policy in use.
-	batchYields
-	// batchStays places batch items up to all slots and takes none back.
-	batchStays
-	// batchReserve leaves the slots of a burst free all the time.
-	batchReserve
+	// batchPreemptible is the current policy: batch items yield to online requests.
+	batchPreemptible
+	// batchNonPreemptible places batch items on all free slots and never revokes
+	// them.
+	batchNonPreemptible
+	// batchFixedReserve always leaves enough slots free for an online burst.
+	batchFixedReserve
 )
 
-// servingRun is a load on a whole fleet.
+// servingRun configures a simulation of a whole fleet under load.
 type servingRun struct {
-	user   user
-	length time.Duration
-	batch  batchMode
-	online bool
-	// bursts are five times the online load for some seconds.
+	deployment deployment
+	length     time.Duration
+	batch      batchMode
+	online     bool
+	// bursts adds periodic bursts, see servingBurstFactor, to the online load.
 	bursts bool
-	// overload is the organisation that sends five times its rate, -1 if none.
+	// overload is the index of the organisation that sends five times its rate
+	// (overloadFactor), -1 for none.
 	overload int
-	// unfair leaves out the rates and queues all organisations as one.
-	unfair bool
-	// blind shows the routers online calls only.
-	blind    bool
-	headroom headroom.Settings
+	// singleQueue disables rate limits and puts all organisations into one queue.
+	singleQueue bool
+	// hidePeerBatch hides the batch items of other instances from the routers.
+	hidePeerBatch bool
+	headroom      headroom.Settings
 }
 
-// Shape of the serving load.
+// Parameters of the serving load.
 const (
-	reportEvery   = time.Second
-	reportLag     = time.Second
-	capacityEvery = 100 * time.Millisecond
-	noticeHop     = 500 * time.Microsecond
-	firstDeadline = 2 * time.Second
-	// onlineUse is the part of the fleet's slots that online traffic uses.
-	onlineUse     = 0.15
-	serveBurst    = 5.0
-	serveBurstGap = 20 * time.Second
-	serveBurstLen = 5 * time.Second
-	// rampUp is the time in which a burst reaches its height.
-	rampUp = time.Second
-	// drainTime is longer than an online request lasts.
-	drainTime = 10 * time.Second
-	// ratesUse is the part of the fleet's slots that the rates add up to, in
-	// the runs that hold organisations to them.
-	ratesUse = 0.6
+	reportInterval     = time.Second
+	reportDelay        = time.Second
+	capacityInterval   = 100 * time.Millisecond
+	noticeDelay        = 500 * time.Microsecond
+	firstTokenDeadline = 2 * time.Second
+	// onlineSlotShare is the part of the fleet's slots that online traffic uses
+	// outside bursts.
+	onlineSlotShare    = 0.15
+	servingBurstFactor = 5.0
+	servingBurstPeriod = 20 * time.Second
+	servingBurstLength = 5 * time.Second
+	// burstRampUp is the time that a burst takes to reach its full load.
+	burstRampUp = time.Second
+	// uncountedTail is the part at the end of a run whose requests are not
+	// counted. It is longer than an online request takes.
+	uncountedTail = 10 * time.Second
+	// rateSlotShare is the part of the fleet's slots that the rates of all
+	// organisations add up to.
+	rateSlotShare = 0.6
 )
 
-// node is one entry instance.
-type node struct {
+// instance has the decision cores of one instance.
+type instance struct {
 	admission *admission.Core
 	router    *routing.Core
 	headroom  *headroom.Core
@@ -78,311 +82,328 @@
 	engine *engine
 }
 
-// servingSim drives the real cores of every instance.
+// servingSim runs the production decision cores of every instance.
 type servingSim struct {
 	servingRun
-	clock   *virtual.Clock
-	random  *rand.Rand
-	nodes   []*node
-	engines []*engine
-	byID    map[protocol.TargetID]*engine
+	clock       *virtual.Clock
+	random      *rand.Rand
+	instances   []*instance
+	engines     []*engine
+	enginesByID map[protocol.TargetID]*engine
+	// feeders maps each target to the instance that places batch items on it.
 	feeders map[protocol.TargetID]protocol.InstanceID
+	// weights are those of the load balancer.
 	weights []float64
 	rates   *rateFleet
-	scale   float64
-	placed  map[headroom.SlotID]*batchItem
-	// partial are revoked items that wait for a resume.
-	partial []*stream
-	inside  []*exactBucket
-	// countUntil is when requests are counted no more: later ones may not end
-	// within the run.
-	countUntil time.Time
-	result     servingResult
+	// rateScale multiplies the rates of the deployment so that they add up to
+	// rateSlotShare.
+	rateScale float64
+	placed    map[headroom.SlotID]*batchItem
+	// resumable are the revoked items that wait to be resumed.
+	resumable []*stream
+	// inRateBuckets decide which requests are within the rate of their organisation.
+	inRateBuckets []*tokenBucket
+	// countedUntil is the time from which requests are not counted any more,
+	// because they may not end within the run.
+	countedUntil time.Time
+	result       servingResult
 }
 
-// servingResult is what came of a run.
+// servingResult has the measurements of one run.
 type servingResult struct {
-	firstToken, between []float64
-	// batchUseful and batchWasted are in tokens; oracle is what free slots
-	// could have made.
+	// firstToken and betweenTokens have one value in seconds for each online
+	// request.
+	firstToken, betweenTokens []float64
+	// batchUseful and batchWasted are in tokens. oracle is the number of batch
+	// tokens that all slots free of online streams could have generated.
 	batchUseful, batchWasted, oracle float64
-	revoked                          int
-	// inRate and onTime count the in-rate requests by organisation.
+	revokedItems                     int
+	// inRate counts the in-rate requests of each organisation, onTime those of
+	// them whose first token arrived within firstTokenDeadline.
 	inRate, onTime []int
-	refused        int
+	rejected       int
 }
 
 func (r servingRun) run() servingResult {
 	s := &servingSim{
-		servingRun: r, clock: virtual.NewClock(), random: rand.New(rand.NewPCG(r.user.seed, 11)),
-		byID: map[protocol.TargetID]*engine{}, weights: r.user.balancer(),
+		servingRun: r, clock: virtual.NewClock(), random: rand.New(rand.NewPCG(r.deployment.seed, 11)),
+		enginesByID: map[protocol.TargetID]*engine{}, weights: r.deployment.balancerWeights(),
 		placed: map[headroom.SlotID]*batchItem{},
 	}
 	s.build()
 	s.clock.Run(warmUp)
-	s.duties()
+	s.startPeriodicTasks()
 	if r.online {
-		for i := range r.user.rates {
-			s.arrive(i)
+		for i := range r.deployment.rates {
+			s.scheduleArrival(i)
 		}
 	}
-	s.countUntil = s.clock.Now().Add(r.length - drainTime)
+	s.countedUntil = s.clock.Now().Add(r.length - uncountedTail)
 	s.clock.Run(r.length)
 	return s.result
 }
 
 func (s *servingSim) build() {
-	u := s.user
-	s.scale = 1
-	capacity := float64(u.targets*slotsPerTarget) / (onlineTokens * tokenTime.Seconds())
+	d := s.deployment
+	s.rateScale = 1
+	capacity := float64(d.targets*slotsPerTarget) / (onlineTokens * tokenTime.Seconds())
 	sum := 0.0
-	for _, rate := range u.rates {
+	for _, rate := range d.rates {
 		sum += rate
 	}
-	s.scale = capacity * ratesUse / sum
-	scaled := u
-	scaled.rates = make([]float64, len(u.rates))
-	for i, rate := range u.rates {
-		scaled.rates[i] = rate * s.scale
-		s.inside = append(s.inside, newExactBucket(scaled.organisation(i)))
+	s.rateScale = capacity * rateSlotShare / sum
+	scaled := d
+	scaled.rates = make([]float64, len(d.rates))
+	for i, rate := range d.rates {
+		scaled.rates[i] = rate * s.rateScale
+		s.inRateBuckets = append(s.inRateBuckets, newTokenBucket(scaled.organisation(i)))
 	}
-	s.user = scaled
+	s.deployment = scaled
 	s.rates = newRateFleet(scaled, slotPolicy(), s.clock, s.random)
-	s.result.inRate, s.result.onTime = make([]int, len(u.rates)), make([]int, len(u.rates))
+	s.result.inRate, s.result.onTime = make([]int, len(d.rates)), make([]int, len(d.rates))
 	s.buildTargets()
-	s.buildNodes()
+	s.buildInstances()
 }
 
 func (s *servingSim) buildTargets() {
-	for i := range s.user.targets {
-		e := &engine{id: protocol.TargetID(fmt.Sprintf("t%02d", i)), domain: s.user.domainOf(i)}
+	for i := range s.deployment.targets {
+		e := &engine{id: protocol.TargetID(fmt.Sprintf("t%02d", i)), domain: s.deployment.domainOf(i)}
 		s.engines = append(s.engines, e)
-		s.byID[e.id] = e
+		s.enginesByID[e.id] = e
 	}
 }
 
-func (s *servingSim) buildNodes() {
+func (s *servingSim) buildInstances() {
 	listing := external.Listing{}
 	for _, e := range s.engines {
 		listing.Targets = append(listing.Targets, external.ListedTarget{
-			ID: e.id, Service: s.user.service, Domain: e.domain, Address: string(e.id),
+			ID: e.id, Service: s.deployment.service, Domain: e.domain, Address: string(e.id),
 		})
 	}
 	var members []headroom.Member
-	for i := range s.user.instances {
-		members = append(members, headroom.Member{Instance: s.user.instance(i), Domain: s.user.domainOf(i)})
-		n := &node{
+	for i := range s.deployment.instances {
+		members = append(members, headroom.Member{Instance: s.deployment.instanceID(i), Domain: s.deployment.domainOf(i)})
+		inst := &instance{
 			admission: admission.NewCore(admission.Defaults()),
-			router:    routing.NewCore(routing.Options{Domain: s.user.domainOf(i), Seed: uint64(i)}),
+			router:    routing.NewCore(routing.Options{Domain: s.deployment.domainOf(i), Seed: uint64(i)}),
 			headroom:  headroom.NewCore(s.headroom),
 			waiting:   map[admission.WaitID]func(){},
 		}
-		n.router.SetServices(s.rates.fleet.Services)
-		n.router.ApplyListing(s.clock.Now(), listing)
-		n.headroom.SyncTargets(s.targets(i))
-		s.nodes = append(s.nodes, n)
+		inst.router.SetServices(s.rates.fleet.Services)
+		inst.router.ApplyListing(s.clock.Now(), listing)
+		inst.headroom.SyncTargets(s.targets(i))
+		s.instances = append(s.instances, inst)
 	}
 	s.feeders = headroom.Feeders(s.targets(0), members)
-	s.capacities()
+	s.updateCapacities()
 }
 
-// targets are all targets as an instance sees them.
+// targets returns all targets with the load reports that an instance knows.
 func (s *servingSim) targets(i int) []headroom.Target {
 	var targets []headroom.Target
 	reported := map[protocol.TargetID]routing.Status{}
-	if i < len(s.nodes) {
-		for _, status := range s.nodes[i].router.Targets(s.clock.Now()) {
+	if i < len(s.instances) {
+		for _, status := range s.instances[i].router.Targets(s.clock.Now()) {
 			reported[status.Target] = status
 		}
 	}
 	for _, e := range s.engines {
 		status := reported[e.id]
 		targets = append(targets, headroom.Target{
-			ID: e.id, Service: s.user.service, Domain: e.domain, Slots: slotsPerTarget,
+			ID: e.id, Service: s.deployment.service, Domain: e.domain, Slots: slotsPerTarget,
 			Usable: !status.Ejected, Reported: status.Reported, ReportedAt: status.ReportedAt,
 		})
 	}
 	return targets
 }
 
-func (s *servingSim) fed(i int) []headroom.Target {
+// fedTargets returns the targets that an instance feeds with batch items.
+func (s *servingSim) fedTargets(i int) []headroom.Target {
 	var fed []headroom.Target
 	for _, t := range s.targets(i) {
-		if s.feeders[t.ID] == s.user.instance(i) {
+		if s.feeders[t.ID] == s.deployment.instanceID(i) {
 			fed = append(fed, t)
 		}
 	}
 	return fed
 }
 
-func (s *servingSim) duties() {
+func (s *servingSim) startPeriodicTasks() {
 	s.clock.Every(engineStep, s.stepEngines)
-	s.clock.Every(capacityEvery, s.capacities)
-	s.clock.Every(s.headroom.NoticeInterval, s.notices)
-	s.clock.Every(s.headroom.PollInterval, s.windows)
-	s.clock.Every(batchLook, s.placeAny)
-	s.clock.Every(reportEvery, s.reports)
+	s.clock.Every(capacityInterval, s.updateCapacities)
+	s.clock.Every(s.headroom.NoticeInterval, s.sendNotices)
+	s.clock.Every(s.headroom.PollInterval, s.updateWindows)
+	s.clock.Every(placementInterval, s.placeOnAllInstances)
+	s.clock.Every(reportInterval, s.applyReports)
 }
 
 func (s *servingSim) stepEngines() {
 	for _, e := range s.engines {
-		free := max(0, slotsPerTarget-e.online())
-		s.result.oracle += float64(free) * engineStep.Seconds() / tokenTime.Seconds() * oracleShare
+		free := max(0, slotsPerTarget-e.onlineStreams())
+		s.result.oracle += float64(free) * engineStep.Seconds() / tokenTime.Seconds() * batchDecodeShare
 		e.step(s.clock.Now())
 	}
 }
 
-// oracleShare is the part of a batch stream's time that makes tokens.
-const oracleShare = float64(batchTokens*tokenTime) / float64(batchTokens*tokenTime+batchPrefill)
+// batchDecodeShare is the part of a batch stream's run time in which it generates
+// tokens; the rest is prefill.
+const batchDecodeShare = float64(batchTokens*tokenTime) / float64(batchTokens*tokenTime+batchPrefill)
 
-func (s *servingSim) reports() {
+// applyReports sends the load of each target, reportDelay late, to all routers.
+func (s *servingSim) applyReports() {
 	for _, e := range s.engines {
-		e.history = append(e.history, len(e.streams))
-		lag := int(reportLag / reportEvery)
-		if len(e.history) <= lag {
+		e.streamHistory = append(e.streamHistory, len(e.streams))
+		lag := int(reportDelay / reportInterval)
+		if len(e.streamHistory) <= lag {
 			continue
 		}
-		load := external.Load{Target: e.id, Running: e.history[len(e.history)-1-lag], AgeMS: reportLag.Milliseconds()}
-		for _, n := range s.nodes {
-			if !s.blind {
-				n.router.SetPeerBatchItems(e.id, n.headroom.PeerBatchItems(e.id, s.clock.Now().Add(-reportLag)))
+		load := external.Load{Target: e.id, Running: e.streamHistory[len(e.streamHistory)-1-lag], AgeMS: reportDelay.Milliseconds()}
+		for _, inst := range s.instances {
+			if !s.hidePeerBatch {
+				inst.router.SetPeerBatchItems(e.id, inst.headroom.PeerBatchItems(e.id, s.clock.Now().Add(-reportDelay)))
 			}
-			n.router.ApplyReport(s.clock.Now(), load)
+			inst.router.ApplyReport(s.clock.Now(), load)
 		}
 	}
 }
 
-func (s *servingSim) capacities() {
-	for _, n := range s.nodes {
-		capacity := admission.Capacity{Instances: s.user.instances}
-		others := 0.0
-		for _, status := range n.router.Targets(s.clock.Now()) {
+// updateCapacities gives each admission core the capacity known to its router.
+func (s *servingSim) updateCapacities() {
+	for _, inst := range s.instances {
+		capacity := admission.Capacity{Instances: s.deployment.instances}
+		otherLoad := 0.0
+		for _, status := range inst.router.Targets(s.clock.Now()) {
 			if status.Ejected {
 				continue
 			}
 			capacity.Slots += slotsPerTarget
-			others += status.PeerStreams
+			otherLoad += status.PeerStreams
 		}
-		capacity.OtherLoad = int(others)
-		n.admission.SetCapacity(s.user.service, capacity)
-		s.next(n)
+		capacity.OtherLoad = int(otherLoad)
+		inst.admission.SetCapacity(s.deployment.service, capacity)
+		s.admitWaiting(inst)
 	}
 }
 
-func (s *servingSim) next(n *node) {
-	for _, id := range n.admission.AdmitWaiting(s.user.service) {
-		if run, ok := n.waiting[id]; ok {
-			delete(n.waiting, id)
-			run()
+// admitWaiting dispatches the queued requests that can now be admitted.
+func (s *servingSim) admitWaiting(inst *instance) {
+	for _, id := range inst.admission.AdmitWaiting(s.deployment.service) {
+		if dispatch, ok := inst.waiting[id]; ok {
+			delete(inst.waiting, id)
+			dispatch()
 		}
 	}
 }
 
-// arrive makes an organisation's online requests.
-func (s *servingSim) arrive(org int) {
-	rate := s.user.rates[org] * s.use(org)
+// scheduleArrival schedules the next online request of an organisation.
+func (s *servingSim) scheduleArrival(org int) {
+	rate := s.deployment.rates[org] * s.rateFraction(org)
 	gap := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
-	// A long gap is cut, so that a burst that begins meanwhile is noticed.
-	if gap > rampUp/4 {
-		s.clock.After(rampUp/4, func() { s.arrive(org) })
+	// A long gap is split, so that a burst that begins during the gap takes effect.
+	if gap > burstRampUp/4 {
+		s.clock.After(burstRampUp/4, func() { s.scheduleArrival(org) })
 		return
 	}
 	s.clock.After(gap, func() {
 		s.request(org)
-		s.arrive(org)
+		s.scheduleArrival(org)
 	})
 }
 
-// use is the part of its rate that an organisation sends now.
-func (s *servingSim) use(org int) float64 {
+// rateFraction returns the part of its rate that an organisation sends at the
+// current time.
+func (s *servingSim) rateFraction(org int) float64 {
 	if org == s.overload {
-		return overloadUse
+		return overloadFactor
 	}
-	use := onlineUse / ratesUse
+	fraction := onlineSlotShare / rateSlotShare
 	if !s.bursts {
-		return use
+		return fraction
 	}
-	at := s.clock.Now().Sub(virtual.Start) % serveBurstGap
+	at := s.clock.Now().Sub(virtual.Start) % servingBurstPeriod
 	switch {
-	case at < rampUp:
-		return use * (1 + (serveBurst-1)*float64(at)/float64(rampUp))
-	case at < serveBurstLen:
-		return use * serveBurst
+	case at < burstRampUp:
+		return fraction * (1 + (servingBurstFactor-1)*float64(at)/float64(burstRampUp))
+	case at < servingBurstLength:
+		return fraction * servingBurstFactor
 	default:
-		return use
+		return fraction
 	}
 }
 
 func (s *servingSim) request(org int) {
-	inRate := s.inside[org].take(s.clock.Now()) && org != s.overload && s.clock.Now().Before(s.countUntil)
+	inRate := s.inRateBuckets[org].take(s.clock.Now()) && org != s.overload && s.clock.Now().Before(s.countedUntil)
 	if inRate {
 		s.result.inRate[org]++
 	}
-	at := s.rates.choose(s.weights)
+	at := s.rates.chooseInstance(s.weights)
 	arrived := s.clock.Now()
-	if s.unfair {
-		s.enter(at, org, "all", arrived, inRate)
+	if s.singleQueue {
+		s.requestAdmission(at, org, "all", arrived, inRate)
 		return
 	}
-	id := s.user.organisation(org).ID
+	id := s.deployment.organisation(org).ID
 	s.rates.admit(at, id, func(granted bool) {
 		if granted {
-			s.enter(at, org, id, arrived, inRate)
+			s.requestAdmission(at, org, id, arrived, inRate)
 		} else {
-			s.result.refused++
+			s.result.rejected++
 		}
 	})
 }
 
-func (s *servingSim) enter(at, org int, queue protocol.OrganisationID, arrived time.Time, inRate bool) {
-	n := s.nodes[at]
-	decision := n.admission.Enter(s.clock.Now(), admission.Call{
-		Organisation: queue, Service: s.user.service, Deadline: arrived.Add(firstDeadline),
+// requestAdmission passes a request to the admission core of an instance and
+// dispatches the request once admitted.
+func (s *servingSim) requestAdmission(at, org int, queue protocol.OrganisationID, arrived time.Time, inRate bool) {
+	inst := s.instances[at]
+	decision := inst.admission.Enter(s.clock.Now(), admission.Call{
+		Organisation: queue, Service: s.deployment.service, Deadline: arrived.Add(firstTokenDeadline),
 	})
-	run := func() { s.dispatch(at, org, arrived, inRate) }
+	dispatch := func() { s.dispatch(at, org, arrived, inRate) }
 	switch {
 	case decision.Admitted:
-		run()
+		dispatch()
 	case decision.WaitID == 0:
-		s.result.refused++
+		s.result.rejected++
 	default:
-		n.waiting[decision.WaitID] = run
-		s.clock.After(arrived.Add(firstDeadline).Sub(s.clock.Now()), func() {
-			if n.admission.Remove(queue, s.user.service, decision.WaitID) {
-				delete(n.waiting, decision.WaitID)
-				s.result.refused++
+		inst.waiting[decision.WaitID] = dispatch
+		s.clock.After(arrived.Add(firstTokenDeadline).Sub(s.clock.Now()), func() {
+			if inst.admission.Remove(queue, s.deployment.service, decision.WaitID) {
+				delete(inst.waiting, decision.WaitID)
+				s.result.rejected++
 			}
 		})
 	}
 }
 
+// dispatch routes an admitted request to a target and starts its stream there.
 func (s *servingSim) dispatch(at, org int, arrived time.Time, inRate bool) {
-	n := s.nodes[at]
-	began := s.clock.Now()
-	choice, ok := n.router.Pick(s.clock.Now(), coordination.PickRequest{Service: s.user.service})
+	inst := s.instances[at]
+	dispatched := s.clock.Now()
+	choice, ok := inst.router.Pick(s.clock.Now(), coordination.PickRequest{Service: s.deployment.service})
 	if !ok {
-		panic("policybench: no target")
+		panic("policybench: router found no usable target")
 	}
-	s.revoke(at, n.headroom.OnlineStarted(s.clock.Now(), choice.Target))
-	e := s.byID[choice.Target]
+	s.revoke(at, inst.headroom.OnlineStarted(s.clock.Now(), choice.Target))
+	e := s.enginesByID[choice.Target]
 	e.streams = append(e.streams, &stream{
 		online: true, arrived: arrived, prefill: onlinePrefill, tokens: onlineTokens,
-		ended: func(st *stream) {
+		onEnd: func(st *stream) {
 			s.onlineEnded(st, org, inRate)
-			n.router.Done(s.clock.Now(), choice, coordination.CallResult{FirstByte: st.firstAt.Sub(began)})
-			n.headroom.OnlineEnded(choice.Target)
-			n.admission.Release(s.user.service, s.clock.Now().Sub(began))
-			s.next(n)
+			inst.router.Done(s.clock.Now(), choice, coordination.CallResult{FirstByte: st.firstAt.Sub(dispatched)})
+			inst.headroom.OnlineEnded(choice.Target)
+			inst.admission.Release(s.deployment.service, s.clock.Now().Sub(dispatched))
+			s.admitWaiting(inst)
 		},
 	})
 }
 
 func (s *servingSim) onlineEnded(st *stream, org int, inRate bool) {
 	first := st.firstAt.Sub(st.arrived)
-	between := s.clock.Now().Sub(st.firstAt).Seconds() / onlineTokens
+	betweenTokens := s.clock.Now().Sub(st.firstAt).Seconds() / onlineTokens
 	s.result.firstToken = append(s.result.firstToken, first.Seconds())
-	s.result.between = append(s.result.between, between)
-	if inRate && first <= firstDeadline {
+	s.result.betweenTokens = append(s.result.betweenTokens, betweenTokens)
+	if inRate && first <= firstTokenDeadline {
 		s.result.onTime[org]++
 	}
 }
