--- a/internal/daemon/options.go
+++ b/internal/daemon/options.go
@@ -10,7 +10,7 @@
 	"merlintiller/internal/transport/edge"
 )
 
-// journalTimings are the journal's constants.
+// journalTimings returns the timings of the journal.
 func journalTimings(t settings.Timings) journal.Timings {
 	return journal.Timings{
 		Session: member.Timings{
@@ -30,11 +30,11 @@
 	}
 }
 
-// viewLimits bound what heartbeats know of other instances.
+// viewLimits returns the limits of the view of other instances that heartbeats maintain.
 func viewLimits(t settings.Timings) member.ViewLimits {
 	limits := member.DefaultViewLimits()
-	limits.Reachable = t.PeerSilent
-	limits.Forget = t.PeerForget
+	limits.Reachable = t.PeerSilenceTimeout
+	limits.Forget = t.PeerRetention
 	return limits
 }
 
@@ -44,15 +44,15 @@
 		MaxFileBytes:   s.Limits.FileBytes,
 		MaxFileItems:   s.Batch.FileItems,
 		MaxResultBytes: s.Batch.ResultBytes,
-		FileTTL:        s.Batch.FileKept,
-		MaxWindow:      s.Batch.LongestWindow,
+		FileTTL:        s.Batch.FileRetention,
+		MaxWindow:      s.Batch.MaxCompletionWindow,
 		ResultTTL:      s.Batch.ResultsReadable,
 		MaxHeldChunks:  s.Batch.HeldChunks,
 		MaxInFlight:    s.Batch.InFlight,
 		UrgentLaxity:   s.Batch.UrgentLaxity,
 		MaxAttempts:    s.Batch.Attempts,
 		BackoffFirst:   s.Batch.FirstBackoff,
-		BackoffMax:     s.Batch.LongestBackoff,
+		BackoffMax:     s.Batch.MaxBackoff,
 		FlushAfter:     s.Batch.ResultFlush,
 		BufferBytes:    s.Batch.ResultBufferBytes,
 		RefreshAge:     s.Batch.CarryAge,
@@ -74,14 +74,14 @@
 func routingOptions(s *settings.Settings) routing.Options {
 	return routing.Options{
 		Domain:          s.Domain,
-		Seed:            seedOf(s.Instance),
+		Seed:            randomSeed(s.Instance),
 		SpillAt:         s.Routing.SpillAt,
 		SpillMargin:     s.Routing.SpillGain,
 		ReportHalfLife:  s.Routing.ReportHalfLife,
 		AffinityMargin:  s.Routing.AffinityLoad,
 		FailuresToEject: s.Routing.FailuresToEject,
 		InitialEjection: s.Routing.EjectFor,
-		MaxEjection:     s.Routing.LongestEjection,
+		MaxEjection:     s.Routing.MaxEjection,
 		MaxEjectedShare: s.Routing.EjectShare,
 		SlowFactor:      s.Routing.SlowFactor,
 	}
@@ -104,7 +104,8 @@
 	}
 }
 
-// pollOptions are the periods of looking at the list and at load reports.
+// pollOptions returns the intervals at which the list of targets and load reports are
+// polled.
 func pollOptions(s *settings.Settings) routing.PollOptions {
 	return routing.PollOptions{
 		Domain:         s.Domain,
